--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -74,15 +74,15 @@
 	case wire.Outcome:
 		d.Outcome(now, &e.Outcome)
 	case wire.Note:
-		d.Note(now, &e.Note)
+		d.Progress(now, &e.Note)
 	case wire.Hangup:
-		d.Hangup(now, e.Hangup)
+		d.ClientDisconnected(now, e.Hangup)
 	case wire.TimerDue:
 		d.TimerDue(now, e.Token)
 	case wire.Probed:
 		d.Probed(now, &e.Probed)
 	case wire.Peer:
-		d.Peer(now, e.From, e.Data)
+		d.PeerMessage(now, e.From, e.Data)
 	case wire.Streaming:
 		d.Streaming(now, e.Outcome.Request, e.Outcome.Attempt)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -249,7 +249,7 @@
 	if err := c.peers(&doc); err != nil {
 		return nil, err
 	}
-	if c.Settings.WarmWithin == 0 {
+	if c.Settings.SlowStartWindow == 0 {
 		c.Notes = append(c.Notes, "settings.rules.warmWithinUs is absent: a new worker counts as cold for 30 s, and its first jobs wait")
 	}
 	return c, nil
@@ -321,12 +321,12 @@
 // peers reads how to reach the other schedulers. Without addresses nothing is told, and a note says so.
 func (c *Config) peers(doc *document) error {
 	s := &c.Settings
-	if !s.MayTell || s.GroupSize < 2 {
-		s.MayTell = false
+	if !s.MayBroadcast || s.GroupSize < 2 {
+		s.MayBroadcast = false
 		return nil
 	}
 	if doc.PeerListen == "" || doc.PeersAll == "" || len(doc.Peers) == 0 {
-		s.MayTell = false
+		s.MayBroadcast = false
 		c.Notes = append(c.Notes, "peer_listen, peers or peers_all is absent: nothing is told to the other schedulers, nor heard of them")
 		return nil
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -42,7 +42,7 @@
 	s := c.Settings
 	assert.True(t, s.MayCancel)
 	assert.Equal(t, []any{4, 1, 2, 2, 1}, []any{s.MaxAttempts, s.Zone, s.GroupSize, s.Zones, s.Kinds})
-	assert.Equal(t, rules.Class{Aim: 1e6, Stretch: 2, Deadline: 1e7, Effect: rules.Once, Group: rules.GroupCell, Kind: -1}, s.Classes[0])
+	assert.Equal(t, rules.Class{LatencyTarget: 1e6, TargetStretch: 2, Deadline: 1e7, Effect: rules.Once, Group: rules.GroupCell, Kind: -1}, s.Classes[0])
 	assert.Equal(t, rules.Time(60_000_000), c.Names.ConnIdle)
 }
 
@@ -51,12 +51,12 @@
 		`"peer_listen":"127.0.0.1:9","peers":["127.0.0.1:1","127.0.0.1:2"],"peers_all":"127.0.0.1:3","seed"`).Replace(good)
 	c, err := loaded(t, with, nil)
 	require.NoError(t, err)
-	assert.True(t, c.Settings.MayTell)
+	assert.True(t, c.Settings.MayBroadcast)
 	assert.Equal(t, []any{"127.0.0.1:9", 2, "127.0.0.1:3"}, []any{c.Peers.Listen, len(c.Peers.Each), c.Peers.All.String()})
 
 	c, err = loaded(t, strings.Replace(good, `"cancel":true`, `"cancel":true,"peers":true`, 1), nil)
 	require.NoError(t, err)
-	assert.False(t, c.Settings.MayTell, "without addresses nothing is told")
+	assert.False(t, c.Settings.MayBroadcast, "without addresses nothing is told")
 	assert.NotEmpty(t, c.Notes)
 
 	for _, f := range []struct{ from, to, key string }{
@@ -139,13 +139,13 @@
 	require.NoError(t, err)
 	assert.Equal(t, []any{"n7", "", true}, []any{c.Name, c.Discovery, c.Faktory.On()})
 	assert.Equal(t, []string{"board-view", "move", "settle"}, c.Names.Classes)
-	assert.Equal(t, rules.Class{Aim: 5e5, Deadline: 5e6, Worth: 3, Effect: rules.Repeatable, Kind: -1}, c.Settings.Classes[0])
-	assert.Equal(t, rules.Time(1), c.Settings.WarmWithin, "no rule for cold workers makes jobs wait in silence")
+	assert.Equal(t, rules.Class{LatencyTarget: 5e5, Deadline: 5e6, Value: 3, Effect: rules.Repeatable, Kind: -1}, c.Settings.Classes[0])
+	assert.Equal(t, rules.Time(1), c.Settings.SlowStartWindow, "no rule for cold workers makes jobs wait in silence")
 	assert.Len(t, c.Notes, 1)
 	assert.Equal(t, []int{0, 1, 0}, []int{c.JobClass("BuildBoardView"), c.JobClass("move"), c.JobClass("whatever")})
 	assert.Equal(t, []rules.Tenant{{QuotaPerS: 40}, {QuotaPerS: 20}}, c.Settings.Tenants)
 	assert.Equal(t, []any{2, 0, 0.1, false}, []any{c.Names.Tenant([]byte("hill-club")), c.Names.Tenant([]byte("nobody")),
-		c.Settings.OverShareWorth, c.Settings.WorthByWork})
+		c.Settings.OverQuotaValue, c.Settings.ValueByWork})
 	known := strings.Replace(string(deploy.Example), `"workers": []`, `"workers": [{"name":"a","address":"127.0.0.1:9"}]`, 1)
 	c, err = own(t, known, nil)
 	require.NoError(t, err)
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -176,13 +176,13 @@
 		r = defaultRules()
 	}
 	set := rules.Settings{Zones: len(c.Names.Zones), Kinds: len(c.Names.Kinds), MayCancel: r.Cancel, MayProbe: r.Probes,
-		LoadInProbes: r.Probes, RetryAfter: r.RetryAfter, TellsStart: r.TellsStart, MaxAttempts: r.MaxAttempts,
+		LoadInProbes: r.Probes, RetryAfter: r.RetryAfter, ReportsStart: r.TellsStart, MaxAttempts: r.MaxAttempts,
 		ConnectTimeout: r.ConnectTimeoutMS * 1000, AnswerSlack: r.AnswerSlackMS * 1000, DrainGrace: r.DrainGraceMS * 1000,
-		ColdFrom: r.ColdFrom, WarmWithin: r.WarmWithinMS * 1000, OverloadFactor: r.OverloadFactor, TipAfter: r.TipAfterMS * 1000}
-	if set.WarmWithin == 0 {
+		SlowStartMinCapacity: r.ColdFrom, SlowStartWindow: r.WarmWithinMS * 1000, OverloadFactor: r.OverloadFactor, OverloadWindow: r.TipAfterMS * 1000}
+	if set.SlowStartWindow == 0 {
 		// Left at zero the decisions would take their own cautious reading, 30 s from a tenth, and all jobs
 		// for a first worker would wait in silence.
-		set.WarmWithin, set.TipAfter, set.ColdFrom = 1, 1, 1
+		set.SlowStartWindow, set.OverloadWindow, set.SlowStartMinCapacity = 1, 1, 1
 		c.Notes = append(c.Notes, "scheduler.rules.warm_within_ms is absent: workers are taken for warm from their start")
 	}
 	if s.Zone != "" {
@@ -190,7 +190,7 @@
 			return fault("scheduler.zone", "%q is not among zones", s.Zone)
 		}
 	}
-	set.WorthByWork, set.OverShareWorth = s.WorthBy == "work", s.OverShareWorth
+	set.ValueByWork, set.OverQuotaValue = s.WorthBy == "work", s.OverShareWorth
 	var tenants []string
 	for _, t := range s.Tenants {
 		tenants = append(tenants, t.Name)
@@ -207,8 +207,8 @@
 			return fault(fmt.Sprintf("scheduler.classes.%d.aim_ms", i), "%d is over deadline_ms, %d", k.AimMS, k.DeadlineMS)
 		}
 		c.Names.Classes = append(c.Names.Classes, k.Name)
-		class := rules.Class{Aim: k.AimMS * 1000, Deadline: k.DeadlineMS * 1000, Stretch: k.Stretch, Worth: k.Worth,
-			LateWorth: k.LateWorth, Kind: -1}
+		class := rules.Class{LatencyTarget: k.AimMS * 1000, Deadline: k.DeadlineMS * 1000, TargetStretch: k.Stretch, Value: k.Worth,
+			LateValue: k.LateWorth, Kind: -1}
 		if k.Effect == "repeatable" {
 			class.Effect = rules.Repeatable
 		}
--- a/internal/config/ownership.go
+++ b/internal/config/ownership.go
@@ -20,8 +20,8 @@
 // settings are those of the module. coldFor is how long a worker counts as cold.
 func (o Ownership) settings(set *rules.Settings, heartbeats bool) ownership.Settings {
 	return ownership.Settings{Self: set.Rank, Members: max(1, set.GroupSize), Zone: set.Zone, LeastShare: o.LeastShare,
-		Heartbeats: heartbeats, NearFirst: set.CrossZonePrice > 0, HeartbeatEvery: o.HeartbeatMS * ownership.Millisecond, ExpireAfter: o.ExpireMS * ownership.Millisecond,
-		ColdFor: set.WarmWithin + set.TipAfter, GrowAbove: o.GrowAbove, ShrinkBelow: o.ShrinkBelow}
+		Heartbeats: heartbeats, NearFirst: set.CrossZoneCost > 0, HeartbeatEvery: o.HeartbeatMS * ownership.Millisecond, ExpireAfter: o.ExpireMS * ownership.Millisecond,
+		ColdFor: set.SlowStartWindow + set.OverloadWindow, GrowAbove: o.GrowAbove, ShrinkBelow: o.ShrinkBelow}
 }
 
 // ownership checks the section against the settings and peers. It is read after both.
@@ -30,7 +30,7 @@
 		return nil
 	}
 	heartbeats := c.Peers.Listen != ""
-	if !heartbeats && c.Settings.CrossZonePrice > 0 {
+	if !heartbeats && c.Settings.CrossZoneCost > 0 {
 		c.Notes = append(c.Notes, "ownership.divide: without messages between schedulers nobody knows their zones, and crossing zones "+
 			"has a price: the fleet is not divided")
 		return nil
--- a/internal/conformance/conformance_test.go
+++ b/internal/conformance/conformance_test.go
@@ -15,7 +15,7 @@
 func TestFaktoryFrontConforms(t *testing.T) {
 	n := standin.Start(t, func(c *config.Config) {
 		c.Faktory.Listen, c.Faktory.Password, c.Faktory.AllowFlush, c.Faktory.DefaultClass = "127.0.0.1:0", "pw", true, "board-view"
-		c.Settings.WarmWithin, c.Settings.TipAfter = 1, 1
+		c.Settings.SlowStartWindow, c.Settings.OverloadWindow = 1, 1
 	})
 	var out bytes.Buffer
 	passed, failed := conformance.Report(&out, conformance.RunFaktory(conformance.Faktory{Address: n.Faktory.Address(), Password: "pw", Flush: true}))
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -139,7 +139,7 @@
 }
 
 // Tell implements rules.Actions. What is told in one turn goes out together.
-func (a actions) Tell(data []byte) {
+func (a actions) Broadcast(data []byte) {
 	c := a.pool.core
 	if c.Tell == nil || a.pool != c.main {
 		return
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -203,7 +203,7 @@
 	t.Pool.dispatcher.Request(now, &rules.Request{
 		ID: rules.RequestID(t.ID), Class: class, Tenant: t.Work.Tenant - 1, Key: keyOf(t.Work.Key), HasKey: t.Work.Key != "",
 		Deadline: t.Deadline, Hint: t.Hint, Slots: t.Slots, Memory: t.Memory,
-		Asker: rules.WorkerID(t.Asker),
+		FetchingWorker: rules.WorkerID(t.Asker),
 	})
 	return true
 }
@@ -219,7 +219,7 @@
 	c.Counts.HungUp++
 	c.close(t)
 	c.traceLeft(t)
-	t.Pool.dispatcher.Hangup(c.Loop.now, rules.RequestID(t.ID))
+	t.Pool.dispatcher.ClientDisconnected(c.Loop.now, rules.RequestID(t.ID))
 	c.settle(t)
 }
 
@@ -237,7 +237,7 @@
 		if !t.closed {
 			c.Log.Error("transaction given up without a decision", "id", t.ID)
 			c.answer(t, Answer{Kind: Failed}, whyUndecided)
-			t.Pool.dispatcher.Hangup(c.Loop.now, rules.RequestID(t.ID))
+			t.Pool.dispatcher.ClientDisconnected(c.Loop.now, rules.RequestID(t.ID))
 			c.settle(t)
 		}
 	})
@@ -276,7 +276,7 @@
 				c.end(p, rules.Cancelled, nil, rules.Load{})
 			}
 		}
-		t.Pool.dispatcher.Hangup(c.Loop.now, rules.RequestID(t.ID))
+		t.Pool.dispatcher.ClientDisconnected(c.Loop.now, rules.RequestID(t.ID))
 		c.settle(t)
 	})
 }
@@ -347,8 +347,8 @@
 }
 
 func (c *Core) note(p *ProxyPass, started bool, share float64) {
-	p.Transaction.Pool.dispatcher.Note(c.Loop.now, &rules.Note{Request: rules.RequestID(p.Transaction.ID), Attempt: p.Number,
-		Worker: rules.WorkerID(p.Worker), Started: started, Done: share})
+	p.Transaction.Pool.dispatcher.Progress(c.Loop.now, &rules.Progress{Request: rules.RequestID(p.Transaction.ID), Attempt: p.Number,
+		Worker: rules.WorkerID(p.Worker), Started: started, FractionDone: share})
 }
 
 // MostTold is how many bytes a message between schedulers has at most.
@@ -357,7 +357,7 @@
 // Peer takes a message of another scheduler, by its rank. Data is valid during the call.
 func (c *Core) Peer(from int, data []byte) {
 	if !c.main.share.heard(from, data) {
-		c.main.dispatcher.Peer(c.Loop.now, from, data)
+		c.main.dispatcher.PeerMessage(c.Loop.now, from, data)
 	}
 }
 
@@ -365,7 +365,7 @@
 func (c *Core) Probed(worker string, status rules.Status, took Time, load rules.Load) {
 	for _, p := range c.pools {
 		if p.farm.workers[worker] != nil || p == c.main {
-			p.dispatcher.Probed(c.Loop.now, &rules.Probed{Worker: rules.WorkerID(worker), Status: status, Latency: took, Load: load})
+			p.dispatcher.Probed(c.Loop.now, &rules.ProbeResult{Worker: rules.WorkerID(worker), Status: status, Latency: took, Load: load})
 		}
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -162,9 +162,9 @@
 func TestTenantBeyondItsShareIsShedFirst(t *testing.T) {
 	taken := func(tenant int) (n int) {
 		s := &stub{}
-		c := New(NewLoop(), rules.Settings{MayCancel: true, MaxAttempts: 4, AnswerSlack: 16_000, OverShareWorth: 0.1,
+		c := New(NewLoop(), rules.Settings{MayCancel: true, MaxAttempts: 4, AnswerSlack: 16_000, OverQuotaValue: 0.1,
 			Tenants: []rules.Tenant{{QuotaPerS: 0.01}, {QuotaPerS: 1000}},
-			Classes: []rules.Class{{Effect: rules.Repeatable, Aim: Second, Deadline: 5 * Second, Kind: -1}}}, 1, slog.New(slog.DiscardHandler))
+			Classes: []rules.Class{{Effect: rules.Repeatable, LatencyTarget: Second, Deadline: 5 * Second, Kind: -1}}}, 1, slog.New(slog.DiscardHandler))
 		c.Farm(s, rules.ListCached, []FarmWorker{{Name: "a", Weight: 1}})
 		take := func(id string, tenant int) {
 			c.Take(&Transaction{ID: id, Work: Work{Tenant: tenant}, Deadline: c.Loop.now + 5*Second, Agent: s})
--- a/internal/core/farm.go
+++ b/internal/core/farm.go
@@ -56,7 +56,7 @@
 // NewPool makes a pool without workers. It stands until Close.
 func (c *Core) NewPool(name string, settings rules.Settings, seed uint64) *Pool {
 	p := &Pool{Name: name, core: c, farm: newFarm()}
-	settings.MayTell = settings.MayTell && c.main == nil // the peers share the main pool's workers only
+	settings.MayBroadcast = settings.MayBroadcast && c.main == nil // the peers share the main pool's workers only
 	p.dispatcher = rules.New(settings, seed, c.Loop.now, actions{p})
 	c.pools = append(c.pools, p)
 	return p
@@ -129,7 +129,7 @@
 // Hold takes a worker of the main pool out by an operator's hand (out), or lets it back in; the decisions keep
 // it from new work until then, whatever the list says. It tells whether the worker is listed.
 func (c *Core) Hold(worker string, out bool) bool {
-	told := c.main.dispatcher.Hold(c.Loop.now, rules.WorkerID(worker), rules.ByHand, out)
+	told := c.main.dispatcher.SetDisabled(c.Loop.now, rules.WorkerID(worker), rules.ByOperator, out)
 	return told || c.main.farm.workers[worker] != nil // one of another scheduler's share may become ours
 }
 
@@ -137,10 +137,10 @@
 func (c *Core) Lists(worker string) bool { return c.main.farm.workers[worker] != nil }
 
 // ColdElsewhere tells the decisions whether a later process of this scheduler has its slow-start budgets.
-func (c *Core) ColdElsewhere(elsewhere bool) { c.main.dispatcher.ColdElsewhere(elsewhere) }
+func (c *Core) ColdElsewhere(elsewhere bool) { c.main.dispatcher.YieldColdBudget(elsewhere) }
 
 // Avoided is the number of listed workers of the main pool that get nothing new now, by hand or by choice.
-func (c *Core) Avoided() int { return c.main.dispatcher.Avoided(c.Loop.now) }
+func (c *Core) Avoided() int { return c.main.dispatcher.OutOfRotation(c.Loop.now) }
 
 // FarmSize is the number of workers known.
 func (c *Core) FarmSize() int { return len(c.main.farm.workers) }
--- a/internal/core/leave.go
+++ b/internal/core/leave.go
@@ -19,7 +19,7 @@
 	}
 	if !t.closed && len(t.out) == 0 {
 		c.answer(t, c.unserved(t), whyLeft)
-		t.Pool.dispatcher.Hangup(c.Loop.now, rules.RequestID(t.ID))
+		t.Pool.dispatcher.ClientDisconnected(c.Loop.now, rules.RequestID(t.ID))
 		c.settle(t)
 	}
 }
--- a/internal/core/ownership.go
+++ b/internal/core/ownership.go
@@ -56,7 +56,7 @@
 	c := s.core
 	occupied := 0.0
 	if s.table.Divided() {
-		occupied = c.main.dispatcher.Occupied(c.Loop.now)
+		occupied = c.main.dispatcher.Utilization(c.Loop.now)
 	}
 	next := s.table.Turn(c.Loop.now, occupied)
 	if len(s.entries) > 0 {
@@ -137,7 +137,7 @@
 
 // Divide implements ownership.Actions.
 func (s *fleetShare) Divide(d ownership.Division) {
-	s.core.main.dispatcher.Divide(d.Kind, d.Senders, d.Foreign)
+	s.core.main.dispatcher.SetSharing(d.Kind, d.Senders, d.Foreign)
 	if d.Kind == ownership.AllKinds {
 		held, size := s.table.Held()
 		s.core.Log.Info("ownership", "divided", d.Divided, "held", held, "workers", size, "schedulers", s.table.Live(),
--- a/internal/core/ownership_test.go
+++ b/internal/core/ownership_test.go
@@ -59,7 +59,7 @@
 		list[i].Weight = 2
 	}
 	c.Farm(s, rules.ListDelta, list)
-	require.Equal(t, figures.Held, c.main.dispatcher.Known())
+	require.Equal(t, figures.Held, c.main.dispatcher.KnownWorkers())
 }
 
 func TestWorkersOfADeadSchedulerAreTakenOver(t *testing.T) {
@@ -71,15 +71,15 @@
 	require.NotEmpty(t, sent, "heartbeats go out")
 	_, err := ownership.ParseHeartbeat(sent[0])
 	require.NoError(t, err)
-	half := c.main.dispatcher.Known()
+	half := c.main.dispatcher.KnownWorkers()
 	require.Less(t, half, dividedWorkers)
 	c.Peer(1, ownership.Heartbeat{Zone: ownership.AnyZone, Leaving: true}.Append(nil))
 	later(c, 2*Second)
-	require.Equal(t, dividedWorkers, c.main.dispatcher.Known())
+	require.Equal(t, dividedWorkers, c.main.dispatcher.KnownWorkers())
 	c.Peer(1, ownership.Heartbeat{Zone: ownership.AnyZone}.Append(nil))
 	later(c, 2*Second)
 	c.main.dispatcher.TimerDue(c.Loop.now, 0) // those given back are let go of
-	require.Equal(t, half, c.main.dispatcher.Known())
+	require.Equal(t, half, c.main.dispatcher.KnownWorkers())
 }
 
 // A job that runs at a worker which is given back gets its answer from there.
@@ -122,9 +122,9 @@
 func TestWorkersOfOtherTransportsAreNotDivided(t *testing.T) {
 	s, own := &discovered{}, &stub{}
 	c, _ := newDividedCore(t, s)
-	held := c.main.dispatcher.Known()
+	held := c.main.dispatcher.KnownWorkers()
 	c.Farm(own, rules.ListDelta, []FarmWorker{{Name: "session-1", Weight: 1}, {Name: "session-2", Weight: 1}})
-	require.Equal(t, held+2, c.main.dispatcher.Known())
+	require.Equal(t, held+2, c.main.dispatcher.KnownWorkers())
 	c.Farm(own, rules.ListFull, []FarmWorker{{Name: "session-1", Weight: 1}})
 	require.Equal(t, dividedWorkers+1, c.FarmSize())
 	figures, _ := c.Share()
--- a/internal/core/sites.go
+++ b/internal/core/sites.go
@@ -140,7 +140,7 @@
 // Out implements sites.Actions: nothing new goes there, and what may be repeated is, in the order in which it is due.
 func (w *siteWatch) Out(worker string, siteLost bool) {
 	c := w.core
-	c.main.dispatcher.Hold(c.Loop.now, rules.WorkerID(worker), rules.BySites, true)
+	c.main.dispatcher.SetDisabled(c.Loop.now, rules.WorkerID(worker), rules.BySites, true)
 	if !siteLost {
 		c.Log.Info("table worker is silent, and gets nothing new", "worker", worker)
 	}
@@ -159,11 +159,11 @@
 // it is listed as started now, so that all schedulers keep to its cold budget.
 func (w *siteWatch) Back(worker string, cold bool) {
 	c := w.core
-	if m := c.main.farm.workers[worker]; m != nil && cold && m.StartedAt < c.Loop.now-c.settings.WarmWithin {
+	if m := c.main.farm.workers[worker]; m != nil && cold && m.StartedAt < c.Loop.now-c.settings.SlowStartWindow {
 		m.StartedAt = c.Loop.now
 		c.main.dispatcher.List(c.Loop.now, &rules.List{Entries: c.main.divided(false, []rules.ListEntry{m.entry()})})
 	}
-	c.main.dispatcher.Hold(c.Loop.now, rules.WorkerID(worker), rules.BySites, false)
+	c.main.dispatcher.SetDisabled(c.Loop.now, rules.WorkerID(worker), rules.BySites, false)
 }
 
 // rescue ends stranded passes as far as the budget goes, those that are due first before the others, so that the
--- a/internal/core/tell_test.go
+++ b/internal/core/tell_test.go
@@ -8,9 +8,9 @@
 	c := &Core{Tell: func([]byte) { sent++ }}
 	c.main = &Pool{core: c}
 	a := actions{c.main}
-	a.Tell([]byte{0, 0, 0, 0})
+	a.Broadcast([]byte{0, 0, 0, 0})
 	c.carryOut()
-	a.Tell([]byte{0, 0, 0, 0})
+	a.Broadcast([]byte{0, 0, 0, 0})
 	c.Tell = nil
 	c.carryOut()
 	if sent != 1 || len(c.telling) != 0 {
--- a/internal/describe/describe_test.go
+++ b/internal/describe/describe_test.go
@@ -110,7 +110,7 @@
 	}
 	n := standin.Start(t, func(c *config.Config) {
 		c.Faktory.Listen, c.Faktory.Password = "127.0.0.1:0", "pw"
-		c.Settings.WarmWithin, c.Settings.TipAfter = 1, 1
+		c.Settings.SlowStartWindow, c.Settings.OverloadWindow = 1, 1
 	})
 	raw := &standin.Faktory{Raw: standin.Dial(t, n.Faktory.Address())}
 	fits("hi", strings.TrimPrefix(raw.Reply(), "HI "))
--- a/internal/faktory/faktory_test.go
+++ b/internal/faktory/faktory_test.go
@@ -19,7 +19,7 @@
 func start(t *testing.T, change func(*config.Config), workers ...*standin.Worker) *standin.Node {
 	return standin.Start(t, func(c *config.Config) {
 		c.Faktory.Listen = "127.0.0.1:0"
-		c.Settings.WarmWithin, c.Settings.TipAfter = 1, 1 // a worker is warm at once, but in the test of that
+		c.Settings.SlowStartWindow, c.Settings.OverloadWindow = 1, 1 // a worker is warm at once, but in the test of that
 		if change != nil {
 			change(c)
 		}
@@ -211,7 +211,7 @@
 
 // A worker that joins is cold as far as is known: it is not handed all that waits at once.
 func TestWorkerThatJoinsIsTakenForCold(t *testing.T) {
-	n := start(t, func(c *config.Config) { c.Settings.WarmWithin, c.Settings.TipAfter = 30_000_000, 1_000_000 })
+	n := start(t, func(c *config.Config) { c.Settings.SlowStartWindow, c.Settings.OverloadWindow = 30_000_000, 1_000_000 })
 	joined(n, "w-1")
 	c := session(n, "")
 	for i := range 6 {
--- a/internal/faktory/front.go
+++ b/internal/faktory/front.go
@@ -272,7 +272,7 @@
 		for i := range s.Classes {
 			s.Classes[i].Kind = -1
 		}
-		s.MayProbe, s.CrossZonePrice, s.GroupSize, s.Rank = false, 0, 1, 0
+		s.MayProbe, s.CrossZoneCost, s.GroupSize, s.Rank = false, 0, 1, 0
 		h := fnv.New64a()
 		h.Write([]byte(queue))
 		p = f.core.NewPool(queue, s, f.conf.Seed^h.Sum64())
--- a/internal/front/http2/http2_test.go
+++ b/internal/front/http2/http2_test.go
@@ -160,7 +160,7 @@
 	}
 	n := start(t, func(c *config.Config) {
 		c.Faktory.Listen = "127.0.0.1:0"
-		c.Settings.WarmWithin, c.Settings.TipAfter = 1, 1
+		c.Settings.SlowStartWindow, c.Settings.OverloadWindow = 1, 1
 	}, standin.NewWorker(t, "s-1", table), standin.NewWorker(t, "s-2", table))
 	stop := make(chan struct{})
 	workers := n.VanishingWorkers(2, 5, &runs, stop)
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -218,8 +218,8 @@
 	t.Run("probe", func(t *testing.T) {
 		a := standin.NewWorker(t, "s-1", nil)
 		n := standin.Start(t, func(c *config.Config) {
-			c.Settings.MayProbe, c.Settings.LoadInProbes, c.Settings.ProbePrice = true, true, 0.0001
-			c.Settings.Classes[0].Aim = 500_000_000 // a request waits for probes for a part of it
+			c.Settings.MayProbe, c.Settings.LoadInProbes, c.Settings.ProbeCost = true, true, 0.0001
+			c.Settings.Classes[0].LatencyTarget = 500_000_000 // a request waits for probes for a part of it
 		}, a)
 		up, letGo := hold(n)
 		left(n)
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -465,7 +465,7 @@
 			jobs <- id
 		}
 	})
-	n := standin.Start(t, func(c *config.Config) { c.Settings.MayCancel, c.Settings.MaySecondCopy = false, true })
+	n := standin.Start(t, func(c *config.Config) { c.Settings.MayCancel, c.Settings.MayHedge = false, true })
 	told(n, a.entry("up"))
 	c := standin.Dial(t, n.Front.Address())
 	c.Say("POST /board-view/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 4500\r\n\r\n")
--- a/internal/platform/leave_http2_test.go
+++ b/internal/platform/leave_http2_test.go
@@ -117,9 +117,9 @@
 				t.Parallel()
 				a := standin.NewWorker(t, "s-1", nil)
 				n := startHTTP2(t, func(c *config.Config) {
-					c.Settings.MayProbe, c.Settings.LoadInProbes, c.Settings.ProbePrice = true, true, 0.0001
+					c.Settings.MayProbe, c.Settings.LoadInProbes, c.Settings.ProbeCost = true, true, 0.0001
 					for i := range c.Settings.Classes { // a request waits for probes for a part of it
-						c.Settings.Classes[i].Aim = 500_000_000
+						c.Settings.Classes[i].LatencyTarget = 500_000_000
 					}
 				}, a)
 				up, letGo := hold(n)
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -27,7 +27,7 @@
 	at := peer.LocalAddr().(*net.UDPAddr).AddrPort()
 	a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 	n := standin.Start(t, func(c *config.Config) {
-		c.Settings.GroupSize, c.Settings.MayTell = 2, true
+		c.Settings.GroupSize, c.Settings.MayBroadcast = 2, true
 		c.Peers = config.Peers{Listen: "127.0.0.1:0", All: at,
 			Each: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), at}}
 	}, a, b)
--- a/internal/scale/hollow/fleet.go
+++ b/internal/scale/hollow/fleet.go
@@ -136,25 +136,25 @@
 
 func (f *Fleet) rules() rules.Settings {
 	return rules.Settings{Zones: f.Zones, Kinds: 1, MayProbe: f.ProbePrice >= 0, MayCancel: true, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 2 * second,
-		ConnectTimeout: 150 * millisecond, TellsStart: true, LoadInProbes: true, AnswerSlack: 10 * millisecond, DrainGrace: second, ColdFrom: 0.31,
-		WarmWithin: warmWithin, OverloadFactor: 3, TipAfter: second, ProbePrice: max(0, f.ProbePrice), PeerPrice: 0.0096,
-		CrossZonePrice: crossZonePrice, Classes: f.classes()}
+		ConnectTimeout: 150 * millisecond, ReportsStart: true, LoadInProbes: true, AnswerSlack: 10 * millisecond, DrainGrace: second, SlowStartMinCapacity: 0.31,
+		SlowStartWindow: warmWithin, OverloadFactor: 3, OverloadWindow: second, ProbeCost: max(0, f.ProbePrice), PeerMessageCost: 0.0096,
+		CrossZoneCost: crossZonePrice, Classes: f.classes()}
 }
 
 // classes are three: urgent, usual, and one whose jobs may run once only. Long tasks may wait for as long as urgent
 // work at the size to design for (1 s), and more where there is time.
 func (f *Fleet) classes() []rules.Class {
 	short := []rules.Class{
-		{Aim: 500 * millisecond, Stretch: 2, Deadline: 5 * second, Worth: 3, LateWorth: 0.25, Effect: rules.Repeatable, Kind: -1},
-		{Aim: second, Stretch: 2, Deadline: 10 * second, Worth: 2, LateWorth: 0.3, Kind: -1},
-		{Aim: 1200 * millisecond, Stretch: 2, Deadline: 20 * second, Worth: 10, LateWorth: 0.3, Kind: -1}}
+		{LatencyTarget: 500 * millisecond, TargetStretch: 2, Deadline: 5 * second, Value: 3, LateValue: 0.25, Effect: rules.Repeatable, Kind: -1},
+		{LatencyTarget: second, TargetStretch: 2, Deadline: 10 * second, Value: 2, LateValue: 0.3, Kind: -1},
+		{LatencyTarget: 1200 * millisecond, TargetStretch: 2, Deadline: 20 * second, Value: 10, LateValue: 0.3, Kind: -1}}
 	if f.Tasks == Short {
 		return short
 	}
 	long := []rules.Class{
-		{Aim: second, Stretch: f.Stretch, Deadline: 30 * minute, Worth: 3, LateWorth: 0.25, Effect: rules.Repeatable, Kind: -1},
-		{Aim: 20 * second, Stretch: f.Stretch, Deadline: 30 * minute, Worth: 2, LateWorth: 0.3, Kind: -1},
-		{Aim: minute, Stretch: f.Stretch, Deadline: 30 * minute, Worth: 10, LateWorth: 0.3, Kind: -1}}
+		{LatencyTarget: second, TargetStretch: f.Stretch, Deadline: 30 * minute, Value: 3, LateValue: 0.25, Effect: rules.Repeatable, Kind: -1},
+		{LatencyTarget: 20 * second, TargetStretch: f.Stretch, Deadline: 30 * minute, Value: 2, LateValue: 0.3, Kind: -1},
+		{LatencyTarget: minute, TargetStretch: f.Stretch, Deadline: 30 * minute, Value: 10, LateValue: 0.3, Kind: -1}}
 	if f.Tasks == Mixed {
 		long[0] = short[0]
 	}
--- a/internal/scale/process/config_test.go
+++ b/internal/scale/process/config_test.go
@@ -43,7 +43,7 @@
 	require.Equal(t, 2, read.Settings.Zone)
 	require.Equal(t, 3, read.Settings.Zones)
 	require.Len(t, read.Settings.Tenants, 4)
-	require.True(t, read.Settings.MayProbe && read.Settings.MayTell && read.Settings.LoadInProbes && read.Settings.TellsStart)
+	require.True(t, read.Settings.MayProbe && read.Settings.MayBroadcast && read.Settings.LoadInProbes && read.Settings.ReportsStart)
 	require.Equal(t, 2, read.Names.Tenant([]byte(TenantName(1))))
 	short := read.Settings.Classes[read.Names.Class(ShortClass)]
 	require.Equal(t, rules.Repeatable, short.Effect)
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -58,11 +58,11 @@
 		Limits: config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		Names: config.Names{Classes: []string{"board-view", "move", "settle"}, Zones: []string{"suva", "lautoka"},
 			Kinds: []string{"gen1"}, ConnIdle: 60_000_000},
-		Settings: rules.Settings{MayCancel: true, MaxAttempts: 4, RetryAfter: true, TellsStart: true, Zones: 2, Kinds: 1,
+		Settings: rules.Settings{MayCancel: true, MaxAttempts: 4, RetryAfter: true, ReportsStart: true, Zones: 2, Kinds: 1,
 			ConnectTimeout: 150_000, AnswerSlack: 16_000, DrainGrace: 1_000_000, Classes: []rules.Class{
-				{Aim: 500_000, Deadline: 5_000_000, Worth: 3, Effect: rules.Repeatable, Kind: -1},
-				{Aim: 1_000_000, Deadline: 10_000_000, Worth: 2, Kind: -1},
-				{Aim: 1_200_000, Deadline: 20_000_000, Worth: 10, Kind: -1}}},
+				{LatencyTarget: 500_000, Deadline: 5_000_000, Value: 3, Effect: rules.Repeatable, Kind: -1},
+				{LatencyTarget: 1_000_000, Deadline: 10_000_000, Value: 2, Kind: -1},
+				{LatencyTarget: 1_200_000, Deadline: 20_000_000, Value: 10, Kind: -1}}},
 		Faktory: config.DefaultFaktory(), HTTP2: config.DefaultHTTP2(), StateFolder: t.TempDir(),
 	}
 	n.Conf.Known = n.Farm.Tell(true, entries("up", workers)...)
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -42,8 +42,8 @@
 	List     *rules.List
 	Request  rules.Request
 	Outcome  rules.Outcome // also Streaming: request, attempt, worker, latency
-	Note     rules.Note
-	Probed   rules.Probed
+	Note     rules.Progress
+	Probed   rules.ProbeResult
 	Hangup   rules.RequestID
 	Token    uint64
 	From     int    // of Peer
@@ -343,7 +343,7 @@
 		case 1:
 			n.Started = true
 		case 2:
-			n.Done = value
+			n.FractionDone = value
 		default:
 			return r.err // a kind of note not known yet
 		}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -108,7 +108,7 @@
 }
 
 // Tell implements rules.Actions.
-func (e *Encoder) Tell(data []byte) {
+func (e *Encoder) Broadcast(data []byte) {
 	e.begin("POST")
 	e.text("*")
 	e.text(base64.StdEncoding.EncodeToString(data))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,11 +35,11 @@
 			Outcome: rules.Outcome{Request: "rq_a", Worker: "w1", Status: rules.Unknown, Latency: 1,
 				Load: rules.Load{Has: rules.HasFreeMem, FreeMem: 2}}}},
 		{"start", "HEARTBEAT\trq_a\t0\tw1\t1\t-", Event{Type: Note,
-			Note: rules.Note{Request: "rq_a", Worker: "w1", Started: true}}},
+			Note: rules.Progress{Request: "rq_a", Worker: "w1", Started: true}}},
 		{"progress", "HEARTBEAT\trq_a\t0\tw1\t2\t0.25", Event{Type: Note,
-			Note: rules.Note{Request: "rq_a", Worker: "w1", Done: 0.25}}},
+			Note: rules.Progress{Request: "rq_a", Worker: "w1", FractionDone: 0.25}}},
 		{"probe", "STATUS_BACK\tw1\tetimedout\t400\t-", Event{Type: Probed,
-			Probed: rules.Probed{Worker: "w1", Status: rules.TimedOut, Latency: 400}}},
+			Probed: rules.ProbeResult{Worker: "w1", Status: rules.TimedOut, Latency: 400}}},
 		{"hang-up", "HANGUP\trq_a", Event{Type: Hangup, Hangup: "rq_a"}},
 		{"timer", "TICK_DUE\t77", Event{Type: TimerDue, Token: 77}},
 		{"stream", "FLOWING\trq_a\t0\tw1\t9", Event{Type: Streaming,
@@ -83,13 +83,13 @@
 		t.Fatal(err)
 	}
 	s := b.Events[0].Settings
-	if b.Events[0].Seed != 7 || !s.MayProbe || s.MaxAttempts != 5 || s.GroupSize != 3 || !s.AskForList || !s.LoadInProbes ||
-		s.LoadInAnswers || s.Zones != 2 || s.Kinds != 3 || !s.WeightsAreSize || s.ColdFrom != 0.3 {
+	if b.Events[0].Seed != 7 || !s.MayProbe || s.MaxAttempts != 5 || s.GroupSize != 3 || !s.PullsList || !s.LoadInProbes ||
+		s.LoadInAnswers || s.Zones != 2 || s.Kinds != 3 || !s.WeightsAreSize || s.SlowStartMinCapacity != 0.3 {
 		t.Errorf("settings %+v", s)
 	}
 	want := []rules.Class{
-		{Effect: rules.Keyed, Group: rules.GroupCell, Aim: 150000, Window: 9, Kind: -1, Stretch: 1.5},
-		{Effect: rules.Once, Group: rules.GroupCell, Kind: 2, Stretch: 1.5}, // unknown words: the safest reading
+		{Effect: rules.Keyed, Group: rules.GroupCell, LatencyTarget: 150000, Window: 9, Kind: -1, TargetStretch: 1.5},
+		{Effect: rules.Once, Group: rules.GroupCell, Kind: 2, TargetStretch: 1.5}, // unknown words: the safest reading
 	}
 	if !reflect.DeepEqual(s.Classes, want) {
 		t.Errorf("classes %+v", s.Classes)
@@ -114,7 +114,7 @@
 	var out strings.Builder
 	e := NewEncoder(&out)
 	e.Select("s/1")
-	e.Tell([]byte("hi"))
+	e.Broadcast([]byte("hi"))
 	e.Finish()
 	if out.String() != "CONTEXT\ts/1\nPOST\t*\taGk=\nFINISHED\n" {
 		t.Errorf("%q", out.String())
@@ -164,7 +164,7 @@
 	e.Select("scheduler/5")
 	e.Cancel("rq_b", 1)
 	e.Refuse("rq_c", 250, rules.Shed)
-	e.Fail("rq_d", rules.TimeOver)
+	e.Fail("rq_d", rules.DeadlineExceeded)
 	e.Probe("w2")
 	e.Watch(true)
 	e.Fetch()
--- a/internal/world/clients.go
+++ b/internal/world/clients.go
@@ -75,7 +75,7 @@
 	j.scheduler, j.deadline = x, w.now+class.Deadline
 	if w.counting() {
 		w.figures.Jobs++
-		w.asked[j.class] += class.Worth
+		w.asked[j.class] += class.Value
 	}
 	x.jobs[j.id] = j
 	w.at(j.deadline+s.Rules.AnswerSlack+1, func() {
--- a/internal/world/figures.go
+++ b/internal/world/figures.go
@@ -71,9 +71,9 @@
 		return
 	}
 	switch took := at - j.due; {
-	case took <= c.Aim+rules.Time(c.Stretch*j.run):
-		w.earned[j.class] += c.Worth
+	case took <= c.LatencyTarget+rules.Time(c.TargetStretch*j.run):
+		w.earned[j.class] += c.Value
 	case took <= c.Deadline:
-		w.earned[j.class] += c.Worth * c.LateWorth
+		w.earned[j.class] += c.Value * c.LateValue
 	}
 }
--- a/internal/world/members.go
+++ b/internal/world/members.go
@@ -68,7 +68,7 @@
 		return // as at the start
 	}
 	for kind := -1; kind < x.world.set.Rules.Kinds; kind++ {
-		x.dispatcher.Divide(kind, holders, max(leastForeign, 1-1/float64(holders)))
+		x.dispatcher.SetSharing(kind, holders, max(leastForeign, 1-1/float64(holders)))
 	}
 }
 
--- a/internal/world/ownership.go
+++ b/internal/world/ownership.go
@@ -27,7 +27,7 @@
 	x, now := s.scheduler, s.scheduler.world.now
 	occupied := 0.0
 	if s.table.Divided() {
-		occupied = x.dispatcher.Occupied(now)
+		occupied = x.dispatcher.Utilization(now)
 	}
 	next := s.table.Turn(now, occupied)
 	if len(s.changed) > 0 {
@@ -83,7 +83,7 @@
 
 // Divide tells the decisions how a kind is divided.
 func (s *fleetShare) Divide(d ownership.Division) {
-	s.scheduler.dispatcher.Divide(d.Kind, d.Senders, d.Foreign)
+	s.scheduler.dispatcher.SetSharing(d.Kind, d.Senders, d.Foreign)
 }
 
 // Member is not counted here.
--- a/internal/world/scheduler.go
+++ b/internal/world/scheduler.go
@@ -141,15 +141,15 @@
 			load = w.report(t)
 		}
 		x.later(w.now+w.set.Net.draw(w.rng), func() {
-			x.dispatcher.Probed(w.now, &rules.Probed{Worker: id, Status: status, Latency: w.now - asked, Load: load})
+			x.dispatcher.Probed(w.now, &rules.ProbeResult{Worker: id, Status: status, Latency: w.now - asked, Load: load})
 		})
 	})
 }
 
 // Tell sends to all other schedulers; each may lose it.
-func (x *scheduler) Tell(data []byte) {
+func (x *scheduler) Broadcast(data []byte) {
 	data = slices.Clone(data)
-	x.broadcast(len(data), func(y *scheduler) { y.dispatcher.Peer(x.world.now, x.rank, data) })
+	x.broadcast(len(data), func(y *scheduler) { y.dispatcher.PeerMessage(x.world.now, x.rank, data) })
 }
 
 // broadcast has all other schedulers hear a message of so many bytes. Between the halves of a split none comes through.
--- a/internal/world/worker.go
+++ b/internal/world/worker.go
@@ -95,16 +95,16 @@
 // coldWork measures what a worker that joined gets while it is cold, against what the settings let it have.
 func (w *World) coldWork(t *worker, work float64) {
 	age := float64(w.now - t.startedAt)
-	if t.startedAt == 0 || age >= float64(w.set.Rules.WarmWithin) {
+	if t.startedAt == 0 || age >= float64(w.set.Rules.SlowStartWindow) {
 		return
 	}
 	r := &w.set.Rules
-	t.pushed = slices.DeleteFunc(append(t.pushed, pushed{w.now, work}), func(p pushed) bool { return w.now-p.at > r.TipAfter })
+	t.pushed = slices.DeleteFunc(append(t.pushed, pushed{w.now, work}), func(p pushed) bool { return w.now-p.at > r.OverloadWindow })
 	sum := 0.0
 	for _, p := range t.pushed {
 		sum += p.work
 	}
-	may := r.OverloadFactor * float64(t.set.Slots) * (r.ColdFrom + (1-r.ColdFrom)*age/float64(r.WarmWithin)) * float64(r.TipAfter)
+	may := r.OverloadFactor * float64(t.set.Slots) * (r.SlowStartMinCapacity + (1-r.SlowStartMinCapacity)*age/float64(r.SlowStartWindow)) * float64(r.OverloadWindow)
 	run := w.set.meanRun()
 	n := may / run
 	w.figures.MostAtCold = max(w.figures.MostAtCold, sum/run/(n+3*math.Sqrt(n)+3))
@@ -136,7 +136,7 @@
 		return // it died before
 	}
 	x.later(w.now+w.set.Net.draw(w.rng), func() {
-		x.dispatcher.Note(w.now, &rules.Note{Request: p.job.id, Attempt: p.number, Worker: p.worker.id, Started: true})
+		x.dispatcher.Progress(w.now, &rules.Progress{Request: p.job.id, Attempt: p.number, Worker: p.worker.id, Started: true})
 	})
 }
 
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -15,12 +15,12 @@
 		Queue: 1000, ReportAge: Span{470_000, 700_000}, ReportLate: Span{100_000, 200_000}, Noise: 0.05, Net: Span{100, 300},
 		Warm: 8_000_000, For: 40_000_000, Seed: 1,
 		Rules: rules.Settings{Zones: 1, Kinds: 1, MayProbe: true, MayCancel: true, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 2_000_000,
-			ConnectTimeout: 150_000, TellsStart: true, LoadInProbes: true, AnswerSlack: 10_000, DrainGrace: 1_000_000, ColdFrom: 0.31,
-			WarmWithin: 8_900_000, OverloadFactor: 3, TipAfter: 1_000_000, ProbePrice: 0.0018, PeerPrice: 0.0096, CrossZonePrice: 0.13,
+			ConnectTimeout: 150_000, ReportsStart: true, LoadInProbes: true, AnswerSlack: 10_000, DrainGrace: 1_000_000, SlowStartMinCapacity: 0.31,
+			SlowStartWindow: 8_900_000, OverloadFactor: 3, OverloadWindow: 1_000_000, ProbeCost: 0.0018, PeerMessageCost: 0.0096, CrossZoneCost: 0.13,
 			Classes: []rules.Class{
-				{Aim: 500_000, Stretch: 2, Deadline: 5_000_000, Worth: 3, LateWorth: 0.25, Effect: rules.Repeatable, Kind: -1},
-				{Aim: 1_000_000, Stretch: 2, Deadline: 10_000_000, Worth: 2, LateWorth: 0.3, Kind: -1},
-				{Aim: 1_200_000, Stretch: 2, Deadline: 20_000_000, Worth: 10, LateWorth: 0.3, Kind: -1}}}}
+				{LatencyTarget: 500_000, TargetStretch: 2, Deadline: 5_000_000, Value: 3, LateValue: 0.25, Effect: rules.Repeatable, Kind: -1},
+				{LatencyTarget: 1_000_000, TargetStretch: 2, Deadline: 10_000_000, Value: 2, LateValue: 0.3, Kind: -1},
+				{LatencyTarget: 1_200_000, TargetStretch: 2, Deadline: 20_000_000, Value: 10, LateValue: 0.3, Kind: -1}}}}
 }
 
 // skewed has hot keys, and schedulers of which a tenth get ten times what the others get.
@@ -92,14 +92,14 @@
 	assert.Less(t, rules.WaitP99, 0.75*Play(chance).WaitP99)
 	assert.Less(t, float64(rules.Refused), 0.01*float64(rules.Jobs))
 	peers := site()
-	peers.Schedulers, peers.Rules.MayTell, peers.Rules.PeerPrice = 20, true, 0.0001
+	peers.Schedulers, peers.Rules.MayBroadcast, peers.Rules.PeerMessageCost = 20, true, 0.0001
 	assert.Less(t, Play(peers).WaitMean, Play(fresh).WaitMean)
 }
 
 // Where messages are dear and schedulers many, what they tell costs more than it earns: nothing is told.
 func TestManySchedulersTellNothingWhereMessagesAreDear(t *testing.T) {
 	s := site()
-	s.Schedulers, s.Rules.MayTell, s.For = 300, true, 16_000_000
+	s.Schedulers, s.Rules.MayBroadcast, s.For = 300, true, 16_000_000
 	assert.Zero(t, Play(s).Messages)
 	s.Schedulers = 3
 	assert.NotZero(t, Play(s).Messages)
@@ -109,7 +109,7 @@
 // of the messages lost had 46 % of all jobs refused beside free slots.
 func TestLostMessagesDoNotFillTheBooks(t *testing.T) {
 	s := site()
-	s.Rules.MayTell, s.Rules.PeerPrice, s.PeersLost, s.For = true, 0.0001, 1.0/3, 24_000_000
+	s.Rules.MayBroadcast, s.Rules.PeerMessageCost, s.PeersLost, s.For = true, 0.0001, 1.0/3, 24_000_000
 	f := Play(s)
 	assert.Less(t, float64(f.Refused), 0.01*float64(f.Jobs))
 	assert.Less(t, f.WaitMean, 0.2)
@@ -141,8 +141,8 @@
 		s.Skew = rapid.Float64Range(0, 1.3).Draw(t, "skew")
 		s.Queue = rapid.IntRange(2, 60).Draw(t, "queue")
 		s.Rules.MayProbe = rapid.Bool().Draw(t, "probes")
-		s.Rules.MayTell = rapid.Bool().Draw(t, "peers")
-		s.Rules.PeerPrice = rapid.SampledFrom([]float64{0, 0.0096}).Draw(t, "peer price")
+		s.Rules.MayBroadcast = rapid.Bool().Draw(t, "peers")
+		s.Rules.PeerMessageCost = rapid.SampledFrom([]float64{0, 0.0096}).Draw(t, "peer price")
 		s.PeersLost = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "lost")
 		s.Workers = []Worker{{Count: rapid.IntRange(2, 20).Draw(t, "workers"), Slots: rapid.IntRange(1, 8).Draw(t, "slots")},
 			{Count: rapid.IntRange(0, 4).Draw(t, "slow"), Slots: 4, Slow: 4},
--- a/rules/api.go
+++ b/rules/api.go
@@ -45,16 +45,16 @@
 
 // Class describes one class of requests. Zero values are the defaults.
 type Class struct {
-	Aim       Time    // an answer within it earns full worth; 0: half the deadline
-	Stretch   float64 // the aim grows by this multiple of the job's own running time
-	Deadline  Time    // the client's patience; each request carries its own
-	Worth     float64 // 0: 1
-	LateWorth float64 // the part of the worth paid after the aim
-	Effect    Effect
-	Group     Group
-	Window    Time // how long a Keyed repeat is dropped, from the first attempt's send
-	Kind      int  // the one kind of worker that can run it; below 0: any
-	Priority  int
+	LatencyTarget Time    // an answer within it earns full worth; 0: half the deadline
+	TargetStretch float64 // the aim grows by this multiple of the job's own running time
+	Deadline      Time    // the client's patience; each request carries its own
+	Value         float64 // 0: 1
+	LateValue     float64 // the part of the worth paid after the aim
+	Effect        Effect
+	Group         Group
+	Window        Time // how long a Keyed repeat is dropped, from the first attempt's send
+	Kind          int  // the one kind of worker that can run it; below 0: any
+	Priority      int
 }
 
 // Tenant is one customer of the service and its share of it.
@@ -72,46 +72,46 @@
 	Rank      int // this dispatcher's number among GroupSize
 	GroupSize int // dispatchers sending to the same workers; 0: 1
 
-	AskForList     bool // the list comes only after Watch or Fetch; otherwise it is pushed
-	AskWithin      Time // an unsubscribed dispatcher must ask this often; 0: 10 s
-	MayProbe       bool
-	MayCancel      bool
-	MayTell        bool // dispatchers may send one another messages
-	MaySecondCopy  bool // two attempts of a request may be out at once
-	MaxAttempts    int  // 0: 3
-	RetryAfter     bool // a refusal may tell the client how long to stay away
-	MaxRetryAfter  Time
-	ConnectTimeout Time
-	TellsStart     bool // workers note a job's start
-	ProgressEvery  Time // and its progress; 0: never
-	LoadInAnswers  bool // outcomes carry load reports
-	LoadInProbes   bool // probe results carry load reports
-	WeightsAreSize bool // list weights compare the sizes of workers
-
-	AnswerSlack    Time    // an answer this long past the deadline still counts; 0: none
-	DrainGrace     Time    // sends to a draining worker end within it
-	ColdFrom       float64 // a worker starts with this part of its capacity at least; 0: 0.1
-	WarmWithin     Time    // and is warm after this; 0: 30 s
-	OverloadFactor float64 // more than this multiple of its present capacity ...; 0: 2
-	TipAfter       Time    // ... for this long pushes a cold worker over; 0: 1 s
-
-	ProbePrice     float64 // price of one probe a request, as a part of the service's worth
-	PeerPrice      float64 // the same for a full message to one peer, of 256 bytes
-	CrossZonePrice float64 // the same for crossing zones
-	OriginPrice    float64 // the same for a fetch from the key store
-	OverShareWorth float64 // the worth of traffic beyond a tenant's share
-	WorthByWork    bool    // a job is worth its class's worth for each unit of its work, else as a whole
+	PullsList        bool // the list comes only after Watch or Fetch; otherwise it is pushed
+	PollWithin       Time // an unsubscribed dispatcher must ask this often; 0: 10 s
+	MayProbe         bool
+	MayCancel        bool
+	MayBroadcast     bool // dispatchers may send one another messages
+	MayHedge         bool // two attempts of a request may be out at once
+	MaxAttempts      int  // 0: 3
+	RetryAfter       bool // a refusal may tell the client how long to stay away
+	MaxRetryAfter    Time
+	ConnectTimeout   Time
+	ReportsStart     bool // workers note a job's start
+	ProgressInterval Time // and its progress; 0: never
+	LoadInAnswers    bool // outcomes carry load reports
+	LoadInProbes     bool // probe results carry load reports
+	WeightsAreSize   bool // list weights compare the sizes of workers
+
+	AnswerSlack          Time    // an answer this long past the deadline still counts; 0: none
+	DrainGrace           Time    // sends to a draining worker end within it
+	SlowStartMinCapacity float64 // a worker starts with this part of its capacity at least; 0: 0.1
+	SlowStartWindow      Time    // and is warm after this; 0: 30 s
+	OverloadFactor       float64 // more than this multiple of its present capacity ...; 0: 2
+	OverloadWindow       Time    // ... for this long pushes a cold worker over; 0: 1 s
+
+	ProbeCost       float64 // price of one probe a request, as a part of the service's worth
+	PeerMessageCost float64 // the same for a full message to one peer, of 256 bytes
+	CrossZoneCost   float64 // the same for crossing zones
+	OriginFetchCost float64 // the same for a fetch from the key store
+	OverQuotaValue  float64 // the worth of traffic beyond a tenant's share
+	ValueByWork     bool    // a job is worth its class's worth for each unit of its work, else as a whole
 }
 
 // withDefaults puts the defaults noted in the place of zero values.
 func (s Settings) withDefaults() Settings {
 	s.GroupSize = max(1, s.GroupSize)
 	defaultTo(&s.MaxAttempts, 3)
-	defaultTo(&s.AskWithin, 10_000_000)
-	defaultTo(&s.ColdFrom, 0.1)
-	defaultTo(&s.WarmWithin, 30_000_000)
+	defaultTo(&s.PollWithin, 10_000_000)
+	defaultTo(&s.SlowStartMinCapacity, 0.1)
+	defaultTo(&s.SlowStartWindow, 30_000_000)
 	defaultTo(&s.OverloadFactor, 2)
-	defaultTo(&s.TipAfter, 1_000_000)
+	defaultTo(&s.OverloadWindow, 1_000_000)
 	if len(s.Classes) == 0 {
 		s.Classes = []Class{{Kind: -1}}
 	}
@@ -119,8 +119,8 @@
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		defaultTo(&c.Deadline, 60_000_000)
-		defaultTo(&c.Aim, c.Deadline/2)
-		defaultTo(&c.Worth, 1)
+		defaultTo(&c.LatencyTarget, c.Deadline/2)
+		defaultTo(&c.Value, 1)
 	}
 	return s
 }
@@ -141,13 +141,13 @@
 )
 
 // Holder is who takes a worker out beside the list. Each lets back only what it took.
-type Holder int
+type DisabledBy int
 
 // The holders.
 const (
-	ByHand  Holder = iota // an operator
-	BySites               // the knowledge of sites: it does not answer
-	holders
+	ByOperator DisabledBy = iota // an operator
+	BySites                      // the knowledge of sites: it does not answer
+	numDisabledBy
 )
 
 // ListEntry is one worker of the list.
@@ -177,16 +177,16 @@
 
 // Request is a job that a client asks for.
 type Request struct {
-	ID       RequestID
-	Class    int
-	Tenant   int
-	Key      uint64
-	HasKey   bool
-	Deadline Time    // the client gives up at this time
-	Hint     Time    // expected running time; 0: unknown
-	Slots    float64 // 0: 1
-	Memory   float64
-	Asker    WorkerID // a worker that asks for work, and stands first in the sample; empty: none does
+	ID             RequestID
+	Class          int
+	Tenant         int
+	Key            uint64
+	HasKey         bool
+	Deadline       Time    // the client gives up at this time
+	Hint           Time    // expected running time; 0: unknown
+	Slots          float64 // 0: 1
+	Memory         float64
+	FetchingWorker WorkerID // a worker that asks for work, and stands first in the sample; empty: none does
 }
 
 // Status is how an attempt ended.
@@ -211,10 +211,10 @@
 type Reason uint8
 
 const (
-	TimeOver     Reason = iota // its deadline has passed
-	AttemptsUsed               // it has had as many as the settings allow
-	NotRepeated                // an attempt may have run, and its class allows no further one
-	Shed                       // it would start too late to be of worth, or others are worth more
+	DeadlineExceeded  Reason = iota // its deadline has passed
+	AttemptsExhausted               // it has had as many as the settings allow
+	NotRetryable                    // an attempt may have run, and its class allows no further one
+	Shed                            // it would start too late to be of worth, or others are worth more
 )
 
 var reasons = [...]string{"time-over", "attempts-used", "not-repeated", "shed"}
@@ -256,16 +256,16 @@
 }
 
 // Note is news of an attempt still out.
-type Note struct {
-	Request RequestID
-	Attempt int
-	Worker  WorkerID
-	Started bool    // the job has started
-	Done    float64 // else: the part done
+type Progress struct {
+	Request      RequestID
+	Attempt      int
+	Worker       WorkerID
+	Started      bool    // the job has started
+	FractionDone float64 // else: the part done
 }
 
 // Probed is the result of a probe.
-type Probed struct {
+type ProbeResult struct {
 	Worker  WorkerID
 	Status  Status
 	Latency Time
@@ -280,8 +280,8 @@
 	Fail(r RequestID, why Reason)                    // final: promises nothing
 	Timer(delay Time, token uint64)
 	Probe(w WorkerID)
-	Tell(data []byte) // to all peers, late or not at all; what of them comes back through Peer
-	Watch(on bool)    // subscribe to the list
-	Fetch()           // the whole list, once
+	Broadcast(data []byte) // to all peers, late or not at all; what of them comes back through Peer
+	Watch(on bool)         // subscribe to the list
+	Fetch()                // the whole list, once
 	Log(text string)
 }
--- a/rules/attempts.go
+++ b/rules/attempts.go
@@ -6,38 +6,38 @@
 import "slices"
 
 // may is the gate of every send: drains, kinds, attempts, effects, groups, windows, cold budget.
-func (d *Dispatcher) may(now Time, r *request, w *worker) bool {
+func (d *Dispatcher) maySend(now Time, r *request, w *worker) bool {
 	c := &d.classes[r.Class]
 	if r.closed || r.streaming || now >= r.Deadline || w.state != Ready ||
-		len(r.attempts) >= d.set.MaxAttempts {
+		len(r.attempts) >= d.cfg.MaxAttempts {
 		return false
 	}
-	if c.Kind >= 0 && w.Kind != c.Kind || r.Slots > 1 && d.tooSmall(w, r.Slots) {
+	if c.Kind >= 0 && w.Kind != c.Kind || r.Slots > 1 && d.lacksSlots(w, r.Slots) {
 		return false
 	}
-	if r.out > 0 && (!d.set.MaySecondCopy || r.out > 1) {
+	if r.outstanding > 0 && (!d.cfg.MayHedge || r.outstanding > 1) {
 		return false
 	}
-	if b := r.bound(); b != nil && !mayRepeat(now, c, b, w) {
+	if b := r.firstMayHaveRun(); b != nil && !mayRepeat(now, c, b, w) {
 		return false
 	}
 	for i := range r.attempts {
-		if a := &r.attempts[i]; a.w == w && (!a.over || a.never || a.runsOn()) {
+		if a := &r.attempts[i]; a.w == w && (!a.ended || a.neverRan || a.mayStillRun()) {
 			return false
 		}
 	}
-	return d.coldAllows(now, w, r)
+	return d.coldBudgetAllows(now, w, r)
 }
 
 // runsOn tells of an attempt that was not given up and may still run: its connection broke, and its
 // worker's process is the same. A second one beside it at that worker would be a duplicate.
-func (a *attempt) runsOn() bool { return a.cut && a.w.StartedAt == a.start }
+func (a *attempt) mayStillRun() bool { return a.connBroke && a.w.StartedAt == a.workerStart }
 
 // mayRepeat tells whether a class allows an attempt at w where b may have run. The repeat should also
 // arrive while the first is remembered: a tenth of the window is kept back.
-func mayRepeat(now Time, c *classStat, b *attempt, w *worker) bool {
+func mayRepeat(now Time, c *classStats, b *attempt, w *worker) bool {
 	if c.Effect == Keyed {
-		return now-b.sent <= c.Window-c.Window/10 &&
+		return now-b.sentAt <= c.Window-c.Window/10 &&
 			(c.Group != GroupZone || w.Zone == b.w.Zone) && (c.Group != GroupCell || w.Cell == b.w.Cell)
 	}
 	return c.Effect == Repeatable
@@ -52,132 +52,132 @@
 	}
 	a, c := &r.attempts[attempt], &d.classes[r.Class]
 	for i := range r.attempts {
-		if b := &r.attempts[i]; b != a && b.begun && !b.never && !mayRepeat(now, c, b, a.w) {
+		if b := &r.attempts[i]; b != a && b.begun && !b.neverRan && !mayRepeat(now, c, b, a.w) {
 			return false
 		}
 	}
-	a.begun = !a.over && a.w.state == Ready && a.w.StartedAt == a.start
+	a.begun = !a.ended && a.w.state == Ready && a.w.StartedAt == a.workerStart
 	return a.begun
 }
 
 // mayRefuse tells whether the client may be told that trying again is harmless.
 func (d *Dispatcher) mayRefuse(r *request) bool {
 	c := &d.classes[r.Class]
-	return r.bound() == nil || c.Effect == Repeatable || c.Effect == Keyed && c.Group == GroupAll
+	return r.firstMayHaveRun() == nil || c.Effect == Repeatable || c.Effect == Keyed && c.Group == GroupAll
 }
 
 func (d *Dispatcher) send(now Time, r *request, w *worker) {
 	if r.attempts == nil {
-		r.attempts = r.first[:0]
-	}
-	w.smoothOwn(now, d.meanRun.v)
-	r.attempts = append(r.attempts, attempt{w: w, start: w.StartedAt, sent: now})
-	r.out++
-	w.own += r.Slots
-	w.out++
-	d.visit(w)
-	w.unseen++
-	if w.quietSince == 0 {
-		w.quietSince = now
-	}
-	w.countKey(now, r.Key, d.meanRun.v)
-	if d.cold(now, w) {
-		w.tokens -= d.jobCost(r)
-	}
-	d.act.Send(r.ID, 0, w.id)
-	if d.worthTelling(r) || d.cold(now, w) { // few send it jobs, and the others know its load by them alone
-		r.attempts[len(r.attempts)-1].told = true
-		d.talk.tell(now, newRecord(toldSent, w, r), d.act)
+		r.attempts = r.firstAttempt[:0]
+	}
+	w.updateOwnAverage(now, d.meanRun.v)
+	r.attempts = append(r.attempts, attempt{w: w, workerStart: w.StartedAt, sentAt: now})
+	r.outstanding++
+	w.ownSlots += r.Slots
+	w.outstanding++
+	d.mark(w)
+	w.unacknowledged++
+	if w.silentSince == 0 {
+		w.silentSince = now
+	}
+	w.countRunningKey(now, r.Key, d.meanRun.v)
+	if d.isCold(now, w) {
+		w.coldTokens -= d.jobCost(r)
+	}
+	d.actions.Send(r.ID, 0, w.id)
+	if d.shouldReport(r) || d.isCold(now, w) { // few send it jobs, and the others know its load by them alone
+		r.attempts[len(r.attempts)-1].reported = true
+		d.reporter.enqueue(now, newRecord(eventSent, w, r), d.actions)
 	}
 	if d.classes[r.Class].Effect != Once {
-		d.wakeUp(now, now+d.patience(r), r)
+		d.setTimer(now, now+d.reviewDelay(r), r)
 	}
 }
 
 // ended takes an attempt off the books and learns from how it ended.
-func (d *Dispatcher) ended(now Time, r *request, a *attempt, s Status) {
+func (d *Dispatcher) attemptEnded(now Time, r *request, a *attempt, s Status) {
 	w := a.w
-	w.smoothOwn(now, d.meanRun.v)
-	a.over, a.never, a.cut = true, s.NeverRan(), s == Reset
-	r.out--
-	w.own = max(0, w.own-r.Slots)
-	w.out--
-	if a.told || endTold(s) == toldFailed {
-		rec := newRecord(endTold(s), w, r)
-		if a.started > 0 {
-			rec.setRan(now - a.started)
+	w.updateOwnAverage(now, d.meanRun.v)
+	a.ended, a.neverRan, a.connBroke = true, s.NeverRan(), s == Reset
+	r.outstanding--
+	w.ownSlots = max(0, w.ownSlots-r.Slots)
+	w.outstanding--
+	if a.reported || endEvent(s) == eventFailed {
+		rec := newRecord(endEvent(s), w, r)
+		if a.startedAt > 0 {
+			rec.setRunTime(now - a.startedAt)
 		}
-		d.talk.tell(now, rec, d.act)
+		d.reporter.enqueue(now, rec, d.actions)
 	}
 	if s == OK || s == Error || s == Refused {
-		d.heard(now, a)
-	} else if !a.seen {
-		if w.unseen--; s == NotSent && w.unseen == 0 {
-			w.quietSince = 0 // it owes no sign of life to what never left
+		d.recordResponse(now, a)
+	} else if !a.acknowledged {
+		if w.unacknowledged--; s == NotSent && w.unacknowledged == 0 {
+			w.silentSince = 0 // it owes no sign of life to what never left
 		}
 	}
 	switch s {
 	case OK:
-		w.errors *= 1 - loadGain
-		w.faults.n *= 1 - loadGain
-		w.benchFor /= 2
-		run := now - a.sent
-		if a.started > 0 {
-			run = now - a.started
-		} else if d.set.ProgressEvery > 0 && !d.set.TellsStart {
-			run = min(run, d.set.ProgressEvery) // no note of progress: the rest was waiting
+		w.errorRate *= 1 - loadGain
+		w.recentFailures.n *= 1 - loadGain
+		w.ejectionTime /= 2
+		run := now - a.sentAt
+		if a.startedAt > 0 {
+			run = now - a.startedAt
+		} else if d.cfg.ProgressInterval > 0 && !d.cfg.ReportsStart {
+			run = min(run, d.cfg.ProgressInterval) // no note of progress: the rest was waiting
 		}
 		d.meanRun.add(float64(run), gain/4) // of our own only: the peers tell of the long ones
 		if c := &d.classes[r.Class]; r.Hint > 0 && c.run.n > 0 {
 			told, ran := float64(r.Hint)/c.hint.v, float64(run)/c.run.v/d.slowness(now, w)
-			c.fit.add(min(told, sizeMost), min(ran, sizeMost), gain/8)
+			c.hintFit.add(min(told, maxJobSize), min(ran, maxJobSize), gain/8)
 		}
-		d.ran(now, r.Class, w, float64(run), r.size)
+		d.recordRun(now, r.Class, w, float64(run), r.size)
 	case Error:
-		w.faults.count(now, faultFade)
-		d.failed(now, w, loadGain)
+		w.recentFailures.increment(now, failureDecayScale)
+		d.recordFailure(now, w, loadGain)
 	case Unreachable, Reset:
-		d.failed(now, w, 0.5)
+		d.recordFailure(now, w, 0.5)
 	case Refused:
 		// The report that came along may be older than the queue that overflowed: the worker is
 		// Full for as long as it takes to run what its slots hold, whatever reports say.
-		d.seeOthers(now, w, max(d.load(now, w), 2*d.slots(w))-w.own)
+		d.recordOthersLoad(now, w, max(d.load(now, w), 2*d.slots(w))-w.ownSlots)
 		w.fullUntil = now + Time(d.meanRun.v*d.slowness(now, w)*(0.5+d.rng.Float64()))
 	case TimedOut:
-		w.benchFor = min(max(2*w.benchFor, second), 8*second)
-		if w.quietSince > 0 {
-			w.benchUntil = now + w.benchFor
+		w.ejectionTime = min(max(2*w.ejectionTime, second), 8*second)
+		if w.silentSince > 0 {
+			w.ejectedUntil = now + w.ejectionTime
 		}
 	}
 }
 
 // patience is how long a request that may be repeated waits before its attempt is reviewed.
-func (d *Dispatcher) patience(r *request) Time {
-	return max(tick/4, d.classes[r.Class].Aim/2)
+func (d *Dispatcher) reviewDelay(r *request) Time {
+	return max(tickInterval/4, d.classes[r.Class].LatencyTarget/2)
 }
 
 // withdraw cancels what is still out of a request that is over.
-func (d *Dispatcher) withdraw(r *request) {
-	if !d.set.MayCancel || r.streaming {
+func (d *Dispatcher) cancelAttempts(r *request) {
+	if !d.cfg.MayCancel || r.streaming {
 		return
 	}
 	for i := range r.attempts {
-		if !r.attempts[i].over {
-			d.act.Cancel(r.ID, i)
+		if !r.attempts[i].ended {
+			d.actions.Cancel(r.ID, i)
 		}
 	}
 }
 
 // goOn decides what becomes of an open request none of whose attempts is out.
-func (d *Dispatcher) goOn(now Time, r *request) {
-	b := r.bound()
+func (d *Dispatcher) retryOrGiveUp(now Time, r *request) {
+	b := r.firstMayHaveRun()
 	switch {
 	case now >= r.Deadline:
-		d.giveUp(now, r, TimeOver)
-	case len(r.attempts) >= d.set.MaxAttempts:
-		d.giveUp(now, r, AttemptsUsed)
+		d.giveUp(now, r, DeadlineExceeded)
+	case len(r.attempts) >= d.cfg.MaxAttempts:
+		d.giveUp(now, r, AttemptsExhausted)
 	case b != nil && !mayRepeat(now, &d.classes[r.Class], b, b.w): // nor ever again
-		d.giveUp(now, r, NotRepeated)
+		d.giveUp(now, r, NotRetryable)
 	default:
 		d.place(now, r)
 	}
@@ -198,23 +198,23 @@
 	case r.streaming:
 		return
 	case now >= r.Deadline:
-		d.giveUp(now, r, TimeOver)
+		d.giveUp(now, r, DeadlineExceeded)
 		return
 	case len(r.attempts) == 0 && !r.held:
-		r.probes = 0
+		r.pendingProbes = 0
 		d.place(now, r)
 		return
-	case r.out != 1 || d.classes[r.Class].Effect == Once:
+	case r.outstanding != 1 || d.classes[r.Class].Effect == Once:
 		return
 	}
 	a := &r.attempts[len(r.attempts)-1]
-	if d.suspect(now, a.w) {
-		if w, queued := d.choose(now, r); w != nil && !queued {
+	if d.isSuspect(now, a.w) {
+		if w, queued := d.chooseWorker(now, r); w != nil && !queued {
 			d.send(now, r, w)
 			return
 		}
 	}
-	d.wakeUp(now, now+d.patience(r), r)
+	d.setTimer(now, now+d.reviewDelay(r), r)
 }
 
 // retryHeld looks at the requests that no worker could be sent.
@@ -222,11 +222,11 @@
 	held := slices.Clone(d.held)
 	d.held = d.held[:0]
 	for i, r := range held {
-		if i >= heldLook && !r.closed {
+		if i >= heldRetryBatch && !r.closed {
 			d.held = append(d.held, r)
 		} else if r.held = false; !r.closed {
-			d.goOn(now, r) // it is held again where no worker can be sent it
-			d.forget(r)
+			d.retryOrGiveUp(now, r) // it is held again where no worker can be sent it
+			d.forgetIfEnded(r)
 		}
 	}
 }
--- a/rules/cold_model_test.go
+++ b/rules/cold_model_test.go
@@ -48,12 +48,12 @@
 	c := &coldRun{rng: rng, late: late, restarts: restarts, chance: 1, rush: rush, steps: coldSteps, run: Time(50+rng.IntN(450)) * ms, slots: float64(1 + rng.IntN(8))}
 	c.set = oneClass(Once)
 	c.set.GroupSize = 2 + rng.IntN(59)
-	c.set.ColdFrom, c.set.WarmWithin = 0.1+0.4*rng.Float64(), Time(4000+rng.IntN(20000))*ms
-	c.set.OverloadFactor, c.set.TipAfter = 2+2*rng.Float64(), Time(800+rng.IntN(1200))*ms
-	c.set.MayTell, c.set.PeerPrice = late >= 0, 0.0001
+	c.set.SlowStartMinCapacity, c.set.SlowStartWindow = 0.1+0.4*rng.Float64(), Time(4000+rng.IntN(20000))*ms
+	c.set.OverloadFactor, c.set.OverloadWindow = 2+2*rng.Float64(), Time(800+rng.IntN(1200))*ms
+	c.set.MayBroadcast, c.set.PeerMessageCost = late >= 0, 0.0001
 	if thin {
 		c.set.GroupSize += 60
-		c.chance = (0.05 + 0.35*rng.Float64()) * float64(coldStep) / float64(c.set.TipAfter)
+		c.chance = (0.05 + 0.35*rng.Float64()) * float64(coldStep) / float64(c.set.OverloadWindow)
 	}
 	for i, b := range coldBeds(c.set.GroupSize, c.set, c.run, c.slots) {
 		b.rng = rand.New(rand.NewPCG(seed, uint64(i)))
@@ -67,7 +67,7 @@
 			}
 		}
 	}
-	c.start, c.rushFrom = c.beds[0].now, c.set.WarmWithin/2
+	c.start, c.rushFrom = c.beds[0].now, c.set.SlowStartWindow/2
 	for _, b := range c.beds {
 		b.learn(c.start)
 	}
@@ -96,7 +96,7 @@
 	for range 20 {
 		b.classes[0].run.add(float64(c.run), gain)
 	}
-	b.capAll.add(c.slots, gain)
+	b.fleetCapacity.add(c.slots, gain)
 	fresh := &coldBed{bed: b, rank: rank}
 	fresh.learn(c.start)
 	return fresh
@@ -127,7 +127,7 @@
 func (c *coldRun) play() {
 	for at := range c.steps {
 		now := c.beds[0].now
-		if now >= c.start+c.set.WarmWithin {
+		if now >= c.start+c.set.SlowStartWindow {
 			break
 		}
 		if c.restarts && c.rng.IntN(10) == 0 {
@@ -136,7 +136,7 @@
 		c.beds = slices.DeleteFunc(c.beds, func(b *coldBed) bool { return b.ends > 0 && now >= b.ends })
 		for _, b := range c.beds {
 			if b.yields > 0 && now >= b.yields {
-				b.ColdElsewhere(true)
+				b.YieldColdBudget(true)
 			}
 			c.ask(b, c.chanceAt(now))
 			b.pass(coldStep)
@@ -159,8 +159,8 @@
 
 // allowed is the number of requests that the settings allow in TipAfter from a time on, all dispatchers together.
 func (c *coldRun) allowed(from Time) float64 {
-	warmth := min(1, c.set.ColdFrom+(1-c.set.ColdFrom)*float64(from-c.start)/float64(c.set.WarmWithin))
-	return c.set.OverloadFactor * c.slots * warmth * float64(c.set.TipAfter) / float64(c.run)
+	warmth := min(1, c.set.SlowStartMinCapacity+(1-c.set.SlowStartMinCapacity)*float64(from-c.start)/float64(c.set.SlowStartWindow))
+	return c.set.OverloadFactor * c.slots * warmth * float64(c.set.OverloadWindow) / float64(c.run)
 }
 
 // over gives the worst time while the worker is cold: how many requests over the bound came in TipAfter from it on.
@@ -168,10 +168,10 @@
 	worst = math.Inf(-1)
 	end := 0
 	for i, at := range c.sent {
-		if at >= c.start+c.set.WarmWithin {
+		if at >= c.start+c.set.SlowStartWindow {
 			break
 		}
-		for end < len(c.sent) && c.sent[end] < at+c.set.TipAfter {
+		for end < len(c.sent) && c.sent[end] < at+c.set.OverloadWindow {
 			end++
 		}
 		n := c.allowed(at)
@@ -202,7 +202,7 @@
 						t.Errorf("seed %d: %.1f requests over the bound, within the time from %d us on", seed, over, from)
 					}
 					used += float64(len(c.sent))
-					for at := Time(0); at < min(coldSteps*coldStep, c.set.WarmWithin); at += c.set.TipAfter {
+					for at := Time(0); at < min(coldSteps*coldStep, c.set.SlowStartWindow); at += c.set.OverloadWindow {
 						could += c.allowed(c.start + at)
 					}
 				}
@@ -231,8 +231,8 @@
 				broken, worst, at := 0, 0.0, uint64(0)
 				for seed := range uint64(seeds) {
 					c := newColdRun(seed, late, false, true, rush)
-					c.steps = int(c.set.WarmWithin / coldStep)
-					c.rushFrom = Time(c.rng.Float64() * float64(c.set.WarmWithin))
+					c.steps = int(c.set.SlowStartWindow / coldStep)
+					c.rushFrom = Time(c.rng.Float64() * float64(c.set.SlowStartWindow))
 					c.play()
 					if over, _ := c.over(); over > 0 {
 						broken++
--- a/rules/cold_test.go
+++ b/rules/cold_test.go
@@ -15,8 +15,8 @@
 		for _, late := range []int{0, 1, 3, 5, 10, 25, -1} { // steps until a word is heard; -1: never
 			t.Run(fmt.Sprintf("%d dispatchers, heard after %d steps", n, late), func(t *testing.T) {
 				s := oneClass(Once)
-				s.GroupSize, s.ColdFrom, s.WarmWithin, s.OverloadFactor, s.TipAfter = n, 0.3, 9000*ms, 3, 1000*ms
-				s.MayTell, s.PeerPrice = late >= 0, 0.0001
+				s.GroupSize, s.SlowStartMinCapacity, s.SlowStartWindow, s.OverloadFactor, s.OverloadWindow = n, 0.3, 9000*ms, 3, 1000*ms
+				s.MayBroadcast, s.PeerMessageCost = late >= 0, 0.0001
 				beds := coldBeds(n, s, run, slots)
 				start := beds[0].now
 				for _, b := range beds {
@@ -43,12 +43,12 @@
 				for _, from := range sent {
 					together := 0
 					for _, at := range sent {
-						if at >= from && at < from+s.TipAfter {
+						if at >= from && at < from+s.OverloadWindow {
 							together++
 						}
 					}
-					warmth := s.ColdFrom + (1-s.ColdFrom)*float64(from-start)/float64(s.WarmWithin)
-					allowed := s.OverloadFactor * slots * warmth * float64(s.TipAfter) / float64(run)
+					warmth := s.SlowStartMinCapacity + (1-s.SlowStartMinCapacity)*float64(from-start)/float64(s.SlowStartWindow)
+					allowed := s.OverloadFactor * slots * warmth * float64(s.OverloadWindow) / float64(run)
 					if most := allowed + 2*math.Sqrt(allowed) + 2; float64(together) > most {
 						t.Fatalf("%d requests within the time from %d us on, at most %.1f are borne", together, from-start, most)
 					}
@@ -69,17 +69,17 @@
 		for range 20 {
 			b.classes[0].run.add(float64(run), gain)
 		}
-		b.capAll.add(slots, gain)
+		b.fleetCapacity.add(slots, gain)
 		b.pass(ms)
 		beds = append(beds, b)
 	}
-	if s.MayTell {
+	if s.MayBroadcast {
 		hearAll(beds)
 	}
 	for _, b := range beds {
-		b.pass(tick) // housekeeping counts who tells
+		b.pass(tickInterval) // housekeeping counts who tells
 	}
-	if s.MayTell {
+	if s.MayBroadcast {
 		hearAll(beds)
 	}
 	return beds
--- a/rules/digest_test.go
+++ b/rules/digest_test.go
@@ -27,15 +27,15 @@
 // workers and requests. A change that means to decide otherwise records them anew.
 var digestVariants = []digestVariant{
 	{name: "small", workers: 12, steps: 12000, change: func(*Settings) {}, digest: "e5fcb95e35bfc45dbaf94aea"},
-	{name: "peers", workers: 30, steps: 12000, change: func(s *Settings) { s.MayTell = true }, digest: "64349882aeac2bf9b9747bc9"},
+	{name: "peers", workers: 30, steps: 12000, change: func(s *Settings) { s.MayBroadcast = true }, digest: "64349882aeac2bf9b9747bc9"},
 	{name: "peers and probes", workers: 60, steps: 12000, change: func(s *Settings) {
-		s.MayTell, s.MayProbe, s.LoadInProbes, s.MaySecondCopy = true, true, true, true
+		s.MayBroadcast, s.MayProbe, s.LoadInProbes, s.MayHedge = true, true, true, true
 	}, digest: "895f7c361ccbe7efb5bca23a"},
 	{name: "weights", workers: 40, steps: 12000, change: func(s *Settings) {
-		s.WeightsAreSize, s.MayProbe, s.LoadInAnswers, s.CrossZonePrice = true, true, true, 0.1
+		s.WeightsAreSize, s.MayProbe, s.LoadInAnswers, s.CrossZoneCost = true, true, true, 0.1
 	}, digest: "79b13c4aa46cb5624a346e68"},
 	{name: "notes", workers: 200, steps: 12000, change: func(s *Settings) {
-		s.MayTell, s.MayProbe, s.TellsStart, s.ProgressEvery, s.MaySecondCopy = true, true, true, 100*ms, true
+		s.MayBroadcast, s.MayProbe, s.ReportsStart, s.ProgressInterval, s.MayHedge = true, true, true, 100*ms, true
 	}, digest: "7e215c91ebd11239294cdc7f"},
 }
 
@@ -99,7 +99,7 @@
 	m.write("probe %s", w)
 	m.probing = append(m.probing, w)
 }
-func (m *digestMember) Tell(data []byte) {
+func (m *digestMember) Broadcast(data []byte) {
 	m.write("tell %x", data)
 	m.told = append(m.told, data)
 }
@@ -108,14 +108,14 @@
 func (m *digestMember) Log(text string) { m.write("log %s", text) }
 
 func digestSettings() Settings {
-	return Settings{Zones: 2, Kinds: 2, GroupSize: 3, MaxAttempts: 4, MayCancel: true, AskForList: true,
-		AnswerSlack: 16 * ms, ColdFrom: 0.3, WarmWithin: 3000 * ms, OverloadFactor: 3, RetryAfter: true,
-		OverShareWorth: 0.5, PeerPrice: 0.0001, ProbePrice: 0.001, ConnectTimeout: 20 * ms,
+	return Settings{Zones: 2, Kinds: 2, GroupSize: 3, MaxAttempts: 4, MayCancel: true, PullsList: true,
+		AnswerSlack: 16 * ms, SlowStartMinCapacity: 0.3, SlowStartWindow: 3000 * ms, OverloadFactor: 3, RetryAfter: true,
+		OverQuotaValue: 0.5, PeerMessageCost: 0.0001, ProbeCost: 0.001, ConnectTimeout: 20 * ms,
 		Tenants: []Tenant{{QuotaPerS: 400}, {}},
 		Classes: []Class{
-			{Aim: 150 * ms, Stretch: 1, Deadline: 1500 * ms, Effect: Repeatable, Kind: -1},
-			{Aim: 300 * ms, Stretch: 2, Deadline: 2500 * ms, Effect: Once, Kind: 0, Worth: 3},
-			{Aim: 200 * ms, Stretch: 1, Deadline: 2000 * ms, Effect: Keyed, Group: GroupZone, Window: 900 * ms, Kind: 1},
+			{LatencyTarget: 150 * ms, TargetStretch: 1, Deadline: 1500 * ms, Effect: Repeatable, Kind: -1},
+			{LatencyTarget: 300 * ms, TargetStretch: 2, Deadline: 2500 * ms, Effect: Once, Kind: 0, Value: 3},
+			{LatencyTarget: 200 * ms, TargetStretch: 1, Deadline: 2000 * ms, Effect: Keyed, Group: GroupZone, Window: 900 * ms, Kind: 1},
 		}}
 }
 
@@ -204,7 +204,7 @@
 		for _, data := range told {
 			for _, to := range run.members {
 				if to != from && run.rng.IntN(12) > 0 {
-					to.Peer(run.now, from.rank, data)
+					to.PeerMessage(run.now, from.rank, data)
 				}
 			}
 		}
@@ -235,11 +235,11 @@
 	switch {
 	case silent && age < 1200*ms, slow && age < 500*ms:
 		if slow && run.rng.IntN(3) == 0 {
-			m.Note(run.now, &Note{Request: a.request, Attempt: a.number, Worker: a.worker, Started: true})
+			m.Progress(run.now, &Progress{Request: a.request, Attempt: a.number, Worker: a.worker, Started: true})
 		}
 		return
 	case run.rng.IntN(3) == 0:
-		m.Note(run.now, &Note{Request: a.request, Attempt: a.number, Worker: a.worker, Started: run.rng.IntN(2) == 0})
+		m.Progress(run.now, &Progress{Request: a.request, Attempt: a.number, Worker: a.worker, Started: run.rng.IntN(2) == 0})
 		return
 	}
 	m.open = append(m.open[:i], m.open[i+1:]...)
@@ -273,7 +273,7 @@
 	case k == 26 && len(m.open) > 0 && run.rng.IntN(4) == 0:
 		r := m.open[run.rng.IntN(len(m.open))].request
 		m.closed[r] = true
-		m.Hangup(run.now, r)
+		m.ClientDisconnected(run.now, r)
 	case k < 29 && len(m.probing) > 0:
 		w := m.probing[0]
 		m.probing = m.probing[1:]
@@ -281,12 +281,12 @@
 		if silent, _, _ := run.health(w); silent {
 			status = TimedOut
 		}
-		m.Probed(run.now, &Probed{Worker: w, Status: status, Load: run.load()})
+		m.Probed(run.now, &ProbeResult{Worker: w, Status: status, Load: run.load()})
 	case k == 29 && run.rng.IntN(6) == 0:
 		run.changeList()
 	case k == 30 && run.rng.IntN(10) == 0:
 		e := run.entries[run.rng.IntN(len(run.entries))]
-		m.write("held %v", m.Hold(run.now, e.Worker, Holder(run.rng.IntN(2)), run.rng.IntN(3) == 0))
+		m.write("held %v", m.SetDisabled(run.now, e.Worker, DisabledBy(run.rng.IntN(2)), run.rng.IntN(3) == 0))
 	case k == 31 && len(m.open) > 0:
 		a := m.open[run.rng.IntN(len(m.open))]
 		m.write("begin %v", m.Begin(run.now, a.request, a.number))
@@ -306,7 +306,7 @@
 				run.step()
 				if run.rng.IntN(100) == 0 {
 					m := run.members[0]
-					m.write("avoided %d", m.Avoided(run.now))
+					m.write("avoided %d", m.OutOfRotation(run.now))
 				}
 			}
 			if got := hex.EncodeToString(run.log.Sum(nil)[:12]); got != v.digest {
--- a/rules/divide_test.go
+++ b/rules/divide_test.go
@@ -13,8 +13,8 @@
 		b.ask(uint64(k))
 		for ; answered < len(b.a.probes); answered++ {
 			w := b.a.probes[answered]
-			none := Load{Has: HasInFlight | HasQueue, InFlight: b.byID[w].own} // of other dispatchers' jobs
-			b.Probed(b.now, &Probed{Worker: w, Status: OK, Load: none})
+			none := Load{Has: HasInFlight | HasQueue, InFlight: b.byID[w].ownSlots} // of other dispatchers' jobs
+			b.Probed(b.now, &ProbeResult{Worker: w, Status: OK, Load: none})
 		}
 		b.pass(20 * ms)
 		for ; ended < len(b.a.sends); ended++ {
@@ -27,10 +27,10 @@
 // divided is a bed whose workers are its share of a fleet of 32 dispatchers.
 func divided(foreign float64, workers ...ListEntry) *bed {
 	s := oneClass(Once)
-	s.GroupSize, s.MayProbe, s.LoadInProbes, s.ProbePrice = 32, true, true, 0.0001
+	s.GroupSize, s.MayProbe, s.LoadInProbes, s.ProbeCost = 32, true, true, 0.0001
 	b := newBed(s, workers...)
-	b.Divide(0, 2, foreign)
-	b.Divide(-1, 2, foreign)
+	b.SetSharing(0, 2, foreign)
+	b.SetSharing(-1, 2, foreign)
 	return b
 }
 
@@ -57,9 +57,9 @@
 // A worker that comes to the share with another dispatcher's jobs is asked before its first job, and counts as taken.
 func TestAWorkerThatComesToTheShareIsAskedFirst(t *testing.T) {
 	b := divided(0, fleet(20)...)
-	b.meanRun = mean{60 * second, 100}
+	b.meanRun = ewma{60 * second, 100}
 	probesForEachJob(b, 500)
-	b.meanRun = mean{60 * second, 100}
+	b.meanRun = ewma{60 * second, 100}
 	b.List(b.now, &List{Entries: []ListEntry{{Worker: "new", Weight: 1}}})
 	asked, sent := len(b.a.probes), len(b.a.sends)
 	for k := range uint64(20) {
@@ -69,7 +69,7 @@
 	if len(b.a.probes) != asked+1 || b.a.probes[asked] != "new" {
 		t.Fatalf("asked: %v, wanted the new worker once", b.a.probes[asked:])
 	}
-	b.Probed(b.now, &Probed{Worker: "new", Status: OK, Load: Load{Has: HasInFlight | HasQueue, InFlight: 8}})
+	b.Probed(b.now, &ProbeResult{Worker: "new", Status: OK, Load: Load{Has: HasInFlight | HasQueue, InFlight: 8}})
 	for k := range uint64(6) {
 		b.ask(2000 + k)
 	}
@@ -94,12 +94,12 @@
 			s := oneClass(Once)
 			s.GroupSize, s.Rank = 32, rank
 			b := newBed(s, ListEntry{Worker: "w", Weight: 1, StartedAt: 1_000_000_000 - 10})
-			b.Divide(0, senders, 0)
+			b.SetSharing(0, senders, 0)
 			w, r := b.byID["w"], &request{Request: Request{Slots: 1}, size: 0.0001}
-			w.tokensAt = b.now
-			b.coldAllows(b.now+second, w, r)
-			if w.tokens > 0 {
-				all += w.tokens
+			w.coldTokensAt = b.now
+			b.coldBudgetAllows(b.now+second, w, r)
+			if w.coldTokens > 0 {
+				all += w.coldTokens
 				holders++
 			}
 		}
@@ -128,15 +128,15 @@
 		s := oneClass(Once)
 		s.GroupSize = 32
 		b := newBed(s, fleet(64)...)
-		b.Divide(0, 2, foreign)
-		b.Divide(-1, 2, foreign)
-		b.meanRun = mean{400_000, 100}
-		b.sample(&request{Request: Request{Key: 7, HasKey: true}}, sampleSize)
-		for _, w := range b.buf {
-			w.own = 1.5 * paperFull // a queue, but not so long that every dispatcher would go on
+		b.SetSharing(0, 2, foreign)
+		b.SetSharing(-1, 2, foreign)
+		b.meanRun = ewma{400_000, 100}
+		b.fillSample(&request{Request: Request{Key: 7, HasKey: true}}, sampleSize)
+		for _, w := range b.sampleBuf {
+			w.ownSlots = 1.5 * defaultSlots // a queue, but not so long that every dispatcher would go on
 		}
 		b.ask(7)
-		return len(b.a.sends) == 1 && b.byID[b.a.last().w].own == 1
+		return len(b.a.sends) == 1 && b.byID[b.a.last().w].ownSlots == 1
 	}
 	if !placedAtFreeOne(0) {
 		t.Error("a job queues or is refused beside free workers of our own")
@@ -152,7 +152,7 @@
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			d := newBed(oneClass(Once), fleet(workers)...)
 			for i := range b.N {
-				d.sample(&request{Request: Request{Key: uint64(i), HasKey: true}}, workers)
+				d.fillSample(&request{Request: Request{Key: uint64(i), HasKey: true}}, workers)
 			}
 		})
 	}
--- a/rules/entries.go
+++ b/rules/entries.go
@@ -2,21 +2,21 @@
 
 // The entries of the assigned table, by key and in order of use. Nothing here decides anything.
 
-type entry struct {
+type tableEntry struct {
 	key          uint64
 	set          []*worker
-	asked        keyCount
-	newer, older *entry
+	requests     decayingCount
+	newer, older *tableEntry
 }
 
 // entries keeps table entries by key and in order of use.
-type entries struct {
-	byKey          map[uint64]*entry
-	newest, oldest *entry
+type keyTable struct {
+	byKey          map[uint64]*tableEntry
+	newest, oldest *tableEntry
 }
 
 // use finds or makes the key's entry and makes it the newest; above most entries the oldest goes.
-func (t *entries) use(key uint64, most int) *entry {
+func (t *keyTable) touch(key uint64, most int) *tableEntry {
 	e := t.byKey[key]
 	if e == nil {
 		if len(t.byKey) >= most {
@@ -24,7 +24,7 @@
 			t.unlink(old)
 			delete(t.byKey, old.key)
 		}
-		e = &entry{key: key}
+		e = &tableEntry{key: key}
 		t.byKey[key] = e
 	} else if e == t.newest {
 		return e
@@ -40,7 +40,7 @@
 	return e
 }
 
-func (t *entries) unlink(e *entry) {
+func (t *keyTable) unlink(e *tableEntry) {
 	if e.newer != nil {
 		e.newer.older = e.older
 	} else {
--- a/rules/hints_test.go
+++ b/rules/hints_test.go
@@ -25,7 +25,7 @@
 	skewed := func(rng *rand.Rand) Time { return Time(30_000 * (1 + 3*rng.ExpFloat64())) }
 	size := func(job func(*rand.Rand) (Time, Time)) float64 {
 		b := served(oneClass(Once), 300, job)
-		return b.sizeOf(&request{Request: Request{Hint: 4 * Time(b.classes[0].hint.v)}})
+		return b.relativeSize(&request{Request: Request{Hint: 4 * Time(b.classes[0].hint.v)}})
 	}
 	good := size(func(rng *rand.Rand) (Time, Time) { run := skewed(rng); return run, run })
 	biased := size(func(rng *rand.Rand) (Time, Time) { run := skewed(rng); return 7 * run, run })
@@ -45,7 +45,7 @@
 		t.Errorf("a hint that tells nothing makes %.2f, one that tells the contrary %.2f; want about 1", none, contrary)
 	}
 	b := served(oneClass(Once), 1, func(*rand.Rand) (Time, Time) { return 1, 1 })
-	if got := b.sizeOf(&request{}); got != 1 {
+	if got := b.relativeSize(&request{}); got != 1 {
 		t.Errorf("a job without a hint has the size %.2f", got)
 	}
 }
@@ -81,12 +81,12 @@
 func TestWorthByWork(t *testing.T) {
 	for _, byWork := range []bool{false, true} {
 		s := oneClass(Once)
-		s.WorthByWork = byWork
+		s.ValueByWork = byWork
 		b := newBed(s, fleet(1)...)
-		b.meanRun, b.classes[0].run = mean{100_000, 100}, mean{100_000, 100}
-		b.asks, b.classes[0].asked = 10, 10
+		b.meanRun, b.classes[0].run = ewma{100_000, 100}, ewma{100_000, 100}
+		b.recentRequests, b.classes[0].recentRequests = 10, 10
 		long, short := &request{size: 4, Request: Request{Slots: 1}}, &request{size: 0.5, Request: Request{Slots: 1}}
-		if l, s := b.relWorth(long), b.relWorth(short); byWork && l != s || !byWork && l >= s/4 {
+		if l, s := b.relativeDensity(long), b.relativeDensity(short); byWork && l != s || !byWork && l >= s/4 {
 			t.Errorf("by work %v: the long job's density is %.2f, the short one's %.2f", byWork, l, s)
 		}
 	}
@@ -97,7 +97,7 @@
 	s := oneClass(Once)
 	s.MayProbe, s.LoadInProbes = true, true
 	b := newBed(s, fleet(3)...)
-	b.meanRun = mean{400_000, 100}
+	b.meanRun = ewma{400_000, 100}
 	for i, since := range []Time{second, 200 * ms, second} { // 2.5, 0.5 and 2.5 running times
 		b.pass(since)
 		b.a.probes, b.a.sends = nil, nil
@@ -106,7 +106,7 @@
 			t.Errorf("request %d: %d sent at once, want %d; %d workers asked", i, sent, want, len(b.a.probes))
 		}
 		for _, w := range b.a.probes {
-			b.Probed(b.now, &Probed{Worker: w, Status: OK})
+			b.Probed(b.now, &ProbeResult{Worker: w, Status: OK})
 		}
 		if len(b.a.sends) != 1 {
 			t.Errorf("request %d: %d sends after the answers", i, len(b.a.sends))
@@ -120,13 +120,13 @@
 	load := func(every Time) float64 {
 		b := newBed(oneClass(Once), fleet(1)...)
 		w := b.byID["w0"]
-		b.meanRun = mean{100_000, 100}
+		b.meanRun = ewma{100_000, 100}
 		for range 50 {
 			b.pass(every)
-			b.seeOthers(b.now, w, 6)
+			b.recordOthersLoad(b.now, w, 6)
 		}
 		b.pass(every)
-		b.seeOthers(b.now, w, 0)
+		b.recordOthersLoad(b.now, w, 0)
 		return b.load(b.now, w)
 	}
 	if often, rare := load(20*ms), load(5000*ms); often < 2.5 || rare > 0.5 {
@@ -138,11 +138,11 @@
 func TestOwnPlacesFollowThePrice(t *testing.T) {
 	far := func(price float64) (n int) {
 		s := oneClass(Once)
-		s.CrossZonePrice = price
+		s.CrossZoneCost = price
 		b := newBed(s, fleet(40)...)
 		for key := range uint64(100) {
-			b.sample(&request{Request: Request{Key: key}}, sampleSize)
-			for _, w := range b.buf {
+			b.fillSample(&request{Request: Request{Key: key}}, sampleSize)
+			for _, w := range b.sampleBuf {
 				if w.Zone != 0 {
 					n++
 				}
@@ -159,7 +159,7 @@
 // Whom to ask is looked up for every request: that takes no memory, whoever turns out to be asked.
 func TestAskingTakesNoMemory(t *testing.T) {
 	s := oneClass(Once)
-	s.MayProbe, s.LoadInProbes, s.ProbePrice = true, true, 0.0018
+	s.MayProbe, s.LoadInProbes, s.ProbeCost = true, true, 0.0018
 	b := newBed(s, fleet(20)...)
 	b.ask(1)
 	b.pass(500 * ms) // the wait for answers is over, and the key has a set
@@ -170,7 +170,7 @@
 		w.probedAt = b.now // asked just now, so that no probe goes out
 	}
 	r := &request{Request: Request{Key: 1, HasKey: true}}
-	if n := testing.AllocsPerRun(100, func() { b.askLoads(b.now, r) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { b.probeLoads(b.now, r) }); n > 0 {
 		t.Errorf("%g allocations a request", n)
 	}
 }
--- a/rules/hold_test.go
+++ b/rules/hold_test.go
@@ -7,15 +7,15 @@
 func TestHoldKeepsAWorkerOutUntilLetBack(t *testing.T) {
 	b := newBed(oneClass(Repeatable), fleet(4)...)
 	for range 2 {
-		if !b.Hold(b.now, "w1", ByHand, true) {
+		if !b.SetDisabled(b.now, "w1", ByOperator, true) {
 			t.Fatal("a listed worker was not held")
 		}
 	}
-	if b.Hold(b.now, "w9", ByHand, true) {
+	if b.SetDisabled(b.now, "w9", ByOperator, true) {
 		t.Fatal("an unknown worker was held")
 	}
-	b.Hold(b.now, "w9", ByHand, false)
-	if n := b.Avoided(b.now); n != 1 {
+	b.SetDisabled(b.now, "w9", ByOperator, false)
+	if n := b.OutOfRotation(b.now); n != 1 {
 		t.Fatalf("avoided: %d, want 1", n)
 	}
 	// The list calls it up again: the hold stands.
@@ -31,8 +31,8 @@
 			t.Fatalf("%s, not held, got nothing", w)
 		}
 	}
-	b.Hold(b.now, "w1", ByHand, false)
-	if n := b.Avoided(b.now); n != 0 {
+	b.SetDisabled(b.now, "w1", ByOperator, false)
+	if n := b.OutOfRotation(b.now); n != 0 {
 		t.Fatalf("avoided after the release: %d", n)
 	}
 	for key := range uint64(400) {
--- a/rules/hostile_test.go
+++ b/rules/hostile_test.go
@@ -63,7 +63,7 @@
 			bound = a
 		}
 	}
-	if out > 1 || out == 1 && !c.s.MaySecondCopy {
+	if out > 1 || out == 1 && !c.s.MayHedge {
 		c.t.Fatalf("%d attempts of %s are out already", out, r)
 	}
 	if bound != nil {
@@ -80,7 +80,7 @@
 	}
 	l.attempts = append(l.attempts, ledgerAttempt{w: w, sent: c.now})
 	c.open = append(c.open, r)
-	if e.StartedAt > 0 && c.now-e.StartedAt < c.s.WarmWithin {
+	if e.StartedAt > 0 && c.now-e.StartedAt < c.s.SlowStartWindow {
 		c.cold(w, e)
 	}
 }
@@ -90,13 +90,13 @@
 	c.work[w] = append(c.work[w], sendAction{at: c.now})
 	n := 0
 	for _, x := range c.work[w] {
-		if x.at > c.now-c.s.TipAfter && x.at >= e.StartedAt {
+		if x.at > c.now-c.s.OverloadWindow && x.at >= e.StartedAt {
 			n++
 		}
 	}
-	warm := c.s.ColdFrom + (1-c.s.ColdFrom)*float64(c.now-e.StartedAt)/float64(c.s.WarmWithin)
+	warm := c.s.SlowStartMinCapacity + (1-c.s.SlowStartMinCapacity)*float64(c.now-e.StartedAt)/float64(c.s.SlowStartWindow)
 	const slots, run = 4.0, 0.1 // as told to the dispatcher
-	budget := c.s.OverloadFactor * warm * slots * float64(c.s.TipAfter) / 1e6 / float64(c.s.GroupSize)
+	budget := c.s.OverloadFactor * warm * slots * float64(c.s.OverloadWindow) / 1e6 / float64(c.s.GroupSize)
 	if float64(n)*run > budget+run {
 		c.t.Fatalf("%d jobs to the cold %s within a window, the part of the budget is %.1f", n, w, budget/run)
 	}
@@ -123,7 +123,7 @@
 
 func (c *checker) Refuse(r RequestID, _ Time, _ Reason) { c.answer(r, true) }
 func (c *checker) Fail(r RequestID, _ Reason)           { c.answer(r, false) }
-func (c *checker) Tell(data []byte)                     {}
+func (c *checker) Broadcast(data []byte)                {}
 func (c *checker) Probe(w WorkerID) {
 	if !c.s.MayProbe {
 		c.t.Fatal("probed where that is not allowed")
@@ -140,13 +140,13 @@
 func hostile(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	s := Settings{Zones: 2, Kinds: 2, GroupSize: 1 + rng.IntN(20), MaxAttempts: 1 + rng.IntN(5),
-		MayProbe: rng.IntN(2) == 0, MayCancel: rng.IntN(2) == 0, MaySecondCopy: rng.IntN(2) == 0,
-		AskForList: rng.IntN(2) == 0, TellsStart: rng.IntN(2) == 0, LoadInProbes: true,
-		AnswerSlack: 16 * ms, ColdFrom: 0.3, WarmWithin: 5000 * ms, OverloadFactor: 3, TipAfter: 1000 * ms,
+		MayProbe: rng.IntN(2) == 0, MayCancel: rng.IntN(2) == 0, MayHedge: rng.IntN(2) == 0,
+		PullsList: rng.IntN(2) == 0, ReportsStart: rng.IntN(2) == 0, LoadInProbes: true,
+		AnswerSlack: 16 * ms, SlowStartMinCapacity: 0.3, SlowStartWindow: 5000 * ms, OverloadFactor: 3, OverloadWindow: 1000 * ms,
 		Tenants: []Tenant{{QuotaPerS: 100}, {}}}
 	for _, effect := range []Effect{Once, Keyed, Repeatable} {
 		for _, group := range []Group{GroupAll, GroupZone, GroupCell} {
-			s.Classes = append(s.Classes, Class{Aim: 100 * ms, Stretch: 1, Deadline: 2000 * ms, Effect: effect,
+			s.Classes = append(s.Classes, Class{LatencyTarget: 100 * ms, TargetStretch: 1, Deadline: 2000 * ms, Effect: effect,
 				Group: group, Window: 700 * ms, Kind: rng.IntN(3) - 1})
 		}
 	}
@@ -156,9 +156,9 @@
 	c.now = b.now
 	b.Dispatcher = New(s, seed, b.now, c)
 	for i := range b.classes { // known running times and capacity, so that the budget can be checked
-		b.classes[i].run = mean{100_000, 1e9}
+		b.classes[i].run = ewma{100_000, 1e9}
 	}
-	b.capAll, b.meanRun = mean{4, 1e9}, mean{100_000, 1e9}
+	b.fleetCapacity, b.meanRun = ewma{4, 1e9}, ewma{100_000, 1e9}
 	list := func(form ListForm) {
 		l := &List{Form: form}
 		if form == ListFailed {
@@ -205,7 +205,7 @@
 				continue
 			}
 			if rng.IntN(3) == 0 {
-				b.Note(b.now, &Note{Request: id, Attempt: n, Worker: a.w, Started: rng.IntN(2) == 0})
+				b.Progress(b.now, &Progress{Request: id, Attempt: n, Worker: a.w, Started: rng.IntN(2) == 0})
 				continue
 			}
 			c.open = append(c.open[:i], c.open[i+1:]...)
@@ -225,14 +225,14 @@
 			if l := c.requests[id]; !l.closed {
 				l.closed = true
 				l.answers++ // the client's own end
-				b.Hangup(b.now, id)
+				b.ClientDisconnected(b.now, id)
 			}
 		case k == 14 && rng.IntN(8) == 0:
 			list([]ListForm{ListDelta, ListFull, ListFailed}[rng.IntN(3)])
 		case k == 15 && len(c.probing) > 0:
 			w := c.probing[0]
 			c.probing = c.probing[1:]
-			b.Probed(b.now, &Probed{Worker: w, Status: []Status{OK, TimedOut}[rng.IntN(2)],
+			b.Probed(b.now, &ProbeResult{Worker: w, Status: []Status{OK, TimedOut}[rng.IntN(2)],
 				Load: Load{Has: HasFreeSlots, FreeSlots: 4 * rng.Float64()}})
 		default:
 			b.pass(Time(rng.IntN(20_000)))
--- a/rules/peers_test.go
+++ b/rules/peers_test.go
@@ -8,7 +8,7 @@
 
 // group is several dispatchers that hear one another.
 func group(n int, s Settings, workers ...ListEntry) []*bed {
-	s.GroupSize, s.MayTell, s.PeerPrice = n, true, 0.0001
+	s.GroupSize, s.MayBroadcast, s.PeerMessageCost = n, true, 0.0001
 	var beds []*bed
 	for i := range n {
 		s.Rank = i
@@ -18,7 +18,7 @@
 	}
 	hearAll(beds)
 	for _, b := range beds {
-		b.pass(tick) // housekeeping counts who tells
+		b.pass(tickInterval) // housekeeping counts who tells
 	}
 	hearAll(beds)
 	return beds
@@ -29,7 +29,7 @@
 	for i, from := range beds {
 		for _, data := range from.a.told {
 			for _, b := range beds {
-				b.Peer(b.now, i, data)
+				b.PeerMessage(b.now, i, data)
 			}
 		}
 		from.a.told = nil
@@ -51,7 +51,7 @@
 		hearAll(beds)
 	}
 	for i, b := range beds {
-		b.pass(tick)
+		b.pass(tickInterval)
 		hearAll(beds)
 		if n := sum(b); n < 11.9 || n > 12.1 {
 			t.Errorf("dispatcher %d believes in %.2f slots taken, 12 are", i, n)
@@ -62,7 +62,7 @@
 		b.end(id, 0, b.requests[id].attempts[0].w.id, OK)
 	}
 	for _, b := range beds {
-		b.pass(tellWait + 2*tick)
+		b.pass(maxReportDelay + 2*tickInterval)
 	}
 	hearAll(beds)
 	for i, b := range beds {
@@ -75,8 +75,8 @@
 // All dispatchers together keep to a cold worker's budget, and use it, whether they hear one another or not.
 func TestPeersShareAColdWorkersBudget(t *testing.T) {
 	s := oneClass(Once)
-	s.ColdFrom, s.WarmWithin, s.OverloadFactor, s.TipAfter = 0.3, 9_000_000, 3, 1_000_000
-	s.Classes[0].Aim, s.Classes[0].Deadline = 500*ms, 60_000*ms
+	s.SlowStartMinCapacity, s.SlowStartWindow, s.OverloadFactor, s.OverloadWindow = 0.3, 9_000_000, 3, 1_000_000
+	s.Classes[0].LatencyTarget, s.Classes[0].Deadline = 500*ms, 60_000*ms
 	count := func(heard bool) (sent int) {
 		cold := ListEntry{Worker: "cold", Weight: 1, StartedAt: 1_000_000_000}
 		beds := group(20, s, cold)
@@ -85,9 +85,9 @@
 		}
 		if !heard {
 			for _, b := range beds {
-				clear(b.talk.heard)
+				clear(b.reporter.lastSeen)
 				b.a.told = nil
-				b.pass(tick)
+				b.pass(tickInterval)
 			}
 		}
 		for range 30 {
@@ -136,7 +136,7 @@
 	}
 	b.a.told = nil
 	b.end(RequestID(fmt.Sprint("r", b.n)), 0, b.a.last().w, OK)
-	if b.pass(tellWait + 2*tick); len(b.a.told) == 0 {
+	if b.pass(maxReportDelay + 2*tickInterval); len(b.a.told) == 0 {
 		t.Error("an end was never told")
 	}
 }
@@ -147,41 +147,41 @@
 	beds := group(3, oneClass(Once), fleet(2)...)
 	b := beds[0]
 	w := b.workers[0]
-	sent := newRecord(toldSent, w, &request{Request: Request{Slots: 2}}).append(nil)
-	b.Peer(b.now, 1, sent[:2])
-	b.Peer(b.now, 0, sent)
-	b.Peer(b.now, 3, sent)
-	b.Peer(b.now, -1, sent)
-	b.Peer(b.now, 1, newRecord(toldServed, w, &request{Request: Request{Slots: 2}}).append(nil))
-	b.Peer(b.now, 1, []byte{0xff, sent[1], sent[2], 0})
-	if w.told != 0 {
-		t.Fatalf("%g slots from messages that say nothing", w.told)
-	}
-	for range 2 * mostTold {
-		b.Peer(b.now, 1, sent)
-	}
-	if len(w.peers) != mostTold || w.told != 2*mostTold {
-		t.Errorf("%d jobs of %g slots kept", len(w.peers), w.told)
-	}
-	b.pass(b.set.Classes[0].Deadline + 2*tick)
-	if len(w.peers) != 0 || w.told != 0 {
-		t.Errorf("%d jobs of %g slots kept past their time", len(w.peers), w.told)
+	sent := newRecord(eventSent, w, &request{Request: Request{Slots: 2}}).append(nil)
+	b.PeerMessage(b.now, 1, sent[:2])
+	b.PeerMessage(b.now, 0, sent)
+	b.PeerMessage(b.now, 3, sent)
+	b.PeerMessage(b.now, -1, sent)
+	b.PeerMessage(b.now, 1, newRecord(eventServed, w, &request{Request: Request{Slots: 2}}).append(nil))
+	b.PeerMessage(b.now, 1, []byte{0xff, sent[1], sent[2], 0})
+	if w.peerSlots != 0 {
+		t.Fatalf("%g slots from messages that say nothing", w.peerSlots)
+	}
+	for range 2 * maxPeerJobs {
+		b.PeerMessage(b.now, 1, sent)
+	}
+	if len(w.peerJobs) != maxPeerJobs || w.peerSlots != 2*maxPeerJobs {
+		t.Errorf("%d jobs of %g slots kept", len(w.peerJobs), w.peerSlots)
+	}
+	b.pass(b.cfg.Classes[0].Deadline + 2*tickInterval)
+	if len(w.peerJobs) != 0 || w.peerSlots != 0 {
+		t.Errorf("%d jobs of %g slots kept past their time", len(w.peerJobs), w.peerSlots)
 	}
 }
 
 // Where telling all peers would cost more than it is worth, nothing is told, and reports tell of the load.
 func TestTellingHasAPrice(t *testing.T) {
 	s := oneClass(Once)
-	s.GroupSize, s.MayTell, s.PeerPrice = 1000, true, 0.0096
+	s.GroupSize, s.MayBroadcast, s.PeerMessageCost = 1000, true, 0.0096
 	b := newBed(s, fleet(4)...)
 	for k := range 50 {
 		b.ask(uint64(k))
 	}
-	if b.silent() != 1 {
-		t.Errorf("silent %g", b.silent())
+	if b.silentFraction() != 1 {
+		t.Errorf("silent %g", b.silentFraction())
 	}
 	for _, data := range b.a.told {
-		if rec := readRecord(data); rec.what != toldAlive {
+		if rec := decodeRecord(data); rec.event != eventAlive {
 			t.Errorf("told of a job: %v", rec)
 		}
 	}
@@ -194,17 +194,17 @@
 		beds := group(2, oneClass(Once), fleet(20)...)
 		b := beds[0]
 		if !telling {
-			clear(b.talk.heard)
+			clear(b.reporter.lastSeen)
 		}
-		b.pass(tick)
+		b.pass(tickInterval)
 		const key = 7
-		b.sample(&request{Request: Request{Key: key}}, sampleSize)
+		b.fillSample(&request{Request: Request{Key: key}}, sampleSize)
 		taken := map[WorkerID]bool{}
-		for _, w := range b.buf {
+		for _, w := range b.sampleBuf {
 			taken[w.id] = true
-			const queued = queueLeast * paperFull
-			if w.own = queued; !telling {
-				w.own, w.others, w.othersLast, w.othersAt = 0, mean{queued, 9}, queued, b.now
+			const queued = widenScanLoad * defaultSlots
+			if w.ownSlots = queued; !telling {
+				w.ownSlots, w.othersLoad, w.othersLastSeen, w.othersSeenAt = 0, ewma{queued, 9}, queued, b.now
 			}
 		}
 		if b.ask(key); telling == taken[b.a.last().w] {
@@ -224,9 +224,9 @@
 		}
 		w := b.workers[0]
 		for range 60 {
-			b.Peer(b.now, 1, newRecord(toldSent, w, &request{Request: Request{Slots: 1}}).append(nil))
+			b.PeerMessage(b.now, 1, newRecord(eventSent, w, &request{Request: Request{Slots: 1}}).append(nil))
 		}
-		w.othersAt = 0
+		w.othersSeenAt = 0
 		if !tried {
 			w.triedAt = 0
 		}
@@ -242,16 +242,16 @@
 // hold the job's wait, and that of the word. A peer's jobs leave our own mean alone, since only long ones are told.
 func TestRunningTimesAreTold(t *testing.T) {
 	s := oneClass(Once)
-	s.TellsStart = true
+	s.ReportsStart = true
 	beds := group(2, s, fleet(1)...)
 	from, to := beds[0], beds[1]
 	mean := to.meanRun
 	r := from.ask(1)
 	from.pass(3000 * ms)
-	from.Note(from.now, &Note{Request: r, Worker: "w0", Started: true})
+	from.Progress(from.now, &Progress{Request: r, Worker: "w0", Started: true})
 	from.pass(400 * ms)
 	from.end(r, 0, "w0", OK)
-	from.pass(tellWait + 2*tick)
+	from.pass(maxReportDelay + 2*tickInterval)
 	hearAll(beds)
 	if run := to.classes[0].run; run.n != 1 || run.v < 360_000 || run.v > 440_000 {
 		t.Errorf("heard of %g runs of %g us, one of 400,000 was told", run.n, run.v)
@@ -265,8 +265,8 @@
 func TestCapacityIsLearnedFromIdleWorkers(t *testing.T) {
 	b := newBed(oneClass(Once), fleet(1)...)
 	has := HasInFlight | HasQueue | HasFreeSlots
-	b.Probed(b.now, &Probed{Worker: "w0", Load: Load{Has: has, FreeSlots: 4}})
-	b.Probed(b.now, &Probed{Worker: "w0", Load: Load{Has: has, InFlight: 9, Queue: 1}})
+	b.Probed(b.now, &ProbeResult{Worker: "w0", Load: Load{Has: has, FreeSlots: 4}})
+	b.Probed(b.now, &ProbeResult{Worker: "w0", Load: Load{Has: has, InFlight: 9, Queue: 1}})
 	if n := b.slots(b.workers[0]); n != 4 {
 		t.Errorf("%g slots", n)
 	}
@@ -276,15 +276,15 @@
 // the others know its load.
 func TestJobsToAColdWorkerAreAlwaysTold(t *testing.T) {
 	s := oneClass(Once)
-	s.GroupSize, s.MayTell, s.PeerPrice = 80, true, 0.0096
-	s.ColdFrom, s.WarmWithin, s.OverloadFactor = 0.3, 9_000_000, 1000
+	s.GroupSize, s.MayBroadcast, s.PeerMessageCost = 80, true, 0.0096
+	s.SlowStartMinCapacity, s.SlowStartWindow, s.OverloadFactor = 0.3, 9_000_000, 1000
 	for _, cold := range []bool{true, false} {
 		w := ListEntry{Worker: "w", Weight: 1}
 		if cold {
 			w.StartedAt = 1_000_000_000 - 4_000_000
 		}
 		b := newBed(s, w)
-		b.pass(tick + ms)
+		b.pass(tickInterval + ms)
 		for range 4 {
 			r := b.askAs(Request{Slots: 4})
 			b.pass(500 * ms)
@@ -306,12 +306,12 @@
 // there, and the cold budget is not taken for one that is shared: peers that tell don't hear of what we send.
 func TestNothingIsToldWhereMessagesAreTooDear(t *testing.T) {
 	s := oneClass(Once)
-	s.GroupSize, s.MayTell, s.PeerPrice = 320, true, 0.0096
+	s.GroupSize, s.MayBroadcast, s.PeerMessageCost = 320, true, 0.0096
 	b := newBed(s, ListEntry{Worker: "w", Weight: 1})
 	b.serve(1, 500*ms)
 	b.a.told = nil
 	for from := range 300 {
-		b.Peer(b.now, from+1, record{what: toldAlive}.append(nil))
+		b.PeerMessage(b.now, from+1, record{event: eventAlive}.append(nil))
 	}
 	for k := range uint64(20) {
 		b.serve(k, 500*ms)
@@ -319,8 +319,8 @@
 	if len(b.a.told) > 0 {
 		t.Errorf("%d messages", len(b.a.told))
 	}
-	if b.tellers != 0 {
-		t.Errorf("the budget is shared with %g", b.tellers)
+	if b.reportingPeers != 0 {
+		t.Errorf("the budget is shared with %g", b.reportingPeers)
 	}
 }
 
@@ -334,17 +334,17 @@
 		r := b.ask(1)
 		for _, w := range b.workers { // the tags that the message holds are those of workers
 			for i := 0; i+recordSize <= len(data); i += recordSize {
-				data[i+1], data[i+2] = byte(tagOf(w)>>8), byte(tagOf(w))
+				data[i+1], data[i+2] = byte(workerTag(w)>>8), byte(workerTag(w))
 			}
-			b.Peer(b.now, from, data)
+			b.PeerMessage(b.now, from, data)
 		}
 		b.pass(500 * ms)
 		if b.requests[r] == nil || len(b.a.sends) != 1 {
 			t.Errorf("request %v, %d sends", b.requests[r], len(b.a.sends))
 		}
 		for _, w := range b.workers {
-			if w.told < 0 || len(w.peers) > mostTold || w.told > 8*mostTold {
-				t.Errorf("%s: %g slots in %d jobs", w.id, w.told, len(w.peers))
+			if w.peerSlots < 0 || len(w.peerJobs) > maxPeerJobs || w.peerSlots > 8*maxPeerJobs {
+				t.Errorf("%s: %g slots in %d jobs", w.id, w.peerSlots, len(w.peerJobs))
 			}
 		}
 	})
@@ -355,21 +355,21 @@
 	for _, workers := range []int{10, 60, 1000} {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
 			s := oneClass(Once)
-			s.GroupSize, s.MayTell = 80, true
+			s.GroupSize, s.MayBroadcast = 80, true
 			d := newBed(s, fleet(workers)...)
 			for i := range 80 {
-				d.Peer(d.now, i, record{what: toldAlive}.append(nil))
+				d.PeerMessage(d.now, i, record{event: eventAlive}.append(nil))
 			}
-			d.pass(tick)
+			d.pass(tickInterval)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for k := range b.N {
 				r := d.ask(uint64(k % 500))
 				x := d.a.last()
-				d.Peer(d.now, 1+k%79, newRecord(toldSent, d.byID[x.w], d.requests[r]).append(nil))
+				d.PeerMessage(d.now, 1+k%79, newRecord(eventSent, d.byID[x.w], d.requests[r]).append(nil))
 				d.now += 100
 				d.end(r, 0, x.w, OK)
-				d.Peer(d.now, 1+k%79, newRecord(toldServed, d.byID[x.w], &request{Request: Request{Slots: 1}}).append(nil))
+				d.PeerMessage(d.now, 1+k%79, newRecord(eventServed, d.byID[x.w], &request{Request: Request{Slots: 1}}).append(nil))
 				d.a.sends, d.a.timers, d.a.told = d.a.sends[:0], d.a.timers[:0], d.a.told[:0]
 			}
 		})
--- a/rules/registry.go
+++ b/rules/registry.go
@@ -14,12 +14,12 @@
 // registry holds the workers that are listed, or gone with attempts of ours still out there. A change costs by the
 // workers that it changes, not by the length of the list.
 type registry struct {
-	byID    map[WorkerID]*worker
-	workers []*worker // by worker.index, so in order of first listing; nil: removed. At most twice as long as byID
-	ready   int
-	visited bitset.BitSet        // indexes of the workers that housekeeping visits
-	tags    map[uint16][]*worker // those that are not gone, by tagOf, in order of first listing
-	rings   []ring               // by kind, 0 for any
+	byID       map[WorkerID]*worker
+	workers    []*worker // by worker.index, so in order of first listing; nil: removed. At most twice as long as byID
+	readyCount int
+	marked     bitset.BitSet        // indexes of the workers that housekeeping visits
+	tags       map[uint16][]*worker // those that are not gone, by tagOf, in order of first listing
+	rings      []ring               // by kind, 0 for any
 }
 
 func newRegistry(kinds int, weightsAreSize bool) registry {
@@ -44,25 +44,25 @@
 	w.ListEntry, w.state = e, state
 	if oldState == Ready || state == Ready {
 		if oldState != state || old.Kind != e.Kind || old.Weight != e.Weight {
-			g.placeOnRings(w, old.Kind)
+			g.updateRings(w, old.Kind)
 		}
 	}
 	if oldState == Ready {
-		g.ready--
+		g.readyCount--
 	}
 	if state == Ready {
-		g.ready++
+		g.readyCount++
 	}
 	if oldState == Gone && state != Gone {
-		g.tag(w)
+		g.addTag(w)
 	} else if oldState != Gone && state == Gone {
-		g.untag(w)
-		g.visit(w) // to be removed once nothing is out there
+		g.removeTag(w)
+		g.mark(w) // to be removed once nothing is out there
 	}
 }
 
 // dropUnlisted takes an entire list: a worker that is absent from it has gone.
-func (g *registry) dropUnlisted(entries []ListEntry) {
+func (g *registry) setUnlistedGone(entries []ListEntry) {
 	listed := make(map[WorkerID]bool, len(entries))
 	for i := range entries {
 		listed[entries[i].Worker] = true
@@ -86,15 +86,15 @@
 }
 
 // visit has housekeeping look at a worker until leave.
-func (g *registry) visit(w *worker) { g.visited.Set(uint(w.index)) }
+func (g *registry) mark(w *worker) { g.marked.Set(uint(w.index)) }
 
-func (g *registry) leave(w *worker) { g.visited.Clear(uint(w.index)) }
+func (g *registry) unmark(w *worker) { g.marked.Clear(uint(w.index)) }
 
 // toVisit gives the workers that housekeeping looks at, in order of first listing. The one given may leave, or be
 // removed, meanwhile.
-func (g *registry) toVisit() iter.Seq[*worker] {
+func (g *registry) allMarked() iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
-		for i, more := g.visited.NextSet(0); more; i, more = g.visited.NextSet(i + 1) {
+		for i, more := g.marked.NextSet(0); more; i, more = g.marked.NextSet(i + 1) {
 			if !yield(g.workers[i]) {
 				return
 			}
@@ -104,7 +104,7 @@
 
 // remove forgets a worker that has gone.
 func (g *registry) remove(w *worker) {
-	g.leave(w)
+	g.unmark(w)
 	delete(g.byID, w.id)
 	g.workers[w.index] = nil
 }
@@ -121,25 +121,25 @@
 		if w == nil {
 			continue
 		}
-		if g.visited.Test(uint(w.index)) {
+		if g.marked.Test(uint(w.index)) {
 			visited.Set(uint(len(kept)))
 		}
 		w.index = len(kept)
 		kept = append(kept, w)
 	}
 	clear(g.workers[len(kept):])
-	g.workers, g.visited = kept, visited
+	g.workers, g.marked = kept, visited
 	for k := range g.rings {
 		g.rings[k] = ring{weighted: g.rings[k].weighted}
 	}
 }
 
 // placeOnRings has a worker's place looked at on the rings that it is or was on.
-func (g *registry) placeOnRings(w *worker, oldKind int) {
-	g.rings[0].changed(g.workers, w)
+func (g *registry) updateRings(w *worker, oldKind int) {
+	g.rings[0].markStale(g.workers, w)
 	for _, kind := range []int{oldKind, w.Kind} {
 		if kind >= 0 && kind < len(g.rings)-1 {
-			g.rings[kind+1].changed(g.workers, w)
+			g.rings[kind+1].markStale(g.workers, w)
 		}
 	}
 }
@@ -149,14 +149,14 @@
 	return g.rings[k].current(g.workers, k-1)
 }
 
-func (g *registry) tag(w *worker) {
-	tag := tagOf(w)
+func (g *registry) addTag(w *worker) {
+	tag := workerTag(w)
 	at, _ := slices.BinarySearchFunc(g.tags[tag], w.index, func(x *worker, index int) int { return x.index - index })
 	g.tags[tag] = slices.Insert(g.tags[tag], at, w)
 }
 
-func (g *registry) untag(w *worker) {
-	tag := tagOf(w)
+func (g *registry) removeTag(w *worker) {
+	tag := workerTag(w)
 	rest := slices.DeleteFunc(g.tags[tag], func(x *worker) bool { return x == w })
 	if g.tags[tag] = rest; len(rest) == 0 {
 		delete(g.tags, tag)
--- a/rules/registry_test.go
+++ b/rules/registry_test.go
@@ -30,17 +30,17 @@
 		if w.state != Ready || k > 0 && w.Kind != k-1 {
 			continue
 		}
-		number := ringPoints
-		if d.set.WeightsAreSize && total > 0 {
-			number = max(1, int(math.Round(ringPoints*w.Weight*n/total)))
+		number := pointsPerWorker
+		if d.cfg.WeightsAreSize && total > 0 {
+			number = max(1, int(math.Round(pointsPerWorker*w.Weight*n/total)))
 		}
-		for p := range min(number, 4*ringPoints) {
-			ring = append(ring, mix(w.hash+uint64(p))&^ringIndex|uint64(i)&ringIndex)
+		for p := range min(number, 4*pointsPerWorker) {
+			ring = append(ring, mixHash(w.hash+uint64(p))&^ringIndexMask|uint64(i)&ringIndexMask)
 		}
 	}
 	slices.Sort(ring)
 	for _, point := range ring {
-		points = append(points, listed[point&ringIndex].id)
+		points = append(points, listed[point&ringIndexMask].id)
 	}
 	return points
 }
@@ -52,7 +52,7 @@
 		if i > 0 && ring[i-1] > point {
 			return []WorkerID{"not in order"}
 		}
-		points = append(points, d.workers[point&ringIndex].id)
+		points = append(points, d.workers[point&ringIndexMask].id)
 	}
 	return points
 }
@@ -71,17 +71,17 @@
 			ready++
 		}
 		if w.state != Gone {
-			tags[tagOf(w)] = append(tags[tagOf(w)], w)
+			tags[workerTag(w)] = append(tags[workerTag(w)], w)
 		}
-		if d.visited.Test(uint(i)) {
+		if d.marked.Test(uint(i)) {
 			continue
 		}
-		require.False(t, d.suspect(now, w), "%s is suspect, and not visited", w.id)
-		require.Empty(t, w.peers, "%s has jobs of peers, and is not visited", w.id)
-		require.False(t, w.state == Gone && w.out == 0, "%s has gone, and is not visited", w.id)
+		require.False(t, d.isSuspect(now, w), "%s is suspect, and not visited", w.id)
+		require.Empty(t, w.peerJobs, "%s has jobs of peers, and is not visited", w.id)
+		require.False(t, w.state == Gone && w.outstanding == 0, "%s has gone, and is not visited", w.id)
 	}
 	require.LessOrEqual(t, len(d.byID), len(d.workers))
-	require.Equal(t, ready, d.ready)
+	require.Equal(t, ready, d.readyCount)
 	require.Equal(t, len(tags), len(d.tags))
 	for tag, workers := range tags {
 		require.Equal(t, len(workers), len(d.tags[tag]))
@@ -92,13 +92,13 @@
 	running := 0
 	for _, r := range d.requests {
 		for i := range r.attempts {
-			if a := &r.attempts[i]; !a.over && a.started > 0 {
+			if a := &r.attempts[i]; !a.ended && a.startedAt > 0 {
 				running++
-				require.Contains(t, d.started, startedAttempt{r, i})
+				require.Contains(t, d.running, startedAttempt{r, i})
 			}
 		}
 	}
-	require.GreaterOrEqual(t, len(d.started), running)
+	require.GreaterOrEqual(t, len(d.running), running)
 }
 
 // A ring that follows the changes of a list is point by point the one that is laid out anew from it.
@@ -158,7 +158,7 @@
 // it so: until what it has shown has faded, and again when running times that are learned later make it fade later.
 func TestOneThatWasSlowIsVisited(t *testing.T) {
 	set := oneClass(Repeatable)
-	set.GroupSize, set.MayTell = 3, true
+	set.GroupSize, set.MayBroadcast = 3, true
 	b := newBed(set, fleet(8)...)
 	for k := range uint64(100) {
 		b.serve(k, 20*ms)
@@ -166,24 +166,24 @@
 	slow := b.byID["w0"]
 	for range 12 {
 		for _, w := range b.workers {
-			served := newRecord(toldServed, w, &request{Request: Request{Slots: 1}})
-			if served.setRan(20 * ms); w == slow {
-				served.setRan(400 * ms)
+			served := newRecord(eventServed, w, &request{Request: Request{Slots: 1}})
+			if served.setRunTime(20 * ms); w == slow {
+				served.setRunTime(400 * ms)
 			}
-			b.Peer(b.now, 1, served.append(nil))
+			b.PeerMessage(b.now, 1, served.append(nil))
 		}
 	}
 	for range 3 {
 		slow.slowAt, b.meanRun.v = b.now, 20_000
-		require.True(t, b.suspect(b.now, slow))
-		require.Zero(t, slow.out)
+		require.True(t, b.isSuspect(b.now, slow))
+		require.Zero(t, slow.outstanding)
 		requireInStep(t, b.Dispatcher, b.now)
 		b.pass(2000 * ms)
-		require.False(t, b.suspect(b.now, slow), "it has faded")
+		require.False(t, b.isSuspect(b.now, slow), "it has faded")
 		b.meanRun.v = 2e6
-		require.True(t, b.suspect(b.now, slow))
+		require.True(t, b.isSuspect(b.now, slow))
 		requireInStep(t, b.Dispatcher, b.now)
-		b.pass(tick)
+		b.pass(tickInterval)
 	}
 }
 
@@ -191,12 +191,12 @@
 func TestOneThatFailsItsProbesIsVisited(t *testing.T) {
 	b := newBed(oneClass(Once), fleet(3)...)
 	for range 3 {
-		b.Probed(b.now, &Probed{Worker: "w1", Status: Unreachable})
+		b.Probed(b.now, &ProbeResult{Worker: "w1", Status: Unreachable})
 	}
-	require.True(t, b.suspect(b.now, b.byID["w1"]))
+	require.True(t, b.isSuspect(b.now, b.byID["w1"]))
 	requireInStep(t, b.Dispatcher, b.now)
 	b.pass(60_000 * ms)
-	require.Zero(t, b.visited.Count())
+	require.Zero(t, b.marked.Count())
 }
 
 // What a change of three entries touches does not grow with the list: ring points, tags, workers visited by the tick
@@ -215,18 +215,18 @@
 			entries[i].State = Draining
 		}
 		b.List(b.now, &List{Form: ListDelta, Entries: entries})
-		c := cost{stale: len(b.rings[0].stale), visited: int(b.visited.Count())}
+		c := cost{stale: len(b.rings[0].stale), visited: int(b.marked.Count())}
 		b.ring(0)
 		c.points = len(b.rings[0].removed) + len(b.rings[0].added)
-		require.Equal(t, workers-3, b.ready)
+		require.Equal(t, workers-3, b.readyCount)
 		entries[0].State, entries[1].State, entries[2].State = Gone, Gone, Ready
 		b.List(b.now, &List{Form: ListDelta, Entries: entries})
-		c.visited += int(b.visited.Count())
+		c.visited += int(b.marked.Count())
 		b.ring(0)
 		c.points += len(b.rings[0].removed) + len(b.rings[0].added)
 		b.housekeeping(b.now)
 		require.Len(t, b.byID, workers-2)
-		c.visited += int(b.visited.Count())
+		c.visited += int(b.marked.Count())
 		costs = append(costs, c)
 	}
 	require.Equal(t, []cost{{32, 3, 2}, {32, 3, 2}, {32, 3, 2}}, costs)
@@ -248,7 +248,7 @@
 			}
 		}
 		b.housekeeping(b.now)
-		require.EqualValues(t, len(open), b.visited.Count())
+		require.EqualValues(t, len(open), b.marked.Count())
 	}
 }
 
@@ -273,13 +273,13 @@
 func TestFiguresBehindARemovedWorker(t *testing.T) {
 	b := newBed(oneClass(Once), fleet(8)...)
 	b.List(b.now, &List{Form: ListDelta, Entries: []ListEntry{{Worker: "w0", State: Gone}}})
-	b.pass(2 * tick)
-	require.Equal(t, 7, b.Known())
-	require.Zero(t, b.Occupied(b.now))
-	require.Zero(t, b.Avoided(b.now))
+	b.pass(2 * tickInterval)
+	require.Equal(t, 7, b.KnownWorkers())
+	require.Zero(t, b.Utilization(b.now))
+	require.Zero(t, b.OutOfRotation(b.now))
 	b.ask(1)
-	require.InDelta(t, 1/(7*paperFull), b.Occupied(b.now), 1e-9)
-	require.True(t, b.Hold(b.now, "w1", ByHand, true))
-	require.Equal(t, 1, b.Avoided(b.now))
+	require.InDelta(t, 1/(7*defaultSlots), b.Utilization(b.now), 1e-9)
+	require.True(t, b.SetDisabled(b.now, "w1", ByOperator, true))
+	require.Equal(t, 1, b.OutOfRotation(b.now))
 	require.Nil(t, b.workers[0])
 }
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -46,7 +46,7 @@
 func (a *recorder) Fail(r RequestID, _ Reason)           { a.failed[r]++ }
 func (a *recorder) Timer(delay Time, _ uint64)           { a.timers = append(a.timers, a.now+delay) }
 func (a *recorder) Probe(w WorkerID)                     { a.probes = append(a.probes, w) }
-func (a *recorder) Tell(data []byte)                     { a.told = append(a.told, data) }
+func (a *recorder) Broadcast(data []byte)                { a.told = append(a.told, data) }
 func (a *recorder) Watch(bool)                           { a.watches++ }
 func (a *recorder) Fetch()                               {}
 func (a *recorder) Log(string)                           {}
@@ -134,7 +134,7 @@
 
 func oneClass(effect Effect) Settings {
 	return Settings{Zones: 2, Kinds: 1, MaxAttempts: 5, MayCancel: true, AnswerSlack: 16 * ms,
-		Classes: []Class{{Aim: 150 * ms, Stretch: 2, Deadline: 5000 * ms, Effect: effect, Window: 2000 * ms, Kind: -1}}}
+		Classes: []Class{{LatencyTarget: 150 * ms, TargetStretch: 2, Deadline: 5000 * ms, Effect: effect, Window: 2000 * ms, Kind: -1}}}
 }
 
 // ---- The paper's rules.
@@ -154,11 +154,11 @@
 
 func TestLeastLoadedOfTheSet(t *testing.T) {
 	b := newBed(oneClass(Once), fleet(6)...)
-	e := b.table.use(7, 100)
+	e := b.table.touch(7, 100)
 	for _, w := range []WorkerID{"w1", "w2", "w3"} {
 		e.set = append(e.set, b.byID[w])
 	}
-	b.byID["w1"].own, b.byID["w2"].own, b.byID["w3"].own = 2, 1, 3
+	b.byID["w1"].ownSlots, b.byID["w2"].ownSlots, b.byID["w3"].ownSlots = 2, 1, 3
 	b.ask(7)
 	if w := b.a.last().w; w != "w2" {
 		t.Errorf("went to %s, want the least loaded of the set, w2", w)
@@ -168,7 +168,7 @@
 func TestFullTakesNothingAndAScanJoins(t *testing.T) {
 	b := newBed(oneClass(Once), fleet(20)...)
 	home := b.serve(7, 100*ms)
-	b.byID[home].own = 100
+	b.byID[home].ownSlots = 100
 	b.ask(7)
 	if w := b.a.last().w; w == home {
 		t.Fatal("a Full worker was sent a job while others were Free")
@@ -184,29 +184,29 @@
 	now := b.now
 	w := b.byID["w0"]
 	r := &request{Request: Request{Key: 7, HasKey: true, Slots: 1}}
-	w.own = 0.8 * paperFull // Busy
+	w.ownSlots = 0.8 * defaultSlots // Busy
 	for range 4 {
 		for k := uint64(100); k < 104; k++ {
-			w.countKey(now, k, b.meanRun.v)
+			w.countRunningKey(now, k, b.meanRun.v)
 		}
 	}
-	w.countKey(now, 7, b.meanRun.v)
-	if v := b.available(now, w, r); v != notMajor {
+	w.countRunningKey(now, 7, b.meanRun.v)
+	if v := b.availability(now, w, r); v != notMajor {
 		t.Errorf("a minor key at a Busy worker: %v, want notMajor", v)
 	}
 	for range 9 {
-		w.countKey(now, 7, b.meanRun.v)
+		w.countRunningKey(now, 7, b.meanRun.v)
 	}
-	if v := b.available(now, w, r); v != accepts {
+	if v := b.availability(now, w, r); v != accepts {
 		t.Errorf("a major key at a Busy worker: %v, want accepts", v)
 	}
-	w.own = 0 // Free
+	w.ownSlots = 0 // Free
 	r.Key = 8
-	if v := b.available(now, w, r); v != accepts {
+	if v := b.availability(now, w, r); v != accepts {
 		t.Errorf("any key at a Free worker: %v, want accepts", v)
 	}
-	w.own = 2 * paperFull
-	if v := b.available(now, w, r); v != full {
+	w.ownSlots = 2 * defaultSlots
+	if v := b.availability(now, w, r); v != full {
 		t.Errorf("a Full worker: %v, want full", v)
 	}
 }
@@ -215,13 +215,13 @@
 	b := newBed(oneClass(Once), fleet(8)...)
 	b.meanRun.add(100_000, gain)
 	r := &request{Request: Request{Key: 7, HasKey: true, Slots: 1, Deadline: b.now + 1000*ms}}
-	b.sample(r, sampleSize)
-	w := b.buf[len(b.buf)-1] // not the key's home
-	e := b.table.use(7, 100)
+	b.fillSample(r, sampleSize)
+	w := b.sampleBuf[len(b.sampleBuf)-1] // not the key's home
+	e := b.table.touch(7, 100)
 	e.set = append(e.set, w)
-	w.own = 0.8 * paperFull
+	w.ownSlots = 0.8 * defaultSlots
 	for k := uint64(100); k < 104; k++ {
-		w.countKey(b.now, k, b.meanRun.v)
+		w.countRunningKey(b.now, k, b.meanRun.v)
 	}
 	b.ask(7)
 	for _, m := range b.table.byKey[7].set {
@@ -234,7 +234,7 @@
 func TestAllFullJoinsTheLeastLoadedQueue(t *testing.T) {
 	b := newBed(oneClass(Once), fleet(4)...)
 	for i, id := range []WorkerID{"w0", "w1", "w2", "w3"} {
-		b.byID[id].own = 40 - float64(i)
+		b.byID[id].ownSlots = 40 - float64(i)
 	}
 	b.ask(7)
 	if w := b.a.last().w; w != "w3" {
@@ -256,7 +256,7 @@
 		}
 	}
 	b = newBed(oneClass(Once), fleet(2)...)
-	b.byID["w0"].cap, b.byID["w1"].cap = mean{2, 20}, mean{8, 20}
+	b.byID["w0"].capacity, b.byID["w1"].capacity = ewma{2, 20}, ewma{8, 20}
 	for k := range uint64(5) {
 		b.askAs(Request{Key: k, HasKey: true, Slots: 4})
 		if w := b.a.last().w; w != "w1" {
@@ -270,7 +270,7 @@
 		l[i].Kind = i % 2
 	}
 	b = newBed(s, l...)
-	b.kinds[0].cap, b.kinds[1].cap = mean{2, 20}, mean{8, 20}
+	b.kinds[0].capacity, b.kinds[1].capacity = ewma{2, 20}, ewma{8, 20}
 	for k := range uint64(20) {
 		b.askAs(Request{Key: k, HasKey: true, Slots: 4})
 		if w := b.byID[b.a.last().w]; w.Kind != 1 {
@@ -279,7 +279,7 @@
 	}
 	b = newBed(oneClass(Once), fleet(2)...)
 	b.meanRun.add(100_000, gain)
-	b.byID["w0"].freeMem, b.byID["w0"].memAt = 0.2, b.now
+	b.byID["w0"].freeMem, b.byID["w0"].freeMemAt = 0.2, b.now
 	for k := range uint64(5) {
 		b.askAs(Request{Key: k, HasKey: true, Memory: 1})
 		if w := b.a.last().w; w != "w1" {
@@ -392,20 +392,20 @@
 	b := newBed(oneClass(Once), fleet(3)...)
 	w := b.byID["w0"]
 	fresh := func() *request { return &request{Request: Request{Slots: 1, Deadline: b.now + 100*ms}} }
-	if !b.may(b.now, fresh(), w) {
+	if !b.maySend(b.now, fresh(), w) {
 		t.Fatal("the gate holds back a plain request")
 	}
 	closed, late, sent := fresh(), fresh(), fresh()
 	closed.closed = true
 	late.Deadline = b.now
-	sent.attempts = []attempt{{w: b.byID["w1"], over: true}}
+	sent.attempts = []attempt{{w: b.byID["w1"], ended: true}}
 	for name, r := range map[string]*request{"closed": closed, "past its deadline": late, "unsafe and sent": sent} {
-		if b.may(b.now, r, w) {
+		if b.maySend(b.now, r, w) {
 			t.Errorf("the gate lets through a request that is %s", name)
 		}
 	}
 	for _, s := range []WorkerState{Draining, Gone} {
-		if w.state = s; b.may(b.now, fresh(), w) {
+		if w.state = s; b.maySend(b.now, fresh(), w) {
 			t.Errorf("the gate lets through a send to a worker in state %v", s)
 		}
 	}
@@ -460,7 +460,7 @@
 func TestColdWorkerGetsNoOpeningBurst(t *testing.T) {
 	const group = 60
 	s := oneClass(Once)
-	s.GroupSize, s.ColdFrom, s.WarmWithin, s.OverloadFactor, s.TipAfter = group, 0.3, 9000*ms, 3, 1500*ms
+	s.GroupSize, s.SlowStartMinCapacity, s.SlowStartWindow, s.OverloadFactor, s.OverloadWindow = group, 0.3, 9000*ms, 3, 1500*ms
 	var at []Time
 	for g := range group {
 		s.Rank = g
@@ -470,7 +470,7 @@
 		for range 20 {
 			b.classes[0].run.add(200_000, gain)
 		}
-		b.capAll.add(4, gain)
+		b.fleetCapacity.add(4, gain)
 		b.List(b.now, &List{Form: ListDelta, Entries: []ListEntry{{Worker: "cold", Weight: 1, StartedAt: b.now}}})
 		for range 100 { // far more than it may be given
 			b.ask(7)
@@ -499,7 +499,7 @@
 
 func TestAskingForTheListBacksOff(t *testing.T) {
 	s := oneClass(Once)
-	s.AskForList = true
+	s.PullsList = true
 	b := newBed(s, fleet(3)...)
 	b.pass(5000 * ms)
 	if b.a.watches != 1 {
@@ -527,16 +527,16 @@
 	b.meanRun.add(100_000, gain)
 	w := b.byID["w0"]
 	l := Load{Has: HasQueue | HasInFlight | HasFreeSlots, InFlight: 3, FreeSlots: 1}
-	b.report(b.now, w, &l)
-	seen := w.othersAt
+	b.applyReport(b.now, w, &l)
+	seen := w.othersSeenAt
 	b.pass(500 * ms)
-	b.report(b.now, w, &l)
-	if w.othersAt != seen || w.others.n != 1 {
+	b.applyReport(b.now, w, &l)
+	if w.othersSeenAt != seen || w.othersLoad.n != 1 {
 		t.Error("the same figures again were taken for a new observation")
 	}
 	l.InFlight = 4
-	b.report(b.now, w, &l)
-	if w.othersAt != b.now {
+	b.applyReport(b.now, w, &l)
+	if w.othersSeenAt != b.now {
 		t.Error("new figures were passed over")
 	}
 }
@@ -549,10 +549,10 @@
 		b.askAs(Request{Slots: 3})
 	}
 	w := b.byID["w0"]
-	w.ownMean, w.own = 0, 0
-	b.report(b.now, w, &Load{Has: HasInFlight | HasFreeSlots, InFlight: 2, FreeSlots: 2})
-	if w.cap.v < 7.9 || w.cap.v > 8.1 || w.others.v < 5.9 {
-		t.Errorf("capacity %.1f and others' load %.1f, want 8 and 6", w.cap.v, w.others.v)
+	w.ownAverage, w.ownSlots = 0, 0
+	b.applyReport(b.now, w, &Load{Has: HasInFlight | HasFreeSlots, InFlight: 2, FreeSlots: 2})
+	if w.capacity.v < 7.9 || w.capacity.v > 8.1 || w.othersLoad.v < 5.9 {
+		t.Errorf("capacity %.1f and others' load %.1f, want 8 and 6", w.capacity.v, w.othersLoad.v)
 	}
 }
 
@@ -574,13 +574,13 @@
 // A wait behind one long job must not be read as a jam of dozens.
 func TestStartDelayIsBounded(t *testing.T) {
 	s := oneClass(Once)
-	s.TellsStart = true
+	s.ReportsStart = true
 	b := newBed(s, fleet(3)...)
 	b.meanRun.add(100_000, gain)
 	r := b.ask(7)
 	w := b.byID[b.a.last().w]
 	b.pass(3000 * ms)
-	b.Note(b.now, &Note{Request: r, Worker: w.id, Started: true})
+	b.Progress(b.now, &Progress{Request: r, Worker: w.id, Started: true})
 	if n := b.load(b.now, w); n < b.slots(w) || n > 2*b.slots(w)+1 {
 		t.Errorf("load %.1f of %.1f slots after a long wait", n, b.slots(w))
 	}
@@ -590,7 +590,7 @@
 func TestAnUnseenWorkerIsNotTakenAsEmpty(t *testing.T) {
 	b := newBed(oneClass(Once), fleet(3)...)
 	for range 30 {
-		b.seeOthers(b.now, b.byID["w0"], b.slots(b.byID["w0"]))
+		b.recordOthersLoad(b.now, b.byID["w0"], b.slots(b.byID["w0"]))
 	}
 	if n := b.load(b.now, b.byID["w2"]); n < 0.9*b.slots(b.byID["w2"]) {
 		t.Errorf("an unseen worker counts as bearing %.1f while the seen bear %.1f", n, b.slots(b.byID["w0"]))
@@ -601,9 +601,9 @@
 // its end. Found by the hostile events, with one send in 1,400 requests.
 func TestAJamOnceSeenFades(t *testing.T) {
 	b := newBed(oneClass(Once), fleet(10)...)
-	b.meanRun, b.classes[0].run = mean{100_000, 100}, mean{100_000, 100}
+	b.meanRun, b.classes[0].run = ewma{100_000, 100}, ewma{100_000, 100}
 	for _, w := range b.workers {
-		b.seeOthers(b.now, w, 5*b.slots(w))
+		b.recordOthersLoad(b.now, w, 5*b.slots(w))
 	}
 	if b.ask(7); len(b.a.sends) != 0 {
 		t.Fatal("a job sent into a jam of five jobs a slot")
@@ -625,14 +625,14 @@
 		b.ask(7)
 	}
 	r := &request{Request: Request{Key: 7, HasKey: true}}
-	if n := b.spread(b.now, r); n <= sampleSize {
+	if n := b.scanSize(b.now, r); n <= sampleSize {
 		t.Errorf("a key that draws everything is looked for at %d workers", n)
 	}
 	for k := range uint64(300) {
 		b.ask(1000 + k)
 	}
 	r.Key = 1001
-	if n := b.spread(b.now, r); n != sampleSize {
+	if n := b.scanSize(b.now, r); n != sampleSize {
 		t.Errorf("a key asked for once is looked for at %d workers, want %d", n, sampleSize)
 	}
 }
@@ -642,13 +642,13 @@
 func TestARareKeyDoesNotSpill(t *testing.T) {
 	b := newBed(oneClass(Once), fleet(100)...)
 	b.meanRun.add(1_000_000, gain)
-	b.asked = keyCount{n: 10_000, at: b.now} // requests for other keys
+	b.keyedRequests = decayingCount{n: 10_000, at: b.now} // requests for other keys
 	used := map[WorkerID]bool{}
 	for range 12 {
 		b.ask(7)
 		w := b.a.last().w
 		used[w] = true
-		b.byID[w].own = 3 * paperFull // Full from now on
+		b.byID[w].ownSlots = 3 * defaultSlots // Full from now on
 		b.pass(200 * ms)
 	}
 	if len(used) > sampleSize {
@@ -659,21 +659,21 @@
 // When not all can be done, what brings little for its time goes first, and over-share traffic.
 func TestSheddingByWorth(t *testing.T) {
 	s := oneClass(Once)
-	s.OverShareWorth = 0.05
+	s.OverQuotaValue = 0.05
 	s.Classes = append(s.Classes, s.Classes[0])
-	s.Classes[0].Worth, s.Classes[1].Worth = 1, 10
+	s.Classes[0].Value, s.Classes[1].Value = 1, 10
 	b := newBed(s, fleet(1)...)
-	b.meanRun = mean{100_000, 100}
-	b.classes[0].run, b.classes[1].run = mean{100_000, 100}, mean{100_000, 100}
+	b.meanRun = ewma{100_000, 100}
+	b.classes[0].run, b.classes[1].run = ewma{100_000, 100}, ewma{100_000, 100}
 	w := b.byID["w0"]
-	w.cap.add(4, gain)
-	b.classes[0].asked, b.classes[1].asked = 50, 50
+	w.capacity.add(4, gain)
+	b.classes[0].recentRequests, b.classes[1].recentRequests = 50, 50
 	r := func(class int, over bool) *request {
-		return &request{size: 1, Request: Request{Class: class, Slots: 1}, arrived: b.now, over: over}
+		return &request{size: 1, Request: Request{Class: class, Slots: 1}, arrived: b.now, overQuota: over}
 	}
 	shed := func(load float64, q *request) bool {
-		w.own = load
-		return b.hopeless(b.now, q, w)
+		w.ownSlots = load
+		return b.shouldShed(b.now, q, w)
 	}
 	if shed(5, r(1, false)) || !shed(5, r(0, false)) || !shed(5, r(1, true)) {
 		t.Errorf("with a short queue: dear %v, cheap %v, over-share %v; want only the dear one kept",
@@ -688,13 +688,13 @@
 // the posters got nothing any more after one bad sight.
 func TestAWorkerNotSeenForLongIsTried(t *testing.T) {
 	b := newBed(oneClass(Once), fleet(2)...)
-	b.meanRun, b.classes[0].run = mean{100_000, 100}, mean{100_000, 100}
+	b.meanRun, b.classes[0].run = ewma{100_000, 100}, ewma{100_000, 100}
 	for range 8 {
-		b.seeOthers(b.now, b.byID["w0"], 5*paperFull)
+		b.recordOthersLoad(b.now, b.byID["w0"], 5*defaultSlots)
 	}
 	for range 80 {
 		b.pass(50 * ms)
-		b.seeOthers(b.now, b.byID["w1"], 5*paperFull)
+		b.recordOthersLoad(b.now, b.byID["w1"], 5*defaultSlots)
 		b.ask(7)
 	}
 	if n := b.a.sentTo("w0"); n == 0 || n > 5 {
@@ -712,23 +712,23 @@
 	for range 50 {
 		b.ask(7)
 	}
-	b.price = priceMost
-	b.classes[0].run = mean{900_000, 1000}
-	if rel := b.relWorth(&request{size: 1, Request: Request{Slots: 1}}); rel < b.price {
-		t.Errorf("the only class has a worth of %.2f against the mean, under the highest price %.2f", rel, b.price)
+	b.admissionThreshold = maxThreshold
+	b.classes[0].run = ewma{900_000, 1000}
+	if rel := b.relativeDensity(&request{size: 1, Request: Request{Slots: 1}}); rel < b.admissionThreshold {
+		t.Errorf("the only class has a worth of %.2f against the mean, under the highest price %.2f", rel, b.admissionThreshold)
 	}
 }
 
 // A silent worker draws nothing while others answer, and comes back when it is heard again.
 func TestSilentWorkerIsAvoided(t *testing.T) {
 	s := oneClass(Once)
-	s.TellsStart = true
+	s.ReportsStart = true
 	b := newBed(s, fleet(6)...)
 	for k := range uint64(60) { // what a sign of life usually takes
 		r := b.ask(k)
 		x := b.a.last()
 		b.pass(2 * ms)
-		b.Note(b.now, &Note{Request: r, Worker: x.w, Started: true})
+		b.Progress(b.now, &Progress{Request: r, Worker: x.w, Started: true})
 		b.pass(20 * ms)
 		b.end(r, 0, x.w, OK)
 	}
@@ -745,8 +745,8 @@
 	if n := b.a.sentTo(quiet) - before; n > 0 {
 		t.Errorf("%d jobs sent to a silent worker", n)
 	}
-	b.Note(b.now, &Note{Request: r, Worker: quiet, Started: true})
-	if b.suspect(b.now, b.byID[quiet]) {
+	b.Progress(b.now, &Progress{Request: r, Worker: quiet, Started: true})
+	if b.isSuspect(b.now, b.byID[quiet]) {
 		t.Error("still suspect after a sign of life")
 	}
 }
@@ -755,7 +755,7 @@
 // lost workers as often as they liked were most of all the fleet's probes.
 func TestProbesOfLostWorkersFollowFromTheJobs(t *testing.T) {
 	s := oneClass(Repeatable)
-	s.MayProbe, s.LoadInProbes, s.ProbePrice, s.MaxAttempts = true, true, 0.0018, 4
+	s.MayProbe, s.LoadInProbes, s.ProbeCost, s.MaxAttempts = true, true, 0.0018, 4
 	b := newBed(s, fleet(30)...)
 	answered, jobs := 0, 0
 	for range 100 {
@@ -766,14 +766,14 @@
 		for range 10 {
 			b.pass(10 * ms)
 			for ; answered < len(b.a.probes); answered++ {
-				b.Probed(b.now, &Probed{Worker: b.a.probes[answered], Status: Unreachable})
+				b.Probed(b.now, &ProbeResult{Worker: b.a.probes[answered], Status: Unreachable})
 			}
 			for _, w := range b.workers {
-				b.failed(b.now, w, 0.5)
+				b.recordFailure(b.now, w, 0.5)
 			}
 		}
 	}
-	if n := len(b.a.probes); n == 0 || float64(n) > probeMost*float64(jobs) {
+	if n := len(b.a.probes); n == 0 || float64(n) > maxProbes*float64(jobs) {
 		t.Errorf("%d probes for %d jobs", n, jobs)
 	}
 }
@@ -828,7 +828,7 @@
 	b := newBed(oneClass(Once), fleet(6)...)
 	for _, id := range []WorkerID{"w0", "w1", "w2", "w3", "w4"} {
 		for range 4 { // benched for four seconds
-			b.failed(b.now, b.byID[id], 0.5)
+			b.recordFailure(b.now, b.byID[id], 0.5)
 		}
 	}
 	b.pass(300 * ms)
@@ -871,7 +871,7 @@
 func TestOwnZoneGoesFirst(t *testing.T) {
 	far := func(price float64) int {
 		s := oneClass(Once)
-		s.CrossZonePrice = price
+		s.CrossZoneCost = price
 		b := newBed(s, ListEntry{Worker: "near", Weight: 1}, ListEntry{Worker: "far", Zone: 1, Weight: 1})
 		for range 6 {
 			b.askAs(Request{})
@@ -901,18 +901,18 @@
 // A scan looks at workers of both zones: half of its sample is of the own one where crossing has a price.
 func TestSampleHoldsOwnZone(t *testing.T) {
 	s := oneClass(Once)
-	s.CrossZonePrice = 0.13
+	s.CrossZoneCost = 0.13
 	b := newBed(s, fleet(16)...)
 	for key := range uint64(40) {
-		b.sample(&request{Request: Request{Key: key}}, sampleSize)
+		b.fillSample(&request{Request: Request{Key: key}}, sampleSize)
 		own := 0
-		for _, w := range b.buf {
+		for _, w := range b.sampleBuf {
 			if w.Zone == s.Zone {
 				own++
 			}
 		}
-		if len(b.buf) != sampleSize || own < sampleSize/2 {
-			t.Errorf("key %d: %d of %d in the own zone", key, own, len(b.buf))
+		if len(b.sampleBuf) != sampleSize || own < sampleSize/2 {
+			t.Errorf("key %d: %d of %d in the own zone", key, own, len(b.sampleBuf))
 		}
 	}
 }
@@ -921,7 +921,7 @@
 func TestAKeyComesBackToItsOwnZone(t *testing.T) {
 	back := func(price float64) bool {
 		s := oneClass(Once)
-		s.CrossZonePrice = price
+		s.CrossZoneCost = price
 		b := newBed(s, ListEntry{Worker: "far", Zone: 1, Weight: 1})
 		b.serve(1, 100*ms)
 		b.List(b.now, &List{Entries: []ListEntry{{Worker: "near", Weight: 1}}})
@@ -935,9 +935,9 @@
 // The price of crossing is one for each request: a job that is worth more bears it sooner.
 func TestDearJobsCrossSooner(t *testing.T) {
 	s := oneClass(Once)
-	s.CrossZonePrice = 0.13
+	s.CrossZoneCost = 0.13
 	s.Classes = append(s.Classes, s.Classes[0])
-	s.Classes[0].Worth, s.Classes[1].Worth = 2, 10
+	s.Classes[0].Value, s.Classes[1].Value = 2, 10
 	b := newBed(s, ListEntry{Worker: "near", Weight: 1}, ListEntry{Worker: "far", Zone: 1, Weight: 1})
 	for range 8 {
 		b.serve(1, 10*ms)
@@ -963,7 +963,7 @@
 	}
 	r := b.ask(1)
 	worn := b.byID[b.a.last().w]
-	b.Note(b.now, &Note{Request: r, Worker: worn.id, Started: true})
+	b.Progress(b.now, &Progress{Request: r, Worker: worn.id, Started: true})
 	before := b.slowness(b.now, worn)
 	b.pass(100 * ms)
 	if s := b.slowness(b.now, worn); s > before*1.01 {
@@ -975,8 +975,8 @@
 	}
 	b.end(r, 0, worn.id, OK)
 	b.pass(500 * ms)
-	if worn.late != 0 {
-		t.Errorf("%.1f running times after the end", worn.late)
+	if worn.overdue != 0 {
+		t.Errorf("%.1f running times after the end", worn.overdue)
 	}
 }
 
@@ -991,7 +991,7 @@
 	r := b.ask(1)
 	failing := b.a.last().w
 	b.end(r, 0, failing, Error)
-	b.Probed(b.now, &Probed{Worker: failing, Status: OK})
+	b.Probed(b.now, &ProbeResult{Worker: failing, Status: OK})
 	sends := func(class int) (there bool) {
 		id := b.askAs(Request{Key: 1, HasKey: true, Class: class})
 		at := b.a.last().w
@@ -1004,13 +1004,13 @@
 	}
 	w := b.byID[failing]
 	one, two := &request{Request: Request{Class: 0}}, &request{Request: Request{Class: 1}}
-	if !b.shy(b.now, w, one) || b.shy(b.now, w, two) {
+	if !b.avoidAfterFailures(b.now, w, one) || b.avoidAfterFailures(b.now, w, two) {
 		t.Error("it holds for those that must not run twice, and for them alone")
 	}
 	for range 8 {
-		w.faults.n *= 1 - loadGain // as each job that it serves does
+		w.recentFailures.n *= 1 - loadGain // as each job that it serves does
 	}
-	if b.shy(b.now, w, one) {
+	if b.avoidAfterFailures(b.now, w, one) {
 		t.Error("it has served eight jobs since")
 	}
 }
@@ -1022,14 +1022,14 @@
 	b.meanRun.add(100_000, gain)
 	for i := range 12 {
 		w := b.workers[i%6]
-		b.report(b.now, w, &Load{Has: HasQueue | HasInFlight | HasFreeSlots, InFlight: 1, FreeSlots: 3 + float64(i)/100})
+		b.applyReport(b.now, w, &Load{Has: HasQueue | HasInFlight | HasFreeSlots, InFlight: 1, FreeSlots: 3 + float64(i)/100})
 	}
 	liar := b.byID["w0"]
-	b.report(b.now, liar, &Load{Has: HasQueue | HasInFlight | HasFreeSlots, FreeSlots: 9000})
+	b.applyReport(b.now, liar, &Load{Has: HasQueue | HasInFlight | HasFreeSlots, FreeSlots: 9000})
 	if b.slots(liar) > 5 {
 		t.Errorf("%.0f slots are believed of a worker whose kind has 4", b.slots(liar))
 	}
-	b.report(b.now, liar, &Load{Has: HasQueue | HasInFlight | HasFreeSlots, InFlight: 90_000, Queue: 89_999, FreeSlots: 3})
+	b.applyReport(b.now, liar, &Load{Has: HasQueue | HasInFlight | HasFreeSlots, InFlight: 90_000, Queue: 89_999, FreeSlots: 3})
 	unseen := &worker{ListEntry: liar.ListEntry}
 	if load := b.load(b.now, unseen); load > 10 {
 		t.Errorf("a worker that was never seen is taken to bear %.0f for what one reported of itself", load)
@@ -1045,14 +1045,14 @@
 	b := newBed(Settings{Classes: []Class{{Deadline: 10_000 * ms, Kind: -1}}}, fleet...)
 	for i := range 40 {
 		asker := fleet[7*i].Worker
-		b.Request(b.now, &Request{ID: RequestID(fmt.Sprint("r", i)), Deadline: b.now + 1000*ms, Asker: asker})
+		b.Request(b.now, &Request{ID: RequestID(fmt.Sprint("r", i)), Deadline: b.now + 1000*ms, FetchingWorker: asker})
 		if got := b.a.last().w; got != asker {
 			t.Fatalf("%s asked, %s got the job", asker, got)
 		}
 	}
 	// It gets no job that the rules keep from it.
 	b.List(b.now, &List{Form: ListDelta, Entries: []ListEntry{{Worker: "w1", State: Draining}}})
-	b.Request(b.now, &Request{ID: "r", Deadline: b.now + 1000*ms, Asker: "w1"})
+	b.Request(b.now, &Request{ID: "r", Deadline: b.now + 1000*ms, FetchingWorker: "w1"})
 	if b.a.last().w == "w1" {
 		t.Fatal("a draining worker asked and got a job")
 	}
@@ -1066,8 +1066,8 @@
 		b.Request(b.now, &Request{ID: id, Deadline: b.now + 3_600_000*ms})
 		b.Outcome(b.now, &Outcome{Request: id, Worker: "w", Status: OK, Closed: true})
 	}
-	if len(b.heap) > 100 {
-		t.Fatalf("%d wake-ups for no open request", len(b.heap))
+	if len(b.timers) > 100 {
+		t.Fatalf("%d wake-ups for no open request", len(b.timers))
 	}
 }
 
@@ -1080,7 +1080,7 @@
 	for k := range uint64(20) {
 		b.serve(k, ms)
 	}
-	b.workers[0].own, b.workers[0].triedAt = paperFull+1, b.now
+	b.workers[0].ownSlots, b.workers[0].triedAt = defaultSlots+1, b.now
 	before := len(b.a.sends)
 	if b.askAs(Request{Class: 1, Key: 1, HasKey: true}); len(b.a.sends) != before+1 {
 		t.Errorf("refused: %v", b.a.refused)
--- a/rules/scale_test.go
+++ b/rules/scale_test.go
@@ -21,11 +21,11 @@
 // scaleBed has the given number of workers, and jobs of ours started at a hundred of them.
 func scaleBed(workers int, weighted bool) *bed {
 	s := oneClass(Once)
-	s.GroupSize, s.MayTell, s.MayProbe, s.WeightsAreSize = 32, true, true, weighted
+	s.GroupSize, s.MayBroadcast, s.MayProbe, s.WeightsAreSize = 32, true, true, weighted
 	b := newBed(s, scaleFleet(workers)...)
 	for i := range 100 {
 		r := b.ask(uint64(i))
-		b.Note(b.now, &Note{Request: r, Attempt: 0, Worker: b.a.last().w, Started: true})
+		b.Progress(b.now, &Progress{Request: r, Attempt: 0, Worker: b.a.last().w, Started: true})
 	}
 	return b
 }
--- a/rules/shed.go
+++ b/rules/shed.go
@@ -5,9 +5,9 @@
 
 // place sends the request to the worker that the table gives, sheds it, or holds it.
 func (d *Dispatcher) place(now Time, r *request) bool {
-	w, queued := d.choose(now, r)
+	w, queued := d.chooseWorker(now, r)
 	if w == nil {
-		if r.out == 0 && !r.held {
+		if r.outstanding == 0 && !r.held {
 			r.held = true
 			d.held = append(d.held, r)
 		}
@@ -15,13 +15,13 @@
 	}
 	shed := false
 	if queued {
-		shed = d.hopeless(now, r, w)
+		shed = d.shouldShed(now, r, w)
 	} else {
-		d.price *= 1 - priceDown
-		shed = d.load(now, w)+r.Slots > busyRatio*d.slots(w)*d.warmth(now, w) && d.relWorth(r) < d.price
+		d.admissionThreshold *= 1 - thresholdStepDown
+		shed = d.load(now, w)+r.Slots > busyFraction*d.slots(w)*d.warmFraction(now, w) && d.relativeDensity(r) < d.admissionThreshold
 	}
-	if shed && r.out == 0 && d.mayRefuse(r) {
-		t := d.trial(now, r)
+	if shed && r.outstanding == 0 && d.mayRefuse(r) {
+		t := d.probeRequestTarget(now, r)
 		if t == nil || !queued {
 			d.refuse(now, r, Shed)
 			return true
@@ -35,13 +35,13 @@
 // trial gives a worker that the job, which would be shed, may as well try: one not seen for long. A
 // jam once seen would otherwise last for ever where nothing but a send can tell of its end. All
 // dispatchers together try a worker less than once in a running time [D6].
-func (d *Dispatcher) trial(now Time, r *request) (oldest *worker) {
-	if r.over {
+func (d *Dispatcher) probeRequestTarget(now Time, r *request) (oldest *worker) {
+	if r.overQuota {
 		return nil
 	}
 	last := now - Time(d.meanRun.v*(10+d.kind(d.classes[r.Class].Kind).senders))
-	for _, w := range d.buf {
-		if seen := max(w.othersAt, w.triedAt); seen < last && !d.suspect(now, w) && d.may(now, r, w) {
+	for _, w := range d.sampleBuf {
+		if seen := max(w.othersSeenAt, w.triedAt); seen < last && !d.isSuspect(now, w) && d.maySend(now, r, w) {
 			oldest, last = w, seen
 		}
 	}
@@ -54,87 +54,87 @@
 // hopeless tells of a request that even the least loaded worker would start too late to be of
 // worth. Jobs of little worth for the slot-time they take, and with them what a tenant sends beyond
 // its share, are shed at shorter waits, so that a fleet that can't do all does what counts [D6].
-func (d *Dispatcher) hopeless(now Time, r *request, w *worker) bool {
+func (d *Dispatcher) shouldShed(now Time, r *request, w *worker) bool {
 	c := &d.classes[r.Class]
 	if d.meanRun.n < 8 {
 		return false
 	}
-	slots := max(0.1, d.slots(w)*d.warmth(now, w))
+	slots := max(0.1, d.slots(w)*d.warmFraction(now, w))
 	slow := d.slowness(now, w)
 	wait := max(0, d.load(now, w)+r.Slots-slots) / slots * d.meanRun.v * slow
-	slack := float64(c.Aim-(now-r.arrived)) + (c.Stretch-slow)*c.run.v*r.size
+	slack := float64(c.LatencyTarget-(now-r.arrived)) + (c.TargetStretch-slow)*c.run.v*r.size
 	// The price rises when a job that is worth it finds no time, and falls with each that does: in
 	// lasting overload cheap jobs leave the slots to dear ones instead of sharing the refusals [D6].
-	rel := d.relWorth(r)
-	if wait > slack*waitPart && rel >= d.price {
-		d.price = min(priceMost, d.price+priceUp)
+	rel := d.relativeDensity(r)
+	if wait > slack*maxWaitFraction && rel >= d.admissionThreshold {
+		d.admissionThreshold = min(maxThreshold, d.admissionThreshold+thresholdStepUp)
 	}
-	return wait > slack*waitPart*min(1, rel) || rel < d.price
+	return wait > slack*maxWaitFraction*min(1, rel) || rel < d.admissionThreshold
 }
 
 // usual gives the mean worth, and slot-time at present costs, of what is asked for lately within shares.
-func (d *Dispatcher) usual() (worth, cost float64) {
+func (d *Dispatcher) meanValue() (worth, cost float64) {
 	n := 0.0
 	for i := range d.classes {
-		n += d.classes[i].asked
-		worth += d.classes[i].asked * d.worthOf(i, 1)
-		cost += d.classes[i].asked * d.runOf(i)
+		n += d.classes[i].recentRequests
+		worth += d.classes[i].recentRequests * d.jobValue(i, 1)
+		cost += d.classes[i].recentRequests * d.expectedRun(i)
 	}
 	return worth / max(1, n), cost / max(1, n)
 }
 
 // worthOf is what a job of a class and size is worth.
-func (d *Dispatcher) worthOf(class int, size float64) float64 {
-	if d.set.WorthByWork {
-		return d.classes[class].Worth * d.runOf(class) * size
+func (d *Dispatcher) jobValue(class int, size float64) float64 {
+	if d.cfg.ValueByWork {
+		return d.classes[class].Value * d.expectedRun(class) * size
 	}
-	return d.classes[class].Worth
+	return d.classes[class].Value
 }
 
 // relWorth compares a job's density with that of what is usual.
-func (d *Dispatcher) relWorth(r *request) float64 {
-	worth, cost := d.usual()
+func (d *Dispatcher) relativeDensity(r *request) float64 {
+	worth, cost := d.meanValue()
 	if worth == 0 {
 		return 1
 	}
-	return d.density(r) * cost / worth
+	return d.valueDensity(r) * cost / worth
 }
 
 // density is a job's worth for the slot-time it takes.
-func (d *Dispatcher) density(r *request) float64 {
-	per := d.worthOf(r.Class, r.size) / max(1, d.jobCost(r))
-	if r.over {
-		per *= d.set.OverShareWorth
+func (d *Dispatcher) valueDensity(r *request) float64 {
+	per := d.jobValue(r.Class, r.size) / max(1, d.jobCost(r))
+	if r.overQuota {
+		per *= d.cfg.OverQuotaValue
 	}
 	return per
 }
 
 // shareDepth is how far a tenant may run ahead of its share at one dispatcher: two seconds of it,
 // and room for the chance clusters of a share that is a request now and then.
-func shareDepth(rate float64) float64 { return 2*rate + shareRoom }
+func quotaDepth(rate float64) float64 { return 2*rate + quotaBurst }
 
 // overShare counts the request against its tenant's share and tells whether it is beyond.
-func (d *Dispatcher) overShare(now Time, tenant int) bool {
+func (d *Dispatcher) exceedsQuota(now Time, tenant int) bool {
 	if tenant < 0 || tenant >= len(d.tenants) || d.tenants[tenant].rate == 0 {
 		return false
 	}
-	return !d.tenants[tenant].take(now, shareDepth(d.tenants[tenant].rate))
+	return !d.tenants[tenant].take(now, quotaDepth(d.tenants[tenant].rate))
 }
 
 func (d *Dispatcher) refuse(now Time, r *request, why Reason) {
 	r.closed = true
 	after := Time(0)
-	if d.set.RetryAfter {
-		if after = Time(retryRuns * d.meanRun.v * (0.5 + d.rng.Float64())); r.over {
-			after = d.set.MaxRetryAfter
+	if d.cfg.RetryAfter {
+		if after = Time(retryAfterRuns * d.meanRun.v * (0.5 + d.rng.Float64())); r.overQuota {
+			after = d.cfg.MaxRetryAfter
 		}
 	}
-	d.act.Refuse(r.ID, after, why)
-	d.withdraw(r)
+	d.actions.Refuse(r.ID, after, why)
+	d.cancelAttempts(r)
 }
 
 func (d *Dispatcher) fail(r *request, why Reason) {
 	r.closed = true
-	d.act.Fail(r.ID, why)
-	d.withdraw(r)
+	d.actions.Fail(r.ID, why)
+	d.cancelAttempts(r)
 }
--- a/rules/wakes.go
+++ b/rules/wakes.go
@@ -9,16 +9,16 @@
 )
 
 // wakes is a heap by time.
-type wakes []wake
+type timerHeap []timerEntry
 
-type wake struct {
+type timerEntry struct {
 	at Time
 	r  *request // nil: housekeeping
 }
 
-func (h *wakes) push(k wake) {
+func (h *timerHeap) push(k timerEntry) {
 	if len(*h) == cap(*h) {
-		h.thin()
+		h.dropEnded()
 	}
 	*h = append(*h, k)
 	a := *h
@@ -29,10 +29,10 @@
 
 // thin drops the wake-ups of requests that are over, when the heap would have to grow: a client's patience may
 // be hours, and its job be done in milliseconds.
-func (h *wakes) thin() {
+func (h *timerHeap) dropEnded() {
 	kept := (*h)[:0]
 	for _, k := range *h {
-		if k.r == nil || !k.r.closed || k.r.out > 0 {
+		if k.r == nil || !k.r.closed || k.r.outstanding > 0 {
 			kept = append(kept, k)
 		}
 	}
@@ -40,14 +40,14 @@
 	if len(kept) > cap(kept)/2 {
 		kept = slices.Grow(kept, cap(kept))
 	}
-	slices.SortFunc(kept, func(a, b wake) int { return cmp.Compare(a.at, b.at) }) // sorted is a heap
+	slices.SortFunc(kept, func(a, b timerEntry) int { return cmp.Compare(a.at, b.at) }) // sorted is a heap
 	*h = kept
 }
 
-func (q *wakes) pop() wake {
+func (q *timerHeap) pop() timerEntry {
 	h := *q
 	top, n := h[0], len(h)-1
-	h[0], h[n] = h[n], wake{}
+	h[0], h[n] = h[n], timerEntry{}
 	h = h[:n]
 	for i := 0; ; {
 		c := 2*i + 1
@@ -68,31 +68,31 @@
 }
 
 // wakeUp has the request looked at then; nil is housekeeping. One timer of the host is armed, for the heap's top.
-func (d *Dispatcher) wakeUp(now, at Time, r *request) {
-	d.heap.push(wake{at, r})
-	d.arm(now)
+func (d *Dispatcher) setTimer(now, at Time, r *request) {
+	d.timers.push(timerEntry{at, r})
+	d.armTimer(now)
 }
 
-func (d *Dispatcher) arm(now Time) {
-	if len(d.heap) > 0 && d.heap[0].at < d.wakeAt {
-		d.wakeAt = d.heap[0].at
-		d.act.Timer(max(0, d.wakeAt-now), 0)
+func (d *Dispatcher) armTimer(now Time) {
+	if len(d.timers) > 0 && d.timers[0].at < d.timerAt {
+		d.timerAt = d.timers[0].at
+		d.actions.Timer(max(0, d.timerAt-now), 0)
 	}
 }
 
 // TimerDue brings back a timer.
 func (d *Dispatcher) TimerDue(now Time, token uint64) {
-	if now >= d.wakeAt {
-		d.wakeAt = math.MaxInt64
+	if now >= d.timerAt {
+		d.timerAt = math.MaxInt64
 	}
-	for len(d.heap) > 0 && d.heap[0].at <= now {
-		if k := d.heap.pop(); k.r == nil {
+	for len(d.timers) > 0 && d.timers[0].at <= now {
+		if k := d.timers.pop(); k.r == nil {
 			d.housekeeping(now)
-			d.wakeUp(now, now+tick, nil)
+			d.setTimer(now, now+tickInterval, nil)
 		} else if !k.r.closed {
 			d.review(now, k.r)
-			d.forget(k.r)
+			d.forgetIfEnded(k.r)
 		}
 	}
-	d.arm(now)
+	d.armTimer(now)
 }
--- a/rules/worker.go
+++ b/rules/worker.go
@@ -12,55 +12,55 @@
 	hash  uint64
 	index int // in registry.workers
 
-	own     float64 // slots of our attempts that are out
-	out     int     // attempts out
-	unseen  int     // of these, without a sign of life
-	running []keyCount
-	ownMean float64 // own, smoothed: what a report that is some time old saw of it
-	ownAt   Time
+	ownSlots       float64 // slots of our attempts that are out
+	outstanding    int     // attempts out
+	unacknowledged int     // of these, without a sign of life
+	runningKeys    []decayingCount
+	ownAverage     float64 // own, smoothed: what a report that is some time old saw of it
+	ownAverageAt   Time
 
-	cap        mean    // learned slots
-	others     mean    // load of the other dispatchers, in slots
-	othersLast float64 // as last seen
-	gap        float64 // time between the last two sights, in microseconds
-	triedAt    Time
-	othersAt   Time
-	freeMem    float64
-	memAt      Time
-	last       Load
-	fullUntil  Time // it turned a job away
+	capacity       ewma    // learned slots
+	othersLoad     ewma    // load of the other dispatchers, in slots
+	othersLastSeen float64 // as last seen
+	observationGap float64 // time between the last two sights, in microseconds
+	triedAt        Time
+	othersSeenAt   Time
+	freeMem        float64
+	freeMemAt      Time
+	lastReport     Load
+	fullUntil      Time // it turned a job away
 
-	slowSum, slowN float64 // running time over its class's mean
-	slowAt         Time
-	late           float64 // running time over its class's mean of the job of ours that has run longest there
-	quietSince     Time    // first send after the last sign of life; 0: none
-	errors         float64
-	faults         keyCount // jobs that failed there of late
-	benchUntil     Time
-	benchFor       Time
-	probing        Time // a probe is out since; 0: none
-	probedAt       Time
-	waiters        []*request
+	slowSum, slowCount float64 // running time over its class's mean
+	slowAt             Time
+	overdue            float64 // running time over its class's mean of the job of ours that has run longest there
+	silentSince        Time    // first send after the last sign of life; 0: none
+	errorRate          float64
+	recentFailures     decayingCount // jobs that failed there of late
+	ejectedUntil       Time
+	ejectionTime       Time
+	probeSentAt        Time // a probe is out since; 0: none
+	probedAt           Time
+	waiters            []*request
 
-	peers []peerJob // what the peers that tell have out there, the oldest first
-	told  float64   // its slots
+	peerJobs  []peerJob // what the peers that tell have out there, the oldest first
+	peerSlots float64   // its slots
 
-	sampled  uint64  // the last sample that it is in
-	tokens   float64 // cold budget, in slot-microseconds
-	tokensAt Time
-	place    int // ours among those that share the budget of the start placeFor
-	placeFor Time
+	lastSample      uint64  // the last sample that it is in
+	coldTokens      float64 // cold budget, in slot-microseconds
+	coldTokensAt    Time
+	coldPosition    int // ours among those that share the budget of the start placeFor
+	coldPositionFor Time
 }
 
 // smoothOwn brings ownMean up to now; own is about to change.
-func (w *worker) smoothOwn(now Time, run float64) {
-	keep := math.Exp(-float64(now-w.ownAt) / max(1, run))
-	w.ownMean = w.ownMean*keep + w.own*(1-keep)
-	w.ownAt = now
+func (w *worker) updateOwnAverage(now Time, run float64) {
+	keep := math.Exp(-float64(now-w.ownAverageAt) / max(1, run))
+	w.ownAverage = w.ownAverage*keep + w.ownSlots*(1-keep)
+	w.ownAverageAt = now
 }
 
-func (w *worker) countKey(now Time, key uint64, run float64) {
-	w.running = countKey(w.running, keyCount{key, 1, now}, run, keysTold)
+func (w *worker) countRunningKey(now Time, key uint64, run float64) {
+	w.runningKeys = addKeyCount(w.runningKeys, decayingCount{key, 1, now}, run, maxRunningKeys)
 }
 
 func hashID(id WorkerID) uint64 { // FNV-1a
@@ -68,5 +68,5 @@
 	for i := range len(id) {
 		h = (h ^ uint64(id[i])) * 1099511628211
 	}
-	return mix(h)
+	return mixHash(h)
 }
