--- a/cmd/cobaltflow/serve.go
+++ b/cmd/cobaltflow/serve.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				return err
 			}
-			gateway.KeepWithin(conf.Limits)
+			gateway.ApplyLimits(conf.Limits)
 			logger, lines, err := log.New(c.OutOrStdout(), conf.Log)
 			if err != nil {
 				return err
@@ -45,7 +45,7 @@
 				for {
 					select {
 					case <-hangup.Received:
-						g.TellReload()
+						g.BroadcastReload()
 					case <-told:
 					}
 					if next, err := conf.Reload(os.Getenv); err != nil {
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -73,15 +73,15 @@
 		d.Request(now, &e.Request)
 	case wire.Outcome:
 		d.Outcome(now, &e.Outcome)
-	case wire.Note:
-		d.Progress(now, &e.Note)
-	case wire.Hangup:
-		d.ClientDisconnected(now, e.Hangup)
+	case wire.Progress:
+		d.Progress(now, &e.Progress)
+	case wire.ClientDisconnected:
+		d.ClientDisconnected(now, e.Disconnected)
 	case wire.TimerDue:
 		d.TimerDue(now, e.Token)
 	case wire.Probed:
 		d.Probed(now, &e.Probed)
-	case wire.Peer:
+	case wire.PeerMessage:
 		d.PeerMessage(now, e.From, e.Data)
 	case wire.Streaming:
 		d.Streaming(now, e.Outcome.Request, e.Outcome.Attempt)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -17,7 +17,7 @@
 
 // Machine is the machine's monotonic clock in microseconds, which all its processes read alike. It begins anew when the
 // machine does. 0: the system does not tell.
-func Machine() uint64 {
+func MachineMicros() uint64 {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
 		return 0
@@ -26,9 +26,9 @@
 }
 
 // Wall is the wall clock's time. Two readings may be in any order.
-func Wall() time.Time { return time.Now().Round(0).Add(time.Duration(step.Load())) }
+func Wall() time.Time { return time.Now().Round(0).Add(time.Duration(wallStep.Load())) }
 
-var step atomic.Int64
+var wallStep atomic.Int64
 
 // StepWall steps this process's wall clock, as an operator or a time service may step the machine's; for tests.
-func StepWall(by time.Duration) { step.Add(int64(by)) }
+func StepWall(by time.Duration) { wallStep.Add(int64(by)) }
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -3,35 +3,37 @@
 import "cobaltflow/rules"
 
 // carryOut carries out what the decisions asked for in this turn, in the order they asked for it.
-func (c *Core) carryOut() {
-	for i := 0; i < len(c.queue); i++ {
-		c.queue[i]()
+func (c *Core) runPendingActions() {
+	for i := 0; i < len(c.pendingActions); i++ {
+		c.pendingActions[i]()
 	}
-	clear(c.queue)
-	c.queue = c.queue[:0]
-	c.flushTold()
+	clear(c.pendingActions)
+	c.pendingActions = c.pendingActions[:0]
+	c.flushBroadcast()
 }
 
 // flushTold sends what was told. The front may have closed its socket since, in the same turn: then nobody can be told.
-func (c *Core) flushTold() {
-	if len(c.telling) > 0 && c.Tell != nil {
-		c.Tell(c.telling)
+func (c *Core) flushBroadcast() {
+	if len(c.broadcastBuffer) > 0 && c.Broadcast != nil {
+		c.Broadcast(c.broadcastBuffer)
 	}
-	c.telling = c.telling[:0]
+	c.broadcastBuffer = c.broadcastBuffer[:0]
 }
 
 // actions takes what the decisions ask for. Nothing is carried out within their call.
 type actions struct{ pool *Pool }
 
-func (a actions) do(f func()) { a.pool.core.queue = append(a.pool.core.queue, f) }
+func (a actions) enqueue(f func()) {
+	a.pool.core.pendingActions = append(a.pool.core.pendingActions, f)
+}
 
 // Send implements rules.Actions.
 func (a actions) Send(id rules.RequestID, until Time, w rules.WorkerID) {
 	c := a.pool.core
 	if t := c.byID[string(id)]; t != nil {
-		t.sending++
+		t.queuedSends++
 	}
-	a.do(func() { c.send(string(id), until, string(w)) })
+	a.enqueue(func() { c.send(string(id), until, string(w)) })
 }
 
 func (c *Core) send(id string, until Time, worker string) {
@@ -40,55 +42,55 @@
 		c.Log.Error("a send for a transaction that is not open", "id", id)
 		return
 	}
-	p := &ProxyPass{Transaction: t, Worker: worker, Number: t.passes, sent: c.Loop.now}
-	t.passes++
-	t.sending--
-	p.Ref = c.passes.Add(p)
-	t.out = append(t.out, p.Ref)
-	w := t.Pool.farm.workers[worker]
-	if t.closed || t.left || c.Loop.now >= t.Deadline || w == nil || w.carrier == nil {
+	p := &Attempt{Request: t, Worker: worker, Number: t.attempts, sentAt: c.Loop.now}
+	t.attempts++
+	t.queuedSends--
+	p.Ref = c.attempts.Add(p)
+	t.inFlight = append(t.inFlight, p.Ref)
+	w := t.Pool.list.workers[worker]
+	if t.closed || t.clientDetached || c.Loop.now >= t.Deadline || w == nil || w.transport == nil {
 		// It never left. The outcome comes in a later turn, as every other does.
-		c.Loop.Post(func() { c.Ended(p.Ref, rules.NotSent, nil, rules.Load{}) })
+		c.Loop.Post(func() { c.AttemptEnded(p.Ref, rules.NotSent, nil, rules.Load{}) })
 		return
 	}
-	c.Counts.Passes++
+	c.Counts.Attempts++
 	c.traceAttempt(p)
-	p.carrier = w.carrier
+	p.transport = w.transport
 	if until > 0 && until < t.Deadline {
 		c.Loop.At(until, func() {
-			if _, out := c.passes.Get(p.Ref); out {
+			if _, out := c.attempts.Get(p.Ref); out {
 				status := rules.TimedOut
-				if !p.carrier.Withdraw(p) {
+				if !p.transport.Cancel(p) {
 					status = rules.NotSent
 				}
-				c.end(p, status, nil, rules.Load{})
+				c.endAttempt(p, status, nil, rules.Load{})
 			}
 		})
 	}
-	p.carrier.Carry(p)
-	if agent, ok := t.Agent.(Placed); ok {
-		agent.Placed(t, p)
+	p.transport.Send(p)
+	if agent, ok := t.Client.(AttemptObserver); ok {
+		agent.AttemptSent(t, p)
 	}
 }
 
 // Cancel implements rules.Actions.
 func (a actions) Cancel(id rules.RequestID, attempt int) {
-	a.do(func() {
+	a.enqueue(func() {
 		c := a.pool.core
 		t := c.byID[string(id)]
 		if t == nil {
 			return
 		}
-		for _, ref := range t.out {
-			p, ok := c.passes.Get(ref)
-			if !ok || p.Number != attempt || p.carrier == nil {
+		for _, ref := range t.inFlight {
+			p, ok := c.attempts.Get(ref)
+			if !ok || p.Number != attempt || p.transport == nil {
 				continue
 			}
 			status := rules.Cancelled
-			if !p.carrier.Withdraw(p) {
+			if !p.transport.Cancel(p) {
 				status = rules.NotSent
 			}
-			c.Loop.Post(func() { c.Ended(ref, status, nil, rules.Load{}) })
+			c.Loop.Post(func() { c.AttemptEnded(ref, status, nil, rules.Load{}) })
 			return
 		}
 	})
@@ -96,20 +98,20 @@
 
 // Refuse implements rules.Actions.
 func (a actions) Refuse(id rules.RequestID, retryAfter Time, why rules.Reason) {
-	a.final(id, unavailableAnswer(retryAfter), why.String())
+	a.answer(id, newRefusal(retryAfter), why.String())
 }
 
 // Fail implements rules.Actions.
 func (a actions) Fail(id rules.RequestID, why rules.Reason) {
-	a.final(id, Answer{Kind: Failed}, why.String())
+	a.answer(id, Answer{Kind: Failed}, why.String())
 }
 
-func (a actions) final(id rules.RequestID, answer Answer, why string) {
-	a.do(func() {
+func (a actions) answer(id rules.RequestID, answer Answer, why string) {
+	a.enqueue(func() {
 		c := a.pool.core
 		if t := c.byID[string(id)]; t != nil {
 			c.answer(t, answer, why)
-			c.settle(t)
+			c.releaseIfDone(t)
 		}
 	})
 }
@@ -127,11 +129,11 @@
 
 // Probe implements rules.Actions.
 func (a actions) Probe(w rules.WorkerID) {
-	a.do(func() {
+	a.enqueue(func() {
 		c := a.pool.core
 		c.Counts.Probes++
-		if m := a.pool.farm.workers[string(w)]; m != nil && m.carrier != nil {
-			m.carrier.Probe(string(w))
+		if m := a.pool.list.workers[string(w)]; m != nil && m.transport != nil {
+			m.transport.Probe(string(w))
 			return
 		}
 		c.Loop.Post(func() { c.Probed(string(w), rules.Unreachable, 0, rules.Load{}) })
@@ -141,13 +143,13 @@
 // Tell implements rules.Actions. What is told in one turn goes out together.
 func (a actions) Broadcast(data []byte) {
 	c := a.pool.core
-	if c.Tell == nil || a.pool != c.main {
+	if c.Broadcast == nil || a.pool != c.mainPool {
 		return
 	}
-	if len(c.telling)+len(data) > MostTold {
-		c.flushTold()
+	if len(c.broadcastBuffer)+len(data) > MaxPeerMessageBytes {
+		c.flushBroadcast()
 	}
-	c.telling = append(c.telling, data...)
+	c.broadcastBuffer = append(c.broadcastBuffer, data...)
 }
 
 // Watch implements rules.Actions. Discovery is watched from the start and for good.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestTableSlotsAreGuardedByGeneration(t *testing.T) {
-	var tab Table[string]
+	var tab SlotMap[string]
 	a := tab.Add("a")
 	require.True(t, tab.Free(a))
 	b := tab.Add("b")
@@ -39,8 +39,8 @@
 		got = append(got, 1)
 		l.At(l.now-9, func() { got = append(got, 3) })
 	})
-	l.Drop(dropped)
-	l.Drop(dropped)
+	l.CancelTimer(dropped)
+	l.CancelTimer(dropped)
 	l.turn([]func(){func() { got = append(got, 0) }})
 	assert.Equal(t, []int{0, 1, 2}, got, "events before deadlines, a new one in the next turn")
 	l.turn(nil)
@@ -49,40 +49,40 @@
 
 func TestStartTimesReadTheSameInEveryList(t *testing.T) {
 	l := NewLoop()
-	first := l.FromUnix(1_700_000_000_000)
+	first := l.FromUnixMilli(1_700_000_000_000)
 	l.turn(nil)
-	assert.Equal(t, first, l.FromUnix(1_700_000_000_000))
+	assert.Equal(t, first, l.FromUnixMilli(1_700_000_000_000))
 }
 
 type stub struct {
 	answers, released int
 	last              Answer
-	carried           []*ProxyPass
+	carried           []*Attempt
 	ran               bool
 }
 
-func (s *stub) Answer(_ *Transaction, a Answer)  { s.answers++; s.last = a }
-func (s *stub) Released(*Transaction)            { s.released++ }
-func (s *stub) Carry(p *ProxyPass)               { s.carried = append(s.carried, p) }
-func (s *stub) Withdraw(*ProxyPass) (maybe bool) { return s.ran }
-func (s *stub) Begun(*ProxyPass) bool            { return s.ran }
-func (s *stub) Probe(string)                     {}
+func (s *stub) Answer(_ *Request, a Answer)  { s.answers++; s.last = a }
+func (s *stub) Released(*Request)            { s.released++ }
+func (s *stub) Send(p *Attempt)              { s.carried = append(s.carried, p) }
+func (s *stub) Cancel(*Attempt) (maybe bool) { return s.ran }
+func (s *stub) HasBegun(*Attempt) bool       { return s.ran }
+func (s *stub) Probe(string)                 {}
 
 func newCore(t *testing.T, s *stub, workers ...string) *Core {
 	l := NewLoop()
 	c := New(l, rules.Settings{MayCancel: true, MaxAttempts: 4, AnswerSlack: 16_000,
 		Classes: []rules.Class{{Effect: rules.Once, Deadline: Second, Kind: -1}}}, 1, slog.New(slog.DiscardHandler))
-	var news []FarmWorker
+	var news []ListedWorker
 	for _, w := range workers {
-		news = append(news, FarmWorker{Name: w, Weight: 1})
+		news = append(news, ListedWorker{Name: w, Weight: 1})
 	}
-	c.Farm(s, rules.ListCached, news)
+	c.UpdateWorkerList(s, rules.ListCached, news)
 	return c
 }
 
-func take(c *Core, s *stub, id string) *Transaction {
-	t := &Transaction{ID: id, Deadline: c.Loop.now + Second, Agent: s}
-	c.Loop.turn([]func(){func() { c.Take(t) }})
+func take(c *Core, s *stub, id string) *Request {
+	t := &Request{ID: id, Deadline: c.Loop.now + Second, Client: s}
+	c.Loop.turn([]func(){func() { c.Accept(t) }})
 	return t
 }
 
@@ -93,12 +93,12 @@
 	require.Len(t, s.carried, 1)
 	ref := s.carried[0].Ref
 	c.Loop.turn([]func(){func() {
-		assert.True(t, c.Ended(ref, rules.OK, []byte("x"), rules.Load{}))
-		assert.False(t, c.Ended(ref, rules.Reset, nil, rules.Load{}), "the second report is let pass")
+		assert.True(t, c.AttemptEnded(ref, rules.OK, []byte("x"), rules.Load{}))
+		assert.False(t, c.AttemptEnded(ref, rules.Reset, nil, rules.Load{}), "the second report is let pass")
 	}})
 	assert.Equal(t, []int{1, 1}, []int{s.answers, s.released})
 	assert.Equal(t, Served, s.last.Kind)
-	_, found := c.Find("r", "a")
+	_, found := c.FindAttempt("r", "a")
 	assert.False(t, found)
 }
 
@@ -106,21 +106,21 @@
 	s := &stub{ran: true}
 	c := newCore(t, s, "a")
 	tr := take(c, s, "r")
-	c.Loop.turn([]func(){func() { c.HangUp(tr) }})
+	c.Loop.turn([]func(){func() { c.ClientDisconnected(tr) }})
 	assert.Zero(t, s.released, "the pass has no outcome yet")
 	c.Loop.turn(c.Loop.mailbox)
-	assert.Equal(t, []int{0, 1, 0}, []int{s.answers, s.released, c.Passes()})
+	assert.Equal(t, []int{0, 1, 0}, []int{s.answers, s.released, c.InFlightAttempts()})
 }
 
 func TestOverdueIsAnsweredByWhetherItMayHaveRun(t *testing.T) {
-	for ran, want := range map[bool]AnswerKind{true: Failed, false: Unavailable} {
+	for ran, want := range map[bool]AnswerKind{true: Failed, false: Refused} {
 		s := &stub{ran: ran}
 		c := newCore(t, s, "a")
 		tr := take(c, s, "r")
-		c.Loop.turn([]func(){func() { c.overdue(tr) }})
+		c.Loop.turn([]func(){func() { c.deadlineExpired(tr) }})
 		c.Loop.now += 2 * Second
-		c.main.dispatcher.TimerDue(c.Loop.now, 0)
-		c.carryOut()
+		c.mainPool.dispatcher.TimerDue(c.Loop.now, 0)
+		c.runPendingActions()
 		require.Equal(t, 1, s.answers)
 		assert.Equal(t, want, s.last.Kind)
 		if !ran {
@@ -132,10 +132,10 @@
 func TestAWholeListSpeaksForItsSourceAlone(t *testing.T) {
 	a, b := &stub{}, &stub{}
 	c := newCore(t, a, "a1", "a2")
-	c.Farm(b, rules.ListDelta, []FarmWorker{{Name: "b1", Weight: 1}})
-	c.Farm(a, rules.ListFull, []FarmWorker{{Name: "a2", Weight: 1}, {Name: "b1", State: rules.Gone}})
-	assert.Equal(t, 2, c.FarmSize())
-	assert.Contains(t, c.main.farm.workers, "b1")
+	c.UpdateWorkerList(b, rules.ListDelta, []ListedWorker{{Name: "b1", Weight: 1}})
+	c.UpdateWorkerList(a, rules.ListFull, []ListedWorker{{Name: "a2", Weight: 1}, {Name: "b1", State: rules.Gone}})
+	assert.Equal(t, 2, c.WorkerCount())
+	assert.Contains(t, c.mainPool.list.workers, "b1")
 }
 
 // Two pools share a worker's name and nothing else: a transaction goes to its own pool's workers.
@@ -143,17 +143,17 @@
 	a, b := &stub{}, &stub{}
 	c := newCore(t, a, "a1")
 	p := c.NewPool("b", c.settings, 2)
-	p.Farm(b, rules.ListDelta, []FarmWorker{{Name: "b1", Weight: 1}})
+	p.UpdateWorkerList(b, rules.ListDelta, []ListedWorker{{Name: "b1", Weight: 1}})
 	take(c, a, "for-a")
-	c.Loop.turn([]func(){func() { c.Take(&Transaction{ID: "for-b", Deadline: c.Loop.now + Second, Agent: b, Pool: p}) }})
+	c.Loop.turn([]func(){func() { c.Accept(&Request{ID: "for-b", Deadline: c.Loop.now + Second, Client: b, Pool: p}) }})
 	require.Len(t, a.carried, 1)
 	require.Len(t, b.carried, 1)
 	assert.Equal(t, []string{"a1", "b1"}, []string{a.carried[0].Worker, b.carried[0].Worker})
-	assert.Equal(t, 2, c.Open())
-	p.Farm(b, rules.ListDelta, []FarmWorker{{Name: "b1", State: rules.Gone}})
-	assert.Equal(t, []bool{true, false}, []bool{c.Main().Ready(b), p.Ready(a)})
-	c.Loop.turn([]func(){func() { c.Ended(b.carried[0].Ref, rules.OK, nil, rules.Load{}) }})
-	assert.Equal(t, 1, c.Open())
+	assert.Equal(t, 2, c.OpenRequests())
+	p.UpdateWorkerList(b, rules.ListDelta, []ListedWorker{{Name: "b1", State: rules.Gone}})
+	assert.Equal(t, []bool{true, false}, []bool{c.MainPool().HasReadyWorker(b), p.HasReadyWorker(a)})
+	c.Loop.turn([]func(){func() { c.AttemptEnded(b.carried[0].Ref, rules.OK, nil, rules.Load{}) }})
+	assert.Equal(t, 1, c.OpenRequests())
 	p.Close()
 	assert.Len(t, c.pools, 1)
 }
@@ -165,15 +165,15 @@
 		c := New(NewLoop(), rules.Settings{MayCancel: true, MaxAttempts: 4, AnswerSlack: 16_000, OverQuotaValue: 0.1,
 			Tenants: []rules.Tenant{{QuotaPerS: 0.01}, {QuotaPerS: 1000}},
 			Classes: []rules.Class{{Effect: rules.Repeatable, LatencyTarget: Second, Deadline: 5 * Second, Kind: -1}}}, 1, slog.New(slog.DiscardHandler))
-		c.Farm(s, rules.ListCached, []FarmWorker{{Name: "a", Weight: 1}})
+		c.UpdateWorkerList(s, rules.ListCached, []ListedWorker{{Name: "a", Weight: 1}})
 		take := func(id string, tenant int) {
-			c.Take(&Transaction{ID: id, Work: Work{Tenant: tenant}, Deadline: c.Loop.now + 5*Second, Agent: s})
-			c.carryOut()
+			c.Accept(&Request{ID: id, Job: Job{Tenant: tenant}, Deadline: c.Loop.now + 5*Second, Client: s})
+			c.runPendingActions()
 		}
 		for i := range 30 { // the module learns what a job takes
 			take(fmt.Sprint("known", i), 0)
 			c.Loop.now += 400 * Millisecond
-			c.Ended(s.carried[len(s.carried)-1].Ref, rules.OK, nil, rules.Load{})
+			c.AttemptEnded(s.carried[len(s.carried)-1].Ref, rules.OK, nil, rules.Load{})
 		}
 		for n = 0; s.answers == 30 && n < 1000; n++ {
 			take(fmt.Sprint("more", n), tenant)
@@ -196,8 +196,8 @@
 		assert.Less(t, l.now-before, Second, "the loop's time")
 		in := l.FromWall(clock.Wall().Add(10*time.Second)) - l.now
 		assert.InDelta(t, 10*Second, in, float64(Second), "a date named after the step")
-		assert.InDelta(t, 10, l.Wall(l.now+10*Second).Sub(clock.Wall()).Seconds(), 1, "a date told after the step")
-		assert.Equal(t, l.FromUnix(1_700_000_000_000), l.FromUnix(1_700_000_000_000))
+		assert.InDelta(t, 10, l.ToWall(l.now+10*Second).Sub(clock.Wall()).Seconds(), 1, "a date told after the step")
+		assert.Equal(t, l.FromUnixMilli(1_700_000_000_000), l.FromUnixMilli(1_700_000_000_000))
 		clock.StepWall(-by)
 	}
 }
--- a/internal/core/farm_test.go
+++ b/internal/core/farm_test.go
@@ -9,9 +9,9 @@
 	"cobaltflow/rules"
 )
 
-func manyWorkers(n int) (all []FarmWorker) {
+func manyWorkers(n int) (all []ListedWorker) {
 	for i := range n {
-		all = append(all, FarmWorker{Name: fmt.Sprintf("w-%05d", i), Weight: 1, State: rules.Ready})
+		all = append(all, ListedWorker{Name: fmt.Sprintf("w-%05d", i), Weight: 1, State: rules.Ready})
 	}
 	return all
 }
@@ -20,16 +20,16 @@
 func TestAWholeListSpeaksForItsCarrierAlone(t *testing.T) {
 	first, second := &stub{}, &stub{}
 	c := newCore(t, first, "a", "b", "c")
-	c.Farm(second, rules.ListFull, []FarmWorker{{Name: "d", Weight: 1}, {Name: "a", Weight: 1, Zone: 1}})
-	assert.Equal(t, 4, c.FarmSize())
-	c.Farm(first, rules.ListFull, []FarmWorker{{Name: "b", Weight: 2}, {Name: "c", State: rules.Gone}})
-	assert.Equal(t, 2, c.FarmSize(), "a is absent, c is told to have gone")
-	assert.Equal(t, 2.0, c.main.farm.workers["b"].Weight)
-	assert.Same(t, second, c.main.farm.workers["d"].carrier)
-	c.Farm(first, rules.ListDelta, []FarmWorker{{Name: "e", Weight: 1}})
-	assert.Equal(t, 3, c.FarmSize(), "a change leaves the others")
-	c.Farm(second, rules.ListFull, nil)
-	assert.Equal(t, 2, c.FarmSize())
+	c.UpdateWorkerList(second, rules.ListFull, []ListedWorker{{Name: "d", Weight: 1}, {Name: "a", Weight: 1, Zone: 1}})
+	assert.Equal(t, 4, c.WorkerCount())
+	c.UpdateWorkerList(first, rules.ListFull, []ListedWorker{{Name: "b", Weight: 2}, {Name: "c", State: rules.Gone}})
+	assert.Equal(t, 2, c.WorkerCount(), "a is absent, c is told to have gone")
+	assert.Equal(t, 2.0, c.mainPool.list.workers["b"].Weight)
+	assert.Same(t, second, c.mainPool.list.workers["d"].transport)
+	c.UpdateWorkerList(first, rules.ListDelta, []ListedWorker{{Name: "e", Weight: 1}})
+	assert.Equal(t, 3, c.WorkerCount(), "a change leaves the others")
+	c.UpdateWorkerList(second, rules.ListFull, nil)
+	assert.Equal(t, 2, c.WorkerCount())
 }
 
 // What a change of one worker allocates in the core doesn't grow with the list.
@@ -39,8 +39,8 @@
 		c := newCore(nil, &stub{})
 		carrier := &stub{}
 		all := manyWorkers(workers)
-		c.Farm(carrier, rules.ListFull, all)
-		costs[workers] = testing.AllocsPerRun(20, func() { c.Farm(carrier, rules.ListDelta, all[:1]) })
+		c.UpdateWorkerList(carrier, rules.ListFull, all)
+		costs[workers] = testing.AllocsPerRun(20, func() { c.UpdateWorkerList(carrier, rules.ListDelta, all[:1]) })
 	}
 	assert.LessOrEqual(t, costs[10_000], costs[100]+2, "%v", costs)
 }
@@ -50,15 +50,15 @@
 		all := manyWorkers(workers)
 		for name, of := range map[string]struct {
 			form rules.ListForm
-			news []FarmWorker
+			news []ListedWorker
 		}{"whole": {rules.ListFull, all}, "one changed": {rules.ListDelta, all[:1]}} {
 			b.Run(fmt.Sprintf("%d workers, %s", workers, name), func(b *testing.B) {
 				c := newCore(nil, &stub{})
 				carrier := &stub{}
-				c.Farm(carrier, rules.ListFull, all)
+				c.UpdateWorkerList(carrier, rules.ListFull, all)
 				b.ReportAllocs()
 				for b.Loop() {
-					c.Farm(carrier, of.form, of.news)
+					c.UpdateWorkerList(carrier, of.form, of.news)
 				}
 			})
 		}
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -35,11 +35,11 @@
 	start     time.Duration // the monotonic clock at start
 	startUnix int64         // the wall clock at start, in Unix microseconds
 	now       Time
-	deadlines deadlineHeap
-	due       []*Deadline
+	timers    timerHeap
+	due       []*Timer
 	seq       uint64
-	turnEnd   func()
-	after     []func() // at the very end of each turn
+	onTurnEnd func()
+	afterTurn []func() // at the very end of each turn
 }
 
 // NewLoop makes a loop whose clock starts now.
@@ -63,46 +63,46 @@
 
 // FromUnix turns a wall-clock time in milliseconds into the loop's, by the two clocks as they were at the loop's start:
 // what happened before it is read so, whatever has been done to the wall clock since.
-func (l *Loop) FromUnix(ms int64) Time { return clockBase + ms*Millisecond - l.startUnix }
+func (l *Loop) FromUnixMilli(ms int64) Time { return clockBase + ms*Millisecond - l.startUnix }
 
 // Deadline is an entry of the loop's ordered deadlines.
-type Deadline struct {
+type Timer struct {
 	at    Time
 	seq   uint64
 	index int // in the heap; -1: not in it
-	due   func()
+	fire  func()
 
-	dropped bool
+	cancelled bool
 }
 
 // At calls due in the first turn at or past the time. A deadline that is past comes due in the next
 // turn, never within the call.
-func (l *Loop) At(at Time, due func()) *Deadline {
+func (l *Loop) At(at Time, due func()) *Timer {
 	l.seq++
-	d := &Deadline{at: at, seq: l.seq, due: due}
-	heap.Push(&l.deadlines, d)
+	d := &Timer{at: at, seq: l.seq, fire: due}
+	heap.Push(&l.timers, d)
 	return d
 }
 
 // Drop takes a deadline out; nil and one that has come due are let pass.
-func (l *Loop) Drop(d *Deadline) {
+func (l *Loop) CancelTimer(d *Timer) {
 	if d == nil {
 		return
 	}
-	if d.dropped = true; d.index >= 0 {
-		heap.Remove(&l.deadlines, d.index)
+	if d.cancelled = true; d.index >= 0 {
+		heap.Remove(&l.timers, d.index)
 	}
 }
 
 // AfterTurn has a function called at the end of each turn, when all that was decided is carried out.
-func (l *Loop) AfterTurn(f func()) { l.after = append(l.after, f) }
+func (l *Loop) AfterTurn(f func()) { l.afterTurn = append(l.afterTurn, f) }
 
 // FromWall turns a date that somebody names into the loop's time: as long from now as it is by the wall clock now. It may
 // be called from any goroutine.
 func (l *Loop) FromWall(t time.Time) Time { return l.clock() + t.Sub(clock.Wall()).Microseconds() }
 
 // Wall turns a time of the loop into a date: as long from the wall clock's present date as it is from now.
-func (l *Loop) Wall(at Time) time.Time {
+func (l *Loop) ToWall(at Time) time.Time {
 	return clock.Wall().Add(time.Duration(at-l.clock()) * time.Microsecond)
 }
 
@@ -121,8 +121,8 @@
 		l.turn(batch)
 		clear(batch)
 		wait := time.Hour
-		if len(l.deadlines) > 0 {
-			wait = time.Duration(l.deadlines[0].at-l.clock()) * time.Microsecond
+		if len(l.timers) > 0 {
+			wait = time.Duration(l.timers[0].at-l.clock()) * time.Microsecond
 		}
 		if wait <= 0 {
 			continue
@@ -145,43 +145,43 @@
 	// All that is due is taken out before any of it is run: a deadline set meanwhile, however early, waits
 	// for the next turn and holds up none of these.
 	due := l.due[:0]
-	for len(l.deadlines) > 0 && l.deadlines[0].at <= l.now {
-		due = append(due, heap.Pop(&l.deadlines).(*Deadline))
+	for len(l.timers) > 0 && l.timers[0].at <= l.now {
+		due = append(due, heap.Pop(&l.timers).(*Timer))
 	}
 	for _, d := range due {
-		if !d.dropped { // by one that came before it
-			d.due()
+		if !d.cancelled { // by one that came before it
+			d.fire()
 		}
 	}
 	clear(due)
 	l.due = due
-	if l.turnEnd != nil {
-		l.turnEnd()
+	if l.onTurnEnd != nil {
+		l.onTurnEnd()
 	}
-	for _, f := range l.after {
+	for _, f := range l.afterTurn {
 		f()
 	}
 }
 
-type deadlineHeap []*Deadline
+type timerHeap []*Timer
 
-func (h deadlineHeap) Len() int { return len(h) }
-func (h deadlineHeap) Less(i, j int) bool {
+func (h timerHeap) Len() int { return len(h) }
+func (h timerHeap) Less(i, j int) bool {
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
 	return h[i].seq < h[j].seq
 }
-func (h deadlineHeap) Swap(i, j int) {
+func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
-func (h *deadlineHeap) Push(x any) {
-	d := x.(*Deadline)
+func (h *timerHeap) Push(x any) {
+	d := x.(*Timer)
 	d.index = len(*h)
 	*h = append(*h, d)
 }
-func (h *deadlineHeap) Pop() any {
+func (h *timerHeap) Pop() any {
 	old := *h
 	d := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -8,7 +8,7 @@
 
 // Table keeps values in numbered slots that are used again. A Ref kept past Free finds nothing: the
 // generation guards against an event for an earlier holder of the slot reaching a later one.
-type Table[T any] struct {
+type SlotMap[T any] struct {
 	slots []slot[T]
 	free  []uint32
 	used  int
@@ -21,7 +21,7 @@
 }
 
 // Add puts a value into a free slot.
-func (t *Table[T]) Add(v T) Ref {
+func (t *SlotMap[T]) Add(v T) Ref {
 	var n uint32
 	if k := len(t.free); k > 0 {
 		n, t.free = t.free[k-1], t.free[:k-1]
@@ -37,7 +37,7 @@
 }
 
 // Get gives the value that Ref names, or false when it has been freed.
-func (t *Table[T]) Get(r Ref) (v T, ok bool) {
+func (t *SlotMap[T]) Get(r Ref) (v T, ok bool) {
 	if int(r.Slot) >= len(t.slots) || !t.slots[r.Slot].live || t.slots[r.Slot].gen != r.Gen {
 		return v, false
 	}
@@ -45,7 +45,7 @@
 }
 
 // Free empties the slot; it tells whether the Ref still named it.
-func (t *Table[T]) Free(r Ref) bool {
+func (t *SlotMap[T]) Free(r Ref) bool {
 	if _, ok := t.Get(r); !ok {
 		return false
 	}
@@ -58,10 +58,10 @@
 }
 
 // Len is the number of slots in use.
-func (t *Table[T]) Len() int { return t.used }
+func (t *SlotMap[T]) Len() int { return t.used }
 
 // Each visits every value in slot order. The visitor may free what it is given.
-func (t *Table[T]) Each(f func(Ref, T)) {
+func (t *SlotMap[T]) Each(f func(Ref, T)) {
 	for n := range t.slots {
 		if s := &t.slots[n]; s.live {
 			f(Ref{Slot: uint32(n), Gen: s.gen}, s.item)
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -12,38 +12,38 @@
 
 // Why a request was answered where the decisions were not asked; rules.Reason has theirs.
 const (
-	whyDone      = "done"
-	whyEnding    = "process-ends"
-	whyLeft      = "client-left"
-	whyUndecided = "no-decision"
+	reasonDone        = "done"
+	reasonProcessEnds = "process-ends"
+	reasonClientGone  = "client-left"
+	reasonNoDecision  = "no-decision"
 )
 
 // tracing tells whether single requests are logged. The lines' values would else be put together for nothing.
-func (c *Core) tracing() bool { return c.Log.Enabled(context.Background(), slog.LevelDebug) }
+func (c *Core) isTracing() bool { return c.Log.Enabled(context.Background(), slog.LevelDebug) }
 
-func (c *Core) traceAttempt(p *ProxyPass) {
-	if c.tracing() {
-		c.Log.Debug("request: attempt", "id", p.Transaction.ID, "attempt", p.Number, "worker", p.Worker,
-			"left_ms", p.Transaction.Left(c.Loop.now)/Millisecond)
+func (c *Core) traceAttempt(p *Attempt) {
+	if c.isTracing() {
+		c.Log.Debug("request: attempt", "id", p.Request.ID, "attempt", p.Number, "worker", p.Worker,
+			"left_ms", p.Request.TimeLeft(c.Loop.now)/Millisecond)
 	}
 }
 
-func (c *Core) traceEnd(p *ProxyPass, status rules.Status) {
-	if c.tracing() {
-		c.Log.Debug("request: attempt ended", "id", p.Transaction.ID, "attempt", p.Number, "worker", p.Worker,
-			"status", status.String(), "may_have_run", !status.NeverRan(), "after_ms", (c.Loop.now-p.sent)/Millisecond)
+func (c *Core) traceEnd(p *Attempt, status rules.Status) {
+	if c.isTracing() {
+		c.Log.Debug("request: attempt ended", "id", p.Request.ID, "attempt", p.Number, "worker", p.Worker,
+			"status", status.String(), "may_have_run", !status.NeverRan(), "after_ms", (c.Loop.now-p.sentAt)/Millisecond)
 	}
 }
 
-func (c *Core) traceAnswer(t *Transaction, a Answer, why string) {
-	if c.tracing() {
-		c.Log.Debug("request: answered", "id", t.ID, "answer", a.Kind.String(), "reason", why, "attempts", t.passes,
-			"may_have_run", t.ran, "left_ms", t.Left(c.Loop.now)/Millisecond)
+func (c *Core) traceAnswer(t *Request, a Answer, why string) {
+	if c.isTracing() {
+		c.Log.Debug("request: answered", "id", t.ID, "answer", a.Kind.String(), "reason", why, "attempts", t.attempts,
+			"may_have_run", t.mayHaveRun, "left_ms", t.TimeLeft(c.Loop.now)/Millisecond)
 	}
 }
 
-func (c *Core) traceLeft(t *Transaction) {
-	if c.tracing() {
-		c.Log.Debug("request: client left", "id", t.ID, "attempts", t.passes, "out", len(t.out))
+func (c *Core) traceClientGone(t *Request) {
+	if c.isTracing() {
+		c.Log.Debug("request: client left", "id", t.ID, "attempts", t.attempts, "out", len(t.inFlight))
 	}
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -23,7 +23,7 @@
 		take(c, s, "r")
 		for n, status := range []rules.Status{rules.Unreachable, rules.Reset} {
 			require.Len(t, s.carried, n+1)
-			c.Loop.turn([]func(){func() { c.Ended(s.carried[n].Ref, status, nil, rules.Load{}) }})
+			c.Loop.turn([]func(){func() { c.AttemptEnded(s.carried[n].Ref, status, nil, rules.Load{}) }})
 		}
 		assert.Equal(t, Failed, s.last.Kind)
 		return log.String()
@@ -46,10 +46,10 @@
 
 // What is answered without the decisions has a reason too, and so has a client that leaves.
 func TestTheLogTellsWhoEndedARequest(t *testing.T) {
-	for reason, end := range map[string]func(c *Core, tr *Transaction){
-		"answer=refused reason=process-ends": func(c *Core, _ *Transaction) { c.GiveUp(func(UserAgent) bool { return true }) },
-		"answer=refused reason=client-left":  func(c *Core, tr *Transaction) { c.Leave(tr) },
-		`msg="request: client left" id=r`:    func(c *Core, tr *Transaction) { c.HangUp(tr) },
+	for reason, end := range map[string]func(c *Core, tr *Request){
+		"answer=refused reason=process-ends": func(c *Core, _ *Request) { c.AbortRequests(func(Client) bool { return true }) },
+		"answer=refused reason=client-left":  func(c *Core, tr *Request) { c.DetachClient(tr) },
+		`msg="request: client left" id=r`:    func(c *Core, tr *Request) { c.ClientDisconnected(tr) },
 	} {
 		var log bytes.Buffer
 		s := &stub{}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -17,7 +17,7 @@
 type Update struct {
 	Version   int64
 	Whole     bool
-	Workers   []core.FarmWorker
+	Workers   []core.ListedWorker
 	Addresses []string // of the workers, in their order; empty: the worker has gone
 	SinceMS   []int64  // their starts as dates of discovery's clock, in Unix milliseconds; 0: long ago
 }
@@ -72,7 +72,7 @@
 	if e.Name == "" {
 		return errors.New("an endpoint has no name")
 	}
-	w := core.FarmWorker{Name: e.Name, Cell: e.Group, Weight: 1}
+	w := core.ListedWorker{Name: e.Name, Cell: e.Group, Weight: 1}
 	w.Zone = max(0, slices.Index(format.Names.Zones, e.Zone))
 	w.Kind = max(0, slices.Index(format.Names.Kinds, e.Type))
 	switch e.Status {
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -12,7 +12,7 @@
 
 // told is an update of one worker whose date reads as a time of the loop.
 func told(name string, sinceMS int64, reads core.Time) *Update {
-	return &Update{Workers: []core.FarmWorker{{Name: name, State: rules.Ready, StartedAt: reads}}, SinceMS: []int64{sinceMS}}
+	return &Update{Workers: []core.ListedWorker{{Name: name, State: rules.Ready, StartedAt: reads}}, SinceMS: []int64{sinceMS}}
 }
 
 func settled(s *Starts, u *Update, now core.Time, first bool) core.Time {
--- a/internal/draw/draw.go
+++ b/internal/draw/draw.go
@@ -3,7 +3,7 @@
 package draw
 
 // Cumulated gives the running sums of n weights over their total, for Pick. One weight at least has to be above 0.
-func Cumulated(n int, weight func(int) float64) []float64 {
+func CumulativeWeights(n int, weight func(int) float64) []float64 {
 	out, sum := make([]float64, n), 0.0
 	for i := range out {
 		sum += weight(i)
--- a/internal/faktory/faktory_test.go
+++ b/internal/faktory/faktory_test.go
@@ -45,7 +45,7 @@
 		}
 	}()
 	n.Eventually(func() (in bool) {
-		n.On(func() { in = n.Core.FarmSize() > 0 })
+		n.On(func() { in = n.Core.WorkerCount() > 0 })
 		return in
 	})
 	return w, got
@@ -217,7 +217,7 @@
 	for i := range 6 {
 		require.Equal(t, "OK", c.Push(fmt.Sprint("job-000", i), "move", 9000))
 	}
-	n.On(func() { assert.LessOrEqual(t, n.Core.Passes(), 1) })
+	n.On(func() { assert.LessOrEqual(t, n.Core.InFlightAttempts(), 1) })
 }
 
 // pushTwice pushes twelve jobs of a client, each a second time, and waits until all that were taken have ended.
@@ -291,9 +291,9 @@
 	assert.NotZero(t, kinds["http"])
 	assert.NotZero(t, kinds["fk"])
 	n.On(func() {
-		assert.Zero(t, n.Core.Open())
+		assert.Zero(t, n.Core.OpenRequests())
 		c := n.Core.Counts
-		assert.Equal(t, c.Taken, c.Served+c.Refused+c.Failed+c.HungUp)
+		assert.Equal(t, c.Accepted, c.Served+c.Refused+c.Failed+c.Cancelled)
 	})
 	assert.Equal(t, 204, standin.Event(n.URL(platform.PathEvents), map[string]any{"id": "http-move-0-1", "from": "s-1", "state": "done"}))
 }
--- a/internal/faktory/front.go
+++ b/internal/faktory/front.go
@@ -48,14 +48,14 @@
 
 	listener netpoll.Listener
 	server   netpoll.EventLoop
-	sessions core.Table[*session]
+	sessions core.SlotMap[*session]
 	dirty    []*session         // with replies of this turn
 	asking   []*session         // whose FETCH came in this turn
 	workers  map[string]*worker // by wid
 	pools    map[string]*core.Pool
 	jobs     *jobs.Machine
 	tries    map[*jobs.Job]*try
-	wake     *core.Deadline // of the machine
+	wake     *core.Timer // of the machine
 	wakeAt   core.Time
 	waits    map[uint64]*session // whose MUTATE is under way, by its token
 	flushes  []*session
@@ -90,7 +90,7 @@
 		set.Repeatable = append(set.Repeatable, conf.Settings.Classes[i].Effect == rules.Repeatable)
 	}
 	f.jobs = jobs.New(set, mathrand.New(mathrand.NewPCG(conf.Seed, 0x6661_6b74_6f72_79)), host{f}, k.RunsAtTables)
-	c.Listed = func() { f.jobs.Tables(f.loop.Now(), c.Main().Ready(f)) }
+	c.OnWorkerList = func() { f.jobs.Tables(f.loop.Now(), c.MainPool().HasReadyWorker(f)) }
 	return f
 }
 
@@ -112,7 +112,7 @@
 	go f.server.Serve(ln)
 	f.loop.AfterTurn(f.afterTurn)
 	f.loop.Post(func() {
-		f.jobs.Tables(f.loop.Now(), f.core.Main().Ready(f))
+		f.jobs.Tables(f.loop.Now(), f.core.MainPool().HasReadyWorker(f))
 		f.sweep()
 	})
 	return nil
@@ -132,7 +132,7 @@
 	stop := core.Time(f.conf.Faktory.StopS * float64(core.Second))
 	f.loop.At(f.loop.Now()+stop/2, func() { f.state = "terminate" })
 	f.loop.At(f.loop.Now()+stop, func() {
-		f.core.GiveUp(func(u core.UserAgent) bool { _, ours := u.(*try); return ours })
+		f.core.AbortRequests(func(u core.Client) bool { _, ours := u.(*try); return ours })
 	})
 }
 
@@ -190,7 +190,7 @@
 	}
 	s.letGo()
 	f.sessions.Free(s.ref)
-	f.loop.Drop(s.fetch)
+	f.loop.CancelTimer(s.fetch)
 	f.jobs.Stop(&s.ask)
 	if w := s.worker; w != nil {
 		w.unwait(s)
@@ -212,7 +212,7 @@
 	switch {
 	case !ok || f.wake != nil && f.wakeAt <= at:
 	default:
-		f.loop.Drop(f.wake)
+		f.loop.CancelTimer(f.wake)
 		f.wakeAt = at
 		f.wake = f.loop.At(at, f.due)
 	}
@@ -264,11 +264,11 @@
 // the HTTP front are handed out, else one of its own.
 func (f *Front) pool(queue string) *core.Pool {
 	if queue == f.conf.Faktory.Queue || f.conf.Faktory.RunsAtTables(queue) {
-		return f.core.Main()
+		return f.core.MainPool()
 	}
 	p := f.pools[queue]
 	if p == nil {
-		s := core.SingleClasses(f.conf.Settings)
+		s := core.WithAtMostOnceClasses(f.conf.Settings)
 		for i := range s.Classes {
 			s.Classes[i].Kind = -1
 		}
@@ -287,7 +287,7 @@
 		return
 	}
 	for name, p := range f.pools {
-		if !f.jobs.HasQueue(name) && p.Idle() {
+		if !f.jobs.HasQueue(name) && p.IsEmpty() {
 			delete(f.pools, name)
 			for _, w := range f.workers {
 				delete(w.in, p)
@@ -297,4 +297,4 @@
 	}
 }
 
-var _ core.Carrier = (*Front)(nil)
+var _ core.Transport = (*Front)(nil)
--- a/internal/faktory/host.go
+++ b/internal/faktory/host.go
@@ -11,7 +11,7 @@
 type try struct {
 	front   *Front
 	job     *jobs.Job
-	t       *core.Transaction
+	t       *core.Request
 	failure *jobs.Failure // what was told of it
 }
 
@@ -24,21 +24,21 @@
 // Open implements jobs.Actions.
 func (h host) Open(j *jobs.Job, worker string) {
 	f := h.f
-	t := &core.Transaction{ID: j.ID, Deadline: j.Deadline(), Slots: j.Slots, Hint: j.Hint, Pool: f.pool(j.Queue), Single: true,
-		Work: core.Work{Class: int(j.Class), Tenant: int(j.Tenant), Target: f.target(j), Key: j.Key}}
+	t := &core.Request{ID: j.ID, Deadline: j.Deadline(), Slots: j.Slots, Hint: j.Hint, Pool: f.pool(j.Queue), AtMostOnce: true,
+		Job: core.Job{Class: int(j.Class), Tenant: int(j.Tenant), Target: f.target(j), Key: j.Key}}
 	if f.conf.Faktory.RunsAtTables(j.Queue) {
-		t.Work.Body = argsOf(j)
+		t.Job.Body = argsOf(j)
 	}
 	if worker != "" {
-		t.Asker = workerPrefix + worker
+		t.FetchingWorker = workerPrefix + worker
 	}
 	if t.Deadline == 0 {
 		t.Deadline = f.loop.Now() + forever
 	}
 	y := &try{front: f, job: j, t: t}
-	t.Agent = y
+	t.Client = y
 	f.tries[j] = y
-	if !f.core.Take(t) {
+	if !f.core.Accept(t) {
 		// The other front has a request under the same id in the core: it goes first.
 		delete(f.tries, j)
 		f.loop.Post(func() { f.jobs.Ended(f.loop.Now(), j, jobs.EndRefused, core.Second/10, nil) })
@@ -58,7 +58,7 @@
 func (h host) Withdraw(j *jobs.Job) {
 	if y := h.f.tries[j]; y != nil {
 		delete(h.f.tries, j)
-		h.f.core.HangUp(y.t)
+		h.f.core.ClientDisconnected(y.t)
 	}
 }
 
@@ -66,7 +66,7 @@
 func (h host) Expire(j *jobs.Job) {
 	if y := h.f.tries[j]; y != nil {
 		y.failure = &jobs.Failure{Type: "ReservationExpired", Message: "worker " + j.Worker + " did not report in time"}
-		h.f.core.TimeOut(y.t)
+		h.f.core.TimeOutAttempts(y.t)
 	}
 }
 
@@ -79,14 +79,14 @@
 }
 
 // Answer implements core.UserAgent. It never comes after a Withdraw: what was cancelled is not answered.
-func (y *try) Answer(_ *core.Transaction, a core.Answer) {
+func (y *try) Answer(_ *core.Request, a core.Answer) {
 	f, now := y.front, y.front.loop.Now()
 	delete(f.tries, y.job)
 	switch a.Kind {
 	case core.Served:
 		y.job.Result = string(a.Result)
 		f.jobs.Ended(now, y.job, jobs.EndServed, 0, nil)
-	case core.Unavailable:
+	case core.Refused:
 		f.jobs.Ended(now, y.job, jobs.EndRefused, a.RetryAfter, nil)
 	default:
 		f.jobs.Ended(now, y.job, jobs.EndFailed, 0, y.failure)
@@ -94,18 +94,18 @@
 }
 
 // Released implements core.UserAgent: the job's text is its own.
-func (y *try) Released(*core.Transaction) {}
+func (y *try) Released(*core.Request) {}
 
 // Placed implements core.Placed: a table worker has the job from here on; one that fetches only with its FETCH.
-func (y *try) Placed(t *core.Transaction, p *core.ProxyPass) {
-	if _, waits := p.Carried.(*attemptState); !waits {
+func (y *try) AttemptSent(t *core.Request, p *core.Attempt) {
+	if _, waits := p.TransportState.(*attemptState); !waits {
 		y.front.jobs.Given(y.front.loop.Now(), y.job, p.Worker, nil)
 	}
 }
 
 // failed notes what is known of an attempt that failed.
-func (f *Front) failed(p *core.ProxyPass, kind, message string) {
-	if y, ours := p.Transaction.Agent.(*try); ours {
+func (f *Front) failed(p *core.Attempt, kind, message string) {
+	if y, ours := p.Request.Client.(*try); ours {
 		y.failure = &jobs.Failure{Type: kind, Message: message}
 	}
 }
--- a/internal/faktory/operate.go
+++ b/internal/faktory/operate.go
@@ -297,7 +297,7 @@
 			"ended_forgotten": t.EndedForgotten, "locks": n.Locks, "clients": n.Clients, "input_bytes": f.input.Load(),
 			"max_input_bytes": f.inputMost, "served": t.Served, "refused": t.Refused, "failed": t.Failed, "died": t.Dead,
 			"retried": t.Retried, "turned_away": turned, "paused": paused, "latency_s": latency, "workers": workers,
-			"in_core": f.core.Open(), "draining": f.quiet,
+			"in_core": f.core.OpenRequests(), "draining": f.quiet,
 		},
 	})
 	return text
--- a/internal/faktory/payload.go
+++ b/internal/faktory/payload.go
@@ -241,12 +241,12 @@
 		Message: j.Failure.Message, Type: j.Failure.Type, Backtrace: j.Failure.Backtrace}
 }
 
-func (f *Front) wall(at core.Time) string { return f.loop.Wall(at).UTC().Format(time.RFC3339Nano) }
+func (f *Front) wall(at core.Time) string { return f.loop.ToWall(at).UTC().Format(time.RFC3339Nano) }
 
 // payload is what a worker's FETCH is given: a pushed job as it came, with the failure of its last try, if any;
 // any other request as a job whose one argument tells of the request.
-func (f *Front) payload(t *core.Transaction) []byte {
-	if try, ok := t.Agent.(*try); ok {
+func (f *Front) payload(t *core.Request) []byte {
+	if try, ok := t.Client.(*try); ok {
 		j := try.job
 		if j.Failure == nil {
 			return []byte(j.Payload)
@@ -254,16 +254,16 @@
 		text, _ := json.Marshal(f.failureOf(j))
 		return []byte(strings.TrimSuffix(j.Payload, "}") + `,"failure":` + string(text) + "}")
 	}
-	request := map[string]string{"target": t.Work.Target}
-	if utf8.Valid(t.Work.Body) {
-		request["body"] = string(t.Work.Body)
+	request := map[string]string{"target": t.Job.Target}
+	if utf8.Valid(t.Job.Body) {
+		request["body"] = string(t.Job.Body)
 	} else {
-		b, _ := json.Marshal(t.Work.Body) // base64, in quotes
+		b, _ := json.Marshal(t.Job.Body) // base64, in quotes
 		request["body_base64"] = string(b[1 : len(b)-1])
 	}
-	left := max(1, t.Left(f.loop.Now())/core.Millisecond)
+	left := max(1, t.TimeLeft(f.loop.Now())/core.Millisecond)
 	b, err := json.Marshal(map[string]any{
-		"jid": t.ID, "jobtype": f.conf.Names.Classes[t.Work.Class], "queue": f.conf.Faktory.Queue,
+		"jid": t.ID, "jobtype": f.conf.Names.Classes[t.Job.Class], "queue": f.conf.Faktory.Queue,
 		"args": []any{request}, "retry": 0, "reserve_for": (left + 999) / 1000,
 		"created_at": clock.Wall().UTC().Format(time.RFC3339Nano),
 		"custom":     map[string]any{"time_left_ms": left},
--- a/internal/faktory/session.go
+++ b/internal/faktory/session.go
@@ -31,8 +31,8 @@
 	queues  []string // of its last FETCH
 	asked   string   // as they were written
 	ask     jobs.Ask
-	fetch   *core.Deadline // of the FETCH that waits
-	blocked bool           // a command waits for its reply: those behind it wait too
+	fetch   *core.Timer // of the FETCH that waits
+	blocked bool        // a command waits for its reply: those behind it wait too
 	behind  []request
 	bulk    *bulkPush // a PUSHB that is under way
 }
@@ -213,7 +213,7 @@
 		w = nil
 	}
 	if w == nil {
-		w = &worker{wid: wid, name: workerPrefix + wid, process: process, in: map[*core.Pool]bool{}, fetched: map[string]*core.ProxyPass{}}
+		w = &worker{wid: wid, name: workerPrefix + wid, process: process, in: map[*core.Pool]bool{}, fetched: map[string]*core.Attempt{}}
 		f.workers[wid] = w
 	}
 	w.sessions++
--- a/internal/faktory/transport.go
+++ b/internal/faktory/transport.go
@@ -20,13 +20,13 @@
 	beat     core.Time        // the last sign of life
 	rss      int64            // kB, as its BEAT told
 	pending  []pendingAttempt // not fetched yet, in order of their sending
-	fetched  map[string]*core.ProxyPass
+	fetched  map[string]*core.Attempt
 	waiting  []*session // FETCHes that wait
 }
 
 // pendingAttempt is an attempt that waits for its worker's FETCH.
 type pendingAttempt struct {
-	attempt *core.ProxyPass
+	attempt *core.Attempt
 	queue   string
 	since   core.Time
 }
@@ -44,11 +44,11 @@
 	w.pending, w.fetched = nil, nil
 	f.tell(w, rules.Gone)
 	for _, h := range pending {
-		f.core.Ended(h.attempt.Ref, rules.Unreachable, nil, rules.Load{})
+		f.core.AttemptEnded(h.attempt.Ref, rules.Unreachable, nil, rules.Load{})
 	}
 	for _, p := range fetched {
 		f.failed(p, "WorkerVanished", "worker "+w.wid+" vanished with the job")
-		f.core.Ended(p.Ref, rules.Reset, nil, rules.Load{})
+		f.core.AttemptEnded(p.Ref, rules.Reset, nil, rules.Load{})
 	}
 }
 
@@ -60,7 +60,7 @@
 }
 
 func (f *Front) tellOne(w *worker, p *core.Pool, state rules.WorkerState) {
-	p.Farm(f, rules.ListDelta, []core.FarmWorker{{Name: w.name, Zone: f.core.Settings().Zone, Kind: -1,
+	p.UpdateWorkerList(f, rules.ListDelta, []core.ListedWorker{{Name: w.name, Zone: f.core.Settings().Zone, Kind: -1,
 		State: state, Weight: 1, StartedAt: w.start}})
 }
 
@@ -87,14 +87,14 @@
 }
 
 // Carry implements core.Carrier: the attempt waits for the worker's FETCH.
-func (f *Front) Carry(p *core.ProxyPass) {
-	p.Carried = &attemptState{}
+func (f *Front) Send(p *core.Attempt) {
+	p.TransportState = &attemptState{}
 	w := f.workerOf(p.Worker)
 	if w == nil {
-		f.loop.Post(func() { f.core.Ended(p.Ref, rules.Unreachable, nil, rules.Load{}) })
+		f.loop.Post(func() { f.core.AttemptEnded(p.Ref, rules.Unreachable, nil, rules.Load{}) })
 		return
 	}
-	queue := f.queueOf(p.Transaction)
+	queue := f.queueOf(p.Request)
 	for _, s := range w.waiting {
 		if s.ask.Lists(queue) {
 			f.deliver(w, s, p)
@@ -105,11 +105,11 @@
 }
 
 // Begun implements core.Carrier.
-func (f *Front) Begun(p *core.ProxyPass) bool { return p.Carried.(*attemptState).fetched }
+func (f *Front) HasBegun(p *core.Attempt) bool { return p.TransportState.(*attemptState).fetched }
 
 // Withdraw implements core.Carrier. An attempt that was not fetched never ran; of one that was, the
 // protocol has no way to tell the worker, which goes on with it.
-func (f *Front) Withdraw(p *core.ProxyPass) (mayHaveRun bool) {
+func (f *Front) Cancel(p *core.Attempt) (mayHaveRun bool) {
 	if w := f.workerOf(p.Worker); w != nil {
 		for i, h := range w.pending {
 			if h.attempt == p {
@@ -117,11 +117,11 @@
 				return false
 			}
 		}
-		if w.fetched[p.Transaction.ID] == p {
-			delete(w.fetched, p.Transaction.ID)
+		if w.fetched[p.Request.ID] == p {
+			delete(w.fetched, p.Request.ID)
 		}
 	}
-	return p.Carried.(*attemptState).fetched
+	return p.TransportState.(*attemptState).fetched
 }
 
 // Probe implements core.Carrier. What would be asked is known here.
@@ -141,19 +141,19 @@
 }
 
 // deliver answers a FETCH with an attempt. From here on it may have run.
-func (f *Front) deliver(w *worker, s *session, p *core.ProxyPass) {
-	p.Carried.(*attemptState).fetched = true
-	w.fetched[p.Transaction.ID] = p
+func (f *Front) deliver(w *worker, s *session, p *core.Attempt) {
+	p.TransportState.(*attemptState).fetched = true
+	w.fetched[p.Request.ID] = p
 	w.unwait(s)
-	f.loop.Drop(s.fetch)
+	f.loop.CancelTimer(s.fetch)
 	s.fetch = nil
-	if try, ours := p.Transaction.Agent.(*try); ours {
+	if try, ours := p.Request.Client.(*try); ours {
 		f.jobs.Given(f.loop.Now(), try.job, w.wid, &s.ask)
 	} else {
 		f.jobs.Stop(&s.ask)
 	}
-	s.resume(bulk(f.payload(p.Transaction)))
-	f.core.Started(p.Ref)
+	s.resume(bulk(f.payload(p.Request)))
+	f.core.AttemptStarted(p.Ref)
 }
 
 // deliverPending answers a FETCH with what is pending for its worker: in the order of its queues, and of these in the
@@ -181,7 +181,7 @@
 		}
 		w.pending = append(w.pending[:i], w.pending[i+1:]...)
 		i--
-		f.core.Ended(h.attempt.Ref, rules.Refused, nil, w.load(0))
+		f.core.AttemptEnded(h.attempt.Ref, rules.Refused, nil, w.load(0))
 	}
 }
 
@@ -201,7 +201,7 @@
 	pending := w.pending
 	w.pending = nil
 	for _, h := range pending {
-		f.core.Ended(h.attempt.Ref, rules.Refused, nil, rules.Load{})
+		f.core.AttemptEnded(h.attempt.Ref, rules.Refused, nil, rules.Load{})
 	}
 }
 
@@ -214,8 +214,8 @@
 	}
 }
 
-func (f *Front) queueOf(t *core.Transaction) string {
-	if try, ok := t.Agent.(*try); ok {
+func (f *Front) queueOf(t *core.Request) string {
+	if try, ok := t.Client.(*try); ok {
 		return try.job.Queue
 	}
 	return f.conf.Faktory.Queue
--- a/internal/faktory/verbs.go
+++ b/internal/faktory/verbs.go
@@ -17,7 +17,7 @@
 
 // take has the machine take a job, and puts its verdict into words.
 func (f *Front) take(j *jobs.Job) error {
-	if f.core.Known(j.ID) && f.jobs.Find(j.ID) == nil {
+	if f.core.HasRequest(j.ID) && f.jobs.Find(j.ID) == nil {
 		return fmt.Errorf("jid %s is in use", j.ID)
 	}
 	v := f.jobs.Push(f.loop.Now(), j)
@@ -176,7 +176,7 @@
 
 // held finds the attempt that a worker reports on, and the object that it sent; nil: its time was over, or it came
 // before a restart.
-func (f *Front) held(s *session, verb string, arg []byte) (*core.ProxyPass, gjson.Result) {
+func (f *Front) held(s *session, verb string, arg []byte) (*core.Attempt, gjson.Result) {
 	if !gjson.ValidBytes(arg) {
 		s.reply(fault("malformed %s: not an object of JSON", verb))
 		return nil, gjson.Result{}
@@ -210,7 +210,7 @@
 	} else if v.Exists() {
 		result = []byte(v.Raw)
 	}
-	f.core.Ended(p.Ref, rules.OK, result, s.worker.load(1))
+	f.core.AttemptEnded(p.Ref, rules.OK, result, s.worker.load(1))
 }
 
 func (f *Front) fail(s *session, q *request) {
@@ -218,14 +218,14 @@
 	if p == nil {
 		return
 	}
-	if y, ours := p.Transaction.Agent.(*try); ours {
+	if y, ours := p.Request.Client.(*try); ours {
 		y.failure = &jobs.Failure{Type: r.Get("errtype").String(), Message: r.Get("message").String()}
 		r.Get("backtrace").ForEach(func(_, line gjson.Result) bool {
 			y.failure.Backtrace = append(y.failure.Backtrace, line.String())
 			return len(y.failure.Backtrace) < jobs.MostBacktrace
 		})
 	}
-	f.core.Ended(p.Ref, rules.Error, nil, s.worker.load(1))
+	f.core.AttemptEnded(p.Ref, rules.Error, nil, s.worker.load(1))
 }
 
 // beat takes a worker's sign of life, and tells it where it is to go quiet or to end.
@@ -269,7 +269,7 @@
 	for len(w.waiting) > 0 {
 		s := w.waiting[0]
 		w.unwait(s)
-		f.loop.Drop(s.fetch)
+		f.loop.CancelTimer(s.fetch)
 		s.fetch = nil
 		f.jobs.Stop(&s.ask)
 		s.resume(replyNone)
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -34,9 +34,9 @@
 // Requests draws what the clients of a scenario ask for.
 func Requests(s *scenario.Scenario, seed uint64) (all []Request) {
 	rng := rand.New(rand.NewPCG(seed, 0x636c69656e74))
-	keys := draw.Cumulated(s.Clients.Keys, func(i int) float64 { return math.Pow(float64(i+1), -s.Clients.Skew) })
-	classes := draw.Cumulated(len(s.Classes), func(i int) float64 { return s.Classes[i].Share })
-	sites := draw.Cumulated(len(s.Sites), func(i int) float64 { return s.Sites[i].Share })
+	keys := draw.CumulativeWeights(s.Clients.Keys, func(i int) float64 { return math.Pow(float64(i+1), -s.Clients.Skew) })
+	classes := draw.CumulativeWeights(len(s.Classes), func(i int) float64 { return s.Classes[i].Share })
+	sites := draw.CumulativeWeights(len(s.Sites), func(i int) float64 { return s.Sites[i].Share })
 	rate := s.RatePerS()
 	for at := 0.0; ; {
 		times := 1.0
--- a/internal/fleet/rig.go
+++ b/internal/fleet/rig.go
@@ -164,7 +164,7 @@
 	}
 	back := endpoints.NewBacks(r.net, len(r.set.Sites), listens, sites)
 	number := 0
-	kinds := draw.Cumulated(len(r.set.Workers.Kinds), func(i int) float64 { return r.set.Workers.Kinds[i].Share })
+	kinds := draw.CumulativeWeights(len(r.set.Workers.Kinds), func(i int) float64 { return r.set.Workers.Kinds[i].Share })
 	for site, x := range r.set.Sites {
 		for i := range x.Workers {
 			w := endpoints.NewWorker(number, site, draw.Pick(kinds, (float64(i)+0.5)/float64(x.Workers)), r.set, r.recorder, r.net, back, r.seed)
--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -63,7 +63,7 @@
 
 	listener netpoll.Listener
 	server   netpoll.EventLoop
-	calls    core.Table[*call]
+	calls    core.SlotMap[*call]
 }
 
 // call is one connection of an operator's.
@@ -73,7 +73,7 @@
 	request  http1.Request
 	taken    bool // its whole call is in hand
 	answered bool
-	limit    *core.Deadline
+	limit    *core.Timer
 }
 
 type callKey struct{}
@@ -194,7 +194,7 @@
 // answer writes the one answer of a connection, which is closed after it. The reason stands in its log line.
 func (f *Front) answer(k *call, reason string, status int, body string, extra ...string) {
 	k.answered = true
-	f.loop.Drop(k.limit)
+	f.loop.CancelTimer(k.limit)
 	k.Reason = reason
 	message := http1.AppendResponse(nil, status, false, []byte(body), append(extra, "Content-Type", "text/plain")...)
 	k.Send(f.loop, link.Outgoing{Message: message, Last: true})
@@ -204,7 +204,7 @@
 	if !k.Farewell(f.log, f.loop.Now()) {
 		return
 	}
-	f.loop.Drop(k.limit)
+	f.loop.CancelTimer(k.limit)
 	f.calls.Free(k.ref)
 	k.Release()
 }
--- a/internal/front/admin/directives.go
+++ b/internal/front/admin/directives.go
@@ -58,7 +58,7 @@
 	left := k.Opened + CallTime - answerMargin - f.loop.Now()
 	f.directives.Change(o.key, o.on, time.Duration(left/core.Millisecond)*time.Millisecond, func(err error) {
 		age := f.loop.Now() - k.Opened
-		f.log.Info("admin: told", "key", string(o.key), "on", o.on, "out_of_rotation", f.core.Avoided(), "after_ms",
+		f.log.Info("admin: told", "key", string(o.key), "on", o.on, "out_of_rotation", f.core.WorkersOutOfRotation(), "after_ms",
 			age/core.Millisecond, "error", err)
 		if k.Ended || k.Closed || k.answered {
 			return
--- a/internal/front/admin/figures.go
+++ b/internal/front/admin/figures.go
@@ -21,9 +21,9 @@
 func Figures(c *core.Core, clients Clients, directives Directives, classes []string) []byte {
 	b := make([]byte, 0, 96*len(classes)+160)
 	for i, name := range classes {
-		var e core.Ends
-		if i < len(c.ByClass) {
-			e = c.ByClass[i]
+		var e core.AnswerCounts
+		if i < len(c.AnswersByClass) {
+			e = c.AnswersByClass[i]
 		}
 		b = figure(b, "fulfilled."+name, e.Served, 'c')
 		b = figure(b, "throttled."+name, e.Refused, 'c')
@@ -32,16 +32,16 @@
 	b = figure(b, "relayed", clients.Relayed(), 'c')
 	b = figure(b, "directive_failures", directives.Failures(), 'c')
 	b = figure(b, "accept_failures", link.AcceptFailures(), 'c')
-	b = figure(b, "open_requests", uint64(c.Open()), 'g')
-	b = figure(b, "registry_entries", uint64(c.FarmSize()), 'g')
-	b = figure(b, "out_of_rotation", uint64(c.Avoided()), 'g')
+	b = figure(b, "open_requests", uint64(c.OpenRequests()), 'g')
+	b = figure(b, "registry_entries", uint64(c.WorkerCount()), 'g')
+	b = figure(b, "out_of_rotation", uint64(c.WorkersOutOfRotation()), 'g')
 	for _, s := range c.Sites() {
 		b = figure(b, "site_state."+s.Name, uint64(s.State), 'g')
-		b = figure(b, "site_out."+s.Name, uint64(s.Out), 'g')
+		b = figure(b, "site_out."+s.Name, uint64(s.WorkersOut), 'g')
 	}
-	if s, divided := c.Share(); divided {
-		b = figure(b, "ownership_live", uint64(s.Live), 'g')
-		b = figure(b, "ownership_held", uint64(s.Held), 'g')
+	if s, divided := c.Ownership(); divided {
+		b = figure(b, "ownership_live", uint64(s.LiveSchedulers), 'g')
+		b = figure(b, "ownership_held", uint64(s.HeldWorkers), 'g')
 		b = figure(b, "ownership_span_percent", uint64(100*s.Span), 'g')
 		b = figure(b, "ownership_weight_percent", uint64(100*s.Weight), 'g')
 	}
--- a/internal/front/admission/admission.go
+++ b/internal/front/admission/admission.go
@@ -83,7 +83,7 @@
 }
 
 // Admit turns a request into one of the core's, whose answer goes to the client; what can't be one reaches no worker.
-func (c *Controller) Admit(q *Request, client core.UserAgent) (*core.Transaction, *Fault) {
+func (c *Controller) Admit(q *Request, client core.Client) (*core.Request, *Fault) {
 	segments := strings.Split(strings.TrimPrefix(q.Path, "/"), "/")
 	class := c.names.Class(segments[0])
 	if class < 0 {
@@ -102,27 +102,27 @@
 		return nil, &Fault{Status: 400, Text: HeaderID + " was in use"}
 	}
 	if tenant, n := q.Header(HeaderTenant); n == 1 {
-		t.Work.Tenant = c.names.Tenant(tenant)
+		t.Job.Tenant = c.names.Tenant(tenant)
 	}
 	if q.Fields != nil {
-		t.Work.Fields = q.Fields(nil)
+		t.Job.HeaderFields = q.Fields(nil)
 	}
-	t.Agent = client
+	t.Client = client
 	t.Deadline = c.core.Loop.Now() + max(core.Millisecond, t.Deadline-answerMargin)
-	if !c.core.Take(t) {
+	if !c.core.Accept(t) {
 		return nil, &Fault{Status: 400, Text: HeaderID + " is in use"}
 	}
 	return t, nil
 }
 
 // Seen tells whether an id is open here or has lately ended here.
-func (c *Controller) Seen(id string) bool { return c.core.Known(id) || c.ended.has(id) }
+func (c *Controller) Seen(id string) bool { return c.core.HasRequest(id) || c.ended.has(id) }
 
 // Released notes the id of a request that no attempt needs any more.
-func (c *Controller) Released(t *core.Transaction) { c.ended.add(t.ID) }
+func (c *Controller) Released(t *core.Request) { c.ended.add(t.ID) }
 
 // newTransaction makes a request of the core from the headers; Deadline is still the time left. A text tells what is wrong.
-func newTransaction(q *Request, segments []string, class int) (*core.Transaction, string) {
+func newTransaction(q *Request, segments []string, class int) (*core.Request, string) {
 	id, n := q.Header(HeaderID)
 	if len(id) == 0 || len(id) > LongestID || n > 1 || strings.ContainsAny(string(id), " ,\t\"/?#%") {
 		return nil, HeaderID + " is missing or unusable"
@@ -135,10 +135,10 @@
 	if named, n := q.Header(HeaderClass); n > 1 || n == 1 && string(named) != segments[0] {
 		return nil, HeaderClass + " is not the class of the path"
 	}
-	t := &core.Transaction{ID: string(id), Deadline: core.Time(left) * core.Millisecond,
-		Work: core.Work{Class: class, Target: q.Target, Body: q.Body}}
+	t := &core.Request{ID: string(id), Deadline: core.Time(left) * core.Millisecond,
+		Job: core.Job{Class: class, Target: q.Target, Body: q.Body}}
 	if len(segments) > 1 {
-		t.Work.Key = segments[len(segments)-1]
+		t.Job.Key = segments[len(segments)-1]
 	}
 	if hint, n := q.Header(HeaderHint); n == 1 {
 		t.Hint = hintOf(hint)
@@ -183,7 +183,7 @@
 	switch a.Kind {
 	case core.Served:
 		return Reply{Status: 200, Body: a.Result}
-	case core.Unavailable:
+	case core.Refused:
 		if !c.core.Settings().RetryAfter {
 			return Reply{Status: 503}
 		}
--- a/internal/front/admission/admission_test.go
+++ b/internal/front/admission/admission_test.go
@@ -17,8 +17,8 @@
 
 type client struct{}
 
-func (client) Answer(*core.Transaction, core.Answer) {}
-func (client) Released(*core.Transaction)            {}
+func (client) Answer(*core.Request, core.Answer) {}
+func (client) Released(*core.Request)            {}
 
 // names reads a platform's file with two tenants, as a scheduler does at its start.
 func names(t *testing.T) *config.Names {
@@ -59,7 +59,7 @@
 			return []byte(values[0]), len(values)
 		}}, client{})
 		require.Nil(t, fault, id)
-		assert.Equal(t, []any{v.tenant, v.hint}, []any{tx.Work.Tenant, tx.Hint}, id)
+		assert.Equal(t, []any{v.tenant, v.hint}, []any{tx.Job.Tenant, tx.Hint}, id)
 	}
 }
 
@@ -67,7 +67,7 @@
 func TestRetryAfterFollowsTheSettings(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		c := core.New(core.NewLoop(), rules.Settings{RetryAfter: told}, 1, slog.New(slog.DiscardHandler))
-		r := NewController(c, names(t)).ReplyTo(core.Answer{Kind: core.Unavailable, RetryAfter: 1_500_000})
+		r := NewController(c, names(t)).ReplyTo(core.Answer{Kind: core.Refused, RetryAfter: 1_500_000})
 		assert.Equal(t, 503, r.Status)
 		assert.Equal(t, map[bool]string{true: "1.500"}[told], r.RetryAfter)
 	}
--- a/internal/front/http2/conn.go
+++ b/internal/front/http2/conn.go
@@ -329,4 +329,4 @@
 
 func (r *forgotten) has(id uint32) bool { return r.set[id] }
 
-var _ core.UserAgent = (*stream)(nil)
+var _ core.Client = (*stream)(nil)
--- a/internal/front/http2/ending_test.go
+++ b/internal/front/http2/ending_test.go
@@ -61,7 +61,7 @@
 		h, yes := f.(*xhttp2.HeadersFrame)
 		return yes && h.StreamID == stream
 	})
-	n.On(func() { assert.Zero(t, n.Core.Open()) })
+	n.On(func() { assert.Zero(t, n.Core.OpenRequests()) })
 	n.Eventually(func() bool { return w.Deleted("id-1") || n.Logged("reason=given-up") })
 }
 
@@ -111,5 +111,5 @@
 			assert.Zero(t, runs[id], "%s is said never to have run", id)
 		}
 	}
-	n.On(func() { assert.Zero(t, n.Core.Open()) })
+	n.On(func() { assert.Zero(t, n.Core.OpenRequests()) })
 }
--- a/internal/front/http2/front.go
+++ b/internal/front/http2/front.go
@@ -35,7 +35,7 @@
 
 	listener netpoll.Listener
 	server   netpoll.EventLoop
-	conns    core.Table[*conn]
+	conns    core.SlotMap[*conn]
 	dirty    []*conn
 	quiet    bool
 	last     bool // the second GOAWAY has been sent
@@ -182,7 +182,7 @@
 		f.conns.Each(func(_ core.Ref, c *conn) { c.warn(c.highest) })
 	})
 	f.loop.At(f.loop.Now()+within, func() {
-		f.core.GiveUp(func(u core.UserAgent) bool { _, ours := u.(*stream); return ours })
+		f.core.AbortRequests(func(u core.Client) bool { _, ours := u.(*stream); return ours })
 	})
 }
 
--- a/internal/front/http2/http2_test.go
+++ b/internal/front/http2/http2_test.go
@@ -183,7 +183,7 @@
 		assert.NotZero(t, fronts[front], front)
 	}
 	n.Eventually(func() (none bool) {
-		n.On(func() { none = n.Core.Open() == 0 })
+		n.On(func() { none = n.Core.OpenRequests() == 0 })
 		return none
 	})
 }
--- a/internal/front/http2/stream.go
+++ b/internal/front/http2/stream.go
@@ -24,9 +24,9 @@
 	window   int64 // that the client gives us
 	received int64 // that it has left of what we gave
 
-	job      *core.Transaction // nil: none, or released
-	answered bool              // HEADERS have been written
-	out      []byte            // of the answer, not sent yet
+	job      *core.Request // nil: none, or released
+	answered bool          // HEADERS have been written
+	out      []byte        // of the answer, not sent yet
 	gone     bool
 }
 
@@ -136,9 +136,9 @@
 }
 
 // Answer implements core.UserAgent. The ledger has it whether the stream is still there or not.
-func (s *stream) Answer(t *core.Transaction, a core.Answer) {
+func (s *stream) Answer(t *core.Request, a core.Answer) {
 	f := s.conn.front
-	state := map[core.AnswerKind]admission.State{core.Served: admission.Served, core.Unavailable: admission.Refused}[a.Kind]
+	state := map[core.AnswerKind]admission.State{core.Served: admission.Served, core.Refused: admission.Refused}[a.Kind]
 	if state == "" {
 		state = admission.Failed
 	}
@@ -156,7 +156,7 @@
 }
 
 // Released implements core.UserAgent.
-func (s *stream) Released(t *core.Transaction) {
+func (s *stream) Released(t *core.Request) {
 	s.conn.front.admission.Released(t)
 	s.job, s.body = nil, nil
 }
@@ -170,12 +170,12 @@
 	if t == nil || s.answered {
 		return
 	}
-	if f.core.Settings().Classes[t.Work.Class].Effect != rules.Repeatable {
-		f.core.Leave(t)
+	if f.core.Settings().Classes[t.Job.Class].Effect != rules.Repeatable {
+		f.core.DetachClient(t)
 		return
 	}
 	f.ledger.End(f.loop.Now(), t.ID, admission.Refused, nil)
-	f.core.HangUp(t)
+	f.core.ClientDisconnected(t)
 }
 
 // respond writes an answer: HEADERS now, DATA as far as the windows let it.
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -19,43 +19,43 @@
 // folderWait is how long a process that can't read what operators have told puts off to listen. Until it has, the process
 // would send to workers that are out by hand; meanwhile the one that it takes over from serves. A restarted scheduler has 6 s
 // to be ready, and waits up to 1 s of them for its list.
-const folderWait = 4 * time.Second
+const maxFolderWait = 4 * time.Second
 
 // directives carries out what operators have told any process of this scheduler: package replica tells of it, the
 // decisions and the clients' front go by it. Its methods are the loop's.
 type directives struct {
-	replica *replica.Replica
-	core    *core.Core
-	front   *platform.Front
-	log     *slog.Logger
-	out     map[string]bool // table workers that are out by hand
+	replica  *replica.Replica
+	core     *core.Core
+	front    *platform.Front
+	log      *slog.Logger
+	disabled map[string]bool // table workers that are out by hand
 	// reload has the configuration read again; nil: nobody can. asked counts the reloads that this process told of itself
 	// and that have not come round to it yet.
-	reload func()
-	asked  int
+	reload     func()
+	ownReloads int
 }
 
 // openDirectives joins the scheduler's other processes. A folder that can't be used is told in the log and tried again.
 func openDirectives(conf *config.Config, c *core.Core, front *platform.Front, log *slog.Logger) *directives {
-	d := &directives{core: c, front: front, log: log, out: map[string]bool{}}
+	d := &directives{core: c, front: front, log: log, disabled: map[string]bool{}}
 	period := replica.WithCalls
 	if conf.Admin == "" {
 		period = replica.WithoutCalls
 	}
 	var err error
 	d.replica, err = replica.Open(replica.Options{
-		Folder: stateFile(conf, "directives"),
+		Folder: stateFilePath(conf, "directives"),
 		Period: period,
 		Log:    log,
 		Apply:  func(entries []directive.Entry) { c.Loop.Post(func() { d.apply(entries) }) },
-		Others: func(others replica.Others) { c.Loop.Post(func() { d.share(others) }) },
+		Others: func(others replica.Others) { c.Loop.Post(func() { d.updateProcesses(others) }) },
 	})
 	if err != nil {
-		log.Warn("directive: the folder can't be used, it is tried again", "error", err, "start_waits_at_most", folderWait)
-		err = d.replica.Await(folderWait)
+		log.Warn("directive: the folder can't be used, it is tried again", "error", err, "start_waits_at_most", maxFolderWait)
+		err = d.replica.Await(maxFolderWait)
 	}
 	if err == nil {
-		err = importHeld(d.replica, stateFile(conf, "held"))
+		err = importDisabledWorkers(d.replica, stateFilePath(conf, "held"))
 	}
 	if err != nil {
 		log.Warn("directive: the folder can't be used, it is tried again", "error", err)
@@ -65,7 +65,7 @@
 
 // importHeld takes over the workers out by hand that an older version of the program kept, a name a line, and removes
 // its file, whose names would otherwise come back at each start.
-func importHeld(r *replica.Replica, path string) error {
+func importDisabledWorkers(r *replica.Replica, path string) error {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -87,7 +87,7 @@
 
 // resume puts in force what was told before this process was started. It is called before the loop runs, when the core
 // has its first list.
-func (d *directives) resume() {
+func (d *directives) applyInitial() {
 	for _, e := range d.replica.Set() {
 		d.log.Info("directive: in force from the start", "key", string(e.Key), "version", e.Version)
 	}
@@ -100,28 +100,28 @@
 		worker, isWorker := e.Key.Worker()
 		switch {
 		case isWorker:
-			d.hold(worker, e.On)
+			d.setDisabled(worker, e.On)
 		case e.Key == directive.Drain && e.On:
 			d.front.Drain()
 		case e.Key == directive.Drain:
 			d.front.Resume()
 		case e.Key == directive.Reload:
-			d.reloadAsTold()
+			d.reloadOnDirective()
 		}
 	}
 }
 
 // tellReload has the scheduler's other processes read their configuration again too.
-func (d *directives) tellReload() {
+func (d *directives) broadcastReload() {
 	const within = time.Second // to be counted as failed; it is tried on
-	d.asked++
+	d.ownReloads++
 	d.replica.Change(directive.Reload, false, within, func(error) {})
 }
 
 // reloadAsTold reads the configuration again where another process was asked to.
-func (d *directives) reloadAsTold() {
-	if d.asked > 0 {
-		d.asked--
+func (d *directives) reloadOnDirective() {
+	if d.ownReloads > 0 {
+		d.ownReloads--
 		return
 	}
 	d.log.Info("reload: as another process of this scheduler was asked to")
@@ -130,22 +130,22 @@
 	}
 }
 
-func (d *directives) hold(worker string, out bool) (listed bool) {
+func (d *directives) setDisabled(worker string, out bool) (listed bool) {
 	if out {
-		d.out[worker] = true
+		d.disabled[worker] = true
 	} else {
-		delete(d.out, worker)
+		delete(d.disabled, worker)
 	}
-	return d.core.Hold(worker, out)
+	return d.core.SetWorkerDisabled(worker, out)
 }
 
 // share has this process take its part of what the rules and the platform count for the scheduler: descriptors and memory
 // are divided among the processes that live, and the slow-start budgets are the latest one's.
-func (d *directives) share(others replica.Others) {
+func (d *directives) updateProcesses(others replica.Others) {
 	d.log.Info("other processes of this scheduler", "alive", others.Alive, "successor", others.Successor)
 	d.front.ShareLimits(1 + others.Alive)
-	KeepWithin(d.front.Limits())
-	d.core.ColdElsewhere(others.Successor)
+	ApplyLimits(d.front.Limits())
+	d.core.SetSlowStartElsewhere(others.Successor)
 }
 
 // Change implements admin.Directives. What keeps work away is in force in this process at once, whatever the folder
@@ -158,7 +158,7 @@
 }
 
 // Known implements admin.Directives: a worker that discovery lists, or that is out by hand.
-func (d *directives) Known(worker string) bool { return d.out[worker] || d.core.Lists(worker) }
+func (d *directives) Known(worker string) bool { return d.disabled[worker] || d.core.IsListed(worker) }
 
 // Failures implements admin.Directives.
 func (d *directives) Failures() uint64 { return d.replica.Failures() }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,15 +21,15 @@
 
 // Gateway is one scheduler in this process.
 type Gateway struct {
-	Conf    *config.Config
-	Loop    *core.Loop
-	Core    *core.Core
-	Front   *platform.Front
-	Faktory *faktory.Front // nil: off
-	HTTP2   *http2.Front   // nil: off
-	Admin   *admin.Front   // nil: there is no operators' address
-	log     *slog.Logger
-	ending  int
+	Conf        *config.Config
+	Loop        *core.Loop
+	Core        *core.Core
+	Front       *platform.Front
+	Faktory     *faktory.Front // nil: off
+	HTTP2       *http2.Front   // nil: off
+	Admin       *admin.Front   // nil: there is no operators' address
+	log         *slog.Logger
+	closeChecks int
 
 	directives *directives
 	onReload   func()
@@ -40,14 +40,14 @@
 	g := &Gateway{Conf: conf, Loop: core.NewLoop(), log: log}
 	settings := conf.Settings
 	if conf.Faktory.On() {
-		settings = core.SingleClasses(settings)
+		settings = core.WithAtMostOnceClasses(settings)
 	}
 	g.Core = core.New(g.Loop, settings, conf.Seed, log)
 	if conf.Sites.Plan {
 		g.Core.WatchSites(conf.Sites.Settings(&conf.Settings), conf.Names.Zones, conf.Seed)
 	}
 	if conf.Ownership != nil {
-		g.Core.DivideFleet(*conf.Ownership)
+		g.Core.EnableOwnership(*conf.Ownership)
 	}
 	controller := admission.NewController(g.Core, &conf.Names)
 	g.Front = platform.New(g.Core, conf, controller, log)
@@ -71,8 +71,8 @@
 	if err := g.Front.Start(); err != nil {
 		return err
 	}
-	g.directives.resume()
-	g.log.Info("serves", "name", g.Conf.Name, "address", g.Front.Address(), "workers", g.Core.FarmSize(), "generation",
+	g.directives.applyInitial()
+	g.log.Info("serves", "name", g.Conf.Name, "address", g.Front.Address(), "workers", g.Core.WorkerCount(), "generation",
 		g.directives.generation())
 	if g.Conf.Admin != "" {
 		g.Admin = admin.New(g.Core, g.Conf, g.Front, g.directives, g.log)
@@ -106,8 +106,8 @@
 	g.Loop.Run()
 	g.directives.replica.Close()
 	n := g.Core.Counts
-	g.log.Info("ended", "taken", n.Taken, "served", n.Served, "refused", n.Refused, "failed", n.Failed, "hung_up", n.HungUp,
-		"passes", n.Passes, "probes", n.Probes)
+	g.log.Info("ended", "taken", n.Accepted, "served", n.Served, "refused", n.Refused, "failed", n.Failed, "hung_up", n.Cancelled,
+		"passes", n.Attempts, "probes", n.Probes)
 }
 
 // OnReload sets what is called, on the loop, when another process of this scheduler was asked to read its configuration
@@ -116,13 +116,13 @@
 
 // TellReload tells the scheduler's other processes that this one was asked to read its configuration again. It may be
 // called from any goroutine.
-func (g *Gateway) TellReload() { g.Loop.Post(g.directives.tellReload) }
+func (g *Gateway) BroadcastReload() { g.Loop.Post(g.directives.broadcastReload) }
 
 // Reload takes a new configuration over; it may be called from any goroutine.
 func (g *Gateway) Reload(next *config.Config) {
 	g.Loop.Post(func() {
 		g.Front.Reload(next)
-		KeepWithin(g.Front.Limits())
+		ApplyLimits(g.Front.Limits())
 	})
 }
 
@@ -141,23 +141,23 @@
 			g.log.Info("a successor serves at the same address: the clients are sent over")
 			g.Front.HandOver()
 		}
-		g.Core.LeaveFleet()
+		g.Core.AnnounceLeaving()
 		if g.Faktory != nil {
 			g.Faktory.Quiet()
 		}
 		if g.HTTP2 != nil {
 			g.HTTP2.Quiet(g.Front.AnswersWithin())
 		}
-		g.Front.Stop(g.end)
+		g.Front.Stop(g.closeFronts)
 	})
 }
 
 // end closes the other fronts when the first has nothing left: their jobs are the core's too, so that only answers
 // may still be on their way, for a bounded time.
-func (g *Gateway) end() {
-	if g.HTTP2 != nil && !g.HTTP2.Done() && g.ending < 100 {
-		g.ending++
-		g.Loop.At(g.Loop.Now()+20*core.Millisecond, g.end)
+func (g *Gateway) closeFronts() {
+	if g.HTTP2 != nil && !g.HTTP2.Done() && g.closeChecks < 100 {
+		g.closeChecks++
+		g.Loop.At(g.Loop.Now()+20*core.Millisecond, g.closeFronts)
 		return
 	}
 	if g.Faktory != nil {
@@ -173,33 +173,33 @@
 }
 
 // KeepWithin sets the runtime's own limits.
-func KeepWithin(l config.Limits) {
+func ApplyLimits(l config.Limits) {
 	// A poller that sleeps in a system call holds a proc until the runtime takes it back, which can
 	// take milliseconds: with one proc more than the cores nothing waits for that.
 	runtime.GOMAXPROCS(int(l.Cores+0.999) + 1)
 	debug.SetMemoryLimit(int64(l.MemoryMB) << 20 / 3 * 2)
-	limit.Store(int64(l.MemoryMB) << 20)
-	pace()
-	pacing.Do(func() { afterEachCollection(pace) })
+	memoryLimit.Store(int64(l.MemoryMB) << 20)
+	adjustGCPercent()
+	startGCHook.Do(func() { afterEachGC(adjustGCPercent) })
 }
 
 var (
-	limit  atomic.Int64 // bytes
-	pacing sync.Once
+	memoryLimit atomic.Int64 // bytes
+	startGCHook sync.Once
 )
 
 // pace has the collector run next when the heap has grown by a part of the limit, not of what lives: with little
 // alive the usual ratio has it run all the time, and with much it lets the heap double.
-func pace() {
+func adjustGCPercent() {
 	sample := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(sample)
-	most, live := limit.Load(), max(int64(sample[0].Value.Uint64()), 1<<20)
+	most, live := memoryLimit.Load(), max(int64(sample[0].Value.Uint64()), 1<<20)
 	debug.SetGCPercent(int(min(max(max(most/16, most/8-live/8)*100/live, 20), 1600)))
 }
 
 // afterEachCollection calls f after each run of the collector, on a goroutine of the runtime's: an object that
 // nobody holds is found by each run.
-func afterEachCollection(f func()) {
+func afterEachGC(f func()) {
 	type sentinel struct{ _ *byte }
 	var arm func()
 	arm = func() {
--- a/internal/gateway/statefile.go
+++ b/internal/gateway/statefile.go
@@ -17,7 +17,7 @@
 // which an old and a new version share: cobaltflow-KIND-NAME-ADDRESS in $TMPDIR (os.TempDir) or the configured folder,
 // with any other character than a letter, digit, '-' or '.' written '_'. An address whose port the kernel picks is shared
 // with no other process, so the process's id stands behind it.
-func stateFile(conf *config.Config, kind string) string {
+func stateFilePath(conf *config.Config, kind string) string {
 	clean := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '.' {
 			return r
@@ -37,7 +37,7 @@
 // writePIDFile writes this process's id where an older version of the program looks for its successor; it is called once
 // the process listens. The error is for the log.
 func writePIDFile(conf *config.Config) error {
-	path := stateFile(conf, "up")
+	path := stateFilePath(conf, "up")
 	temporary := path + "." + strconv.Itoa(os.Getpid())
 	if err := os.WriteFile(temporary, []byte(strconv.Itoa(os.Getpid())+"\n"), 0o600); err != nil {
 		return err
--- a/internal/log/log.go
+++ b/internal/log/log.go
@@ -23,7 +23,7 @@
 	Level  string // debug, info, warn or error
 }
 
-const kept = 1024 // lines that may wait to be written; past it they are dropped and counted
+const maxQueuedLines = 1024 // lines that may wait to be written; past it they are dropped and counted
 
 // New makes a logger over a background writer to w. Close the writer when nothing is logged any more.
 func New(w io.Writer, s Settings) (*slog.Logger, *Writer, error) {
@@ -56,7 +56,7 @@
 
 // NewWriter starts a writer to w.
 func NewWriter(w io.Writer) *Writer {
-	l := &Writer{lines: make(chan []byte, kept)}
+	l := &Writer{lines: make(chan []byte, maxQueuedLines)}
 	l.done.Go(func() {
 		for line := range l.lines {
 			if n := l.dropped.Swap(0); n > 0 {
--- a/internal/log/log_test.go
+++ b/internal/log/log_test.go
@@ -42,17 +42,17 @@
 func TestASlowReaderCostsLinesOnly(t *testing.T) {
 	out := &stuck{go_: make(chan struct{})}
 	w := NewWriter(out)
-	for i := range kept + 102 {
+	for i := range maxQueuedLines + 102 {
 		fmt.Fprintf(w, "line %d\n", i)
 	}
 	close(out.go_)
 	w.Close()
 	assert.Regexp(t, `log lines dropped" count=10[012]\n`, out.String())
-	assert.GreaterOrEqual(t, strings.Count(out.String(), "line "), kept)
+	assert.GreaterOrEqual(t, strings.Count(out.String(), "line "), maxQueuedLines)
 }
 
 func TestSparseTellsTheFirstFailureAndThenFewer(t *testing.T) {
-	var s Sparse
+	var s FailureThrottle
 	told := 0
 	for now := int64(0); now < 60_000_000; now += 200_000 {
 		if _, tell := s.Failed("a:1", now); tell {
@@ -64,8 +64,8 @@
 	assert.True(t, tell && n == 1, "another peer has a count of its own")
 	assert.Equal(t, 300, s.Reached("a:1"))
 	assert.Zero(t, s.Reached("a:1"))
-	for i := range 3 * sparsePeers {
+	for i := range 3 * maxPeers {
 		s.Failed(fmt.Sprint(i), 100_000_000)
 	}
-	assert.LessOrEqual(t, len(s.peers), sparsePeers)
+	assert.LessOrEqual(t, len(s.peers), maxPeers)
 }
--- a/internal/log/sparse.go
+++ b/internal/log/sparse.go
@@ -3,42 +3,42 @@
 // Sparse thins out the news of peers that can't be reached: the first failure of a peer is told, then one
 // after growing intervals, with the number of failures so far. It reads no clock: times come in, in
 // microseconds. It belongs to one goroutine.
-type Sparse struct{ peers map[string]*failing }
+type FailureThrottle struct{ peers map[string]*peerFailures }
 
-type failing struct {
-	count    int
-	last     int64
-	next     int64 // the next is told from then on
-	interval int64
+type peerFailures struct {
+	count       int
+	lastFailure int64
+	nextReport  int64 // the next is told from then on
+	interval    int64
 }
 
 // Intervals between two lines about a peer, in microseconds, and the peers that are remembered at once.
 const (
-	sparseFirst = 1_000_000
-	sparseMost  = 300_000_000
-	sparsePeers = 1024
+	firstInterval = 1_000_000
+	maxInterval   = 300_000_000
+	maxPeers      = 1024
 )
 
 // Failed counts a failure and says whether it is to be told, and how many there were.
-func (s *Sparse) Failed(peer string, now int64) (count int, tell bool) {
+func (s *FailureThrottle) Failed(peer string, now int64) (count int, tell bool) {
 	p := s.peers[peer]
 	if p == nil {
-		s.room()
-		p = &failing{interval: sparseFirst / 2}
+		s.evictOldest()
+		p = &peerFailures{interval: firstInterval / 2}
 		s.peers[peer] = p
 	}
 	p.count++
-	p.last = now
-	if p.count > 1 && now < p.next {
+	p.lastFailure = now
+	if p.count > 1 && now < p.nextReport {
 		return p.count, false
 	}
-	p.interval = min(2*p.interval, sparseMost)
-	p.next = now + p.interval
+	p.interval = min(2*p.interval, maxInterval)
+	p.nextReport = now + p.interval
 	return p.count, true
 }
 
 // Reached tells that the peer was reached. It gives the failures before it; 0: there were none.
-func (s *Sparse) Reached(peer string) (failures int) {
+func (s *FailureThrottle) Reached(peer string) (failures int) {
 	if p := s.peers[peer]; p != nil {
 		failures = p.count
 		delete(s.peers, peer)
@@ -47,16 +47,16 @@
 }
 
 // room forgets the peer that has not been tried for longest where there are too many.
-func (s *Sparse) room() {
+func (s *FailureThrottle) evictOldest() {
 	if s.peers == nil {
-		s.peers = map[string]*failing{}
+		s.peers = map[string]*peerFailures{}
 	}
-	if len(s.peers) < sparsePeers {
+	if len(s.peers) < maxPeers {
 		return
 	}
 	oldest := ""
 	for name, p := range s.peers {
-		if oldest == "" || p.last < s.peers[oldest].last {
+		if oldest == "" || p.lastFailure < s.peers[oldest].lastFailure {
 			oldest = name
 		}
 	}
--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -96,7 +96,7 @@
 	a.Init(nc, "agent", nc.RemoteAddr().String(), 0)
 	a.Cut = func() {
 		if a.in != nil {
-			f.core.HangUp(a.in)
+			f.core.ClientDisconnected(a.in)
 		}
 	}
 	nc.AddCloseCallback(func(netpoll.Connection) error {
--- a/internal/platform/carry.go
+++ b/internal/platform/carry.go
@@ -32,22 +32,22 @@
 }
 
 // Carry implements core.Carrier.
-func (f *Front) Carry(p *core.ProxyPass) {
-	t := p.Transaction
+func (f *Front) Send(p *core.Attempt) {
+	t := p.Request
 	c := &carried{}
-	p.Carried = c
+	p.TransportState = c
 	ref := p.Ref
 	w := f.pool.workers[p.Worker]
 	if w == nil {
-		f.loop.Post(func() { f.core.Ended(ref, rules.NotSent, nil, rules.Load{}) })
+		f.loop.Post(func() { f.core.AttemptEnded(ref, rules.NotSent, nil, rules.Load{}) })
 		return
 	}
-	left := min(max(1, t.Left(f.loop.Now())/core.Millisecond), admission.LongestLeft)
+	left := min(max(1, t.TimeLeft(f.loop.Now())/core.Millisecond), admission.LongestLeft)
 	// The message is a copy: its writer may still be at it when the transaction is over.
-	message := http1.AppendRequest(make([]byte, 0, 320+len(t.Work.Fields)+len(t.Work.Body)), "POST", t.Work.Target, w.address,
-		len(t.Work.Body), t.Work.Fields, HeaderID, t.ID, HeaderClass, f.conf.Names.Classes[t.Work.Class],
+	message := http1.AppendRequest(make([]byte, 0, 320+len(t.Job.HeaderFields)+len(t.Job.Body)), "POST", t.Job.Target, w.address,
+		len(t.Job.Body), t.Job.HeaderFields, HeaderID, t.ID, HeaderClass, f.conf.Names.Classes[t.Job.Class],
 		HeaderTimeLeft, strconv.FormatInt(left, 10))
-	k := &call{message: append(message, t.Work.Body...)}
+	k := &call{message: append(message, t.Job.Body...)}
 	k.waits = func() { c.state, c.link = dialing, nil }
 	k.begin = func(l *workerLink) { c.state, c.link = writing, l }
 	k.wrote = func(err error) {
@@ -60,8 +60,8 @@
 	}
 	k.refused = func(load rules.Load) {
 		c.link = nil
-		f.core.Answered(w.name)
-		f.core.Ended(ref, rules.Refused, nil, load)
+		f.core.WorkerResponded(w.name)
+		f.core.AttemptEnded(ref, rules.Refused, nil, load)
 	}
 	k.got = func(r *http1.Response) {
 		load := parseLoad(r.Get(HeaderLoad))
@@ -70,14 +70,14 @@
 			return
 		}
 		c.link = nil
-		f.core.Answered(w.name)
+		f.core.WorkerResponded(w.name)
 		switch {
 		case r.Status == 202:
 			c.state = accepted
 		case r.Status >= 500:
-			f.core.Ended(ref, rules.Error, nil, load)
+			f.core.AttemptEnded(ref, rules.Error, nil, load)
 		default:
-			f.core.Ended(ref, rules.Unknown, nil, load)
+			f.core.AttemptEnded(ref, rules.Unknown, nil, load)
 		}
 	}
 	k.broken = func(reason string, mayHaveRead bool) {
@@ -90,11 +90,11 @@
 		case reason == link.OverBudget:
 			status = rules.NotSent // which says nothing of the worker
 		}
-		f.core.Ended(ref, status, nil, rules.Load{})
+		f.core.AttemptEnded(ref, status, nil, rules.Load{})
 	}
-	k.may = func() bool { return f.core.Begin(ref) }
-	k.still = func() bool { q, out := f.core.Find(t.ID, p.Worker); return out && q.Ref == ref }
-	f.core.Asked(w.name)
+	k.may = func() bool { return f.core.BeginAttempt(ref) }
+	k.still = func() bool { q, out := f.core.FindAttempt(t.ID, p.Worker); return out && q.Ref == ref }
+	f.core.ReplyExpected(w.name)
 	k.wanted(f, w)
 }
 
@@ -104,40 +104,40 @@
 }
 
 // TellsSigns implements core.Signs: a table worker answers each request at once, whenever its job may run.
-func (f *Front) TellsSigns() {}
+func (f *Front) ReportsHeartbeats() {}
 
 // Discovered implements core.Discovered: discovery tells all schedulers of its workers.
-func (f *Front) Discovered() {}
+func (f *Front) HasDiscoveredWorkers() {}
 
 // noAnswer tells what a connection that came to nothing says of its worker. One that was up and broke says nothing: it
 // may have been closed on the way.
 func (f *Front) noAnswer(w *workerLinks, reason string) {
 	switch reason {
 	case link.NotUp:
-		f.core.NotReached(w.name)
+		f.core.ConnectFailed(w.name)
 	case link.NoAnswer: // it still owes the answer
 	default:
-		f.core.Dropped(w.name)
+		f.core.ReplyAbandoned(w.name)
 	}
 }
 
 // finish ends a pass by a call-back. One that came before the 202 leaves the connection waiting for it.
-func (f *Front) finish(p *core.ProxyPass, status rules.Status, result []byte, load rules.Load) {
-	f.core.Ended(p.Ref, status, result, load)
+func (f *Front) finish(p *core.Attempt, status rules.Status, result []byte, load rules.Load) {
+	f.core.AttemptEnded(p.Ref, status, result, load)
 }
 
 // Begun implements core.Carrier.
-func (f *Front) Begun(p *core.ProxyPass) bool { return p.Carried.(*carried).state != dialing }
+func (f *Front) HasBegun(p *core.Attempt) bool { return p.TransportState.(*carried).state != dialing }
 
 // Withdraw implements core.Carrier.
-func (f *Front) Withdraw(p *core.ProxyPass) (mayHaveRun bool) {
-	c := p.Carried.(*carried)
+func (f *Front) Cancel(p *core.Attempt) (mayHaveRun bool) {
+	c := p.TransportState.(*carried)
 	switch c.state {
 	case dialing:
-		f.core.Dropped(p.Worker)
+		f.core.ReplyAbandoned(p.Worker)
 		return false
 	case writing, sent:
-		f.core.Dropped(p.Worker)
+		f.core.ReplyAbandoned(p.Worker)
 		// Before the 202 the protocol gives an attempt up by closing its connection. A request that a cut network still
 		// holds would come to the worker after an orderly end, for nobody: it is dropped.
 		c.link.setCall(nil)
@@ -145,7 +145,7 @@
 		return true
 	}
 	if w := f.pool.workers[p.Worker]; w != nil {
-		k := &call{safe: true, message: http1.AppendRequest(nil, "DELETE", PathJobs+p.Transaction.ID, w.address, -1, nil)}
+		k := &call{safe: true, message: http1.AppendRequest(nil, "DELETE", PathJobs+p.Request.ID, w.address, -1, nil)}
 		k.begin = func(l *workerLink) { f.limit(k, l, deleteTime) }
 		k.got = func(*http1.Response) {}
 		k.broken = func(string, bool) {}
@@ -165,9 +165,9 @@
 	}
 	k := &call{safe: true, message: http1.AppendRequest(nil, "GET", PathLoad, w.address, -1, nil)}
 	k.begin = func(l *workerLink) { f.limit(k, l, probeTime) }
-	f.core.Asked(w.name)
+	f.core.ReplyExpected(w.name)
 	k.got = func(r *http1.Response) {
-		f.core.Answered(w.name)
+		f.core.WorkerResponded(w.name)
 		load := parseLoad(r.Body)
 		if header := r.Get(HeaderLoad); load.Has == 0 && header != nil {
 			load = parseLoad(header)
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -31,7 +31,7 @@
 }
 
 func open(n *standin.Node) (open int) {
-	n.On(func() { open = n.Core.Open() })
+	n.On(func() { open = n.Core.OpenRequests() })
 	return open
 }
 
@@ -189,7 +189,7 @@
 				c.Close()
 				n.Eventually(func() bool { return open(n) == 0 })
 				letGo <- struct{}{}
-				onLoop(n, func() bool { return n.Core.Passes() == 0 && n.Front.Dials() == 0 })
+				onLoop(n, func() bool { return n.Core.InFlightAttempts() == 0 && n.Front.Dials() == 0 })
 				assert.Equal(t, before, len(a.Jobs())+len(b.Jobs()))
 			})
 		}
--- a/internal/platform/departed_test.go
+++ b/internal/platform/departed_test.go
@@ -16,7 +16,7 @@
 func listOf(whole bool, state rules.WorkerState, from, count int) *discovery.Update {
 	u := &discovery.Update{Whole: whole}
 	for i := from; i < from+count; i++ {
-		u.Workers = append(u.Workers, core.FarmWorker{Name: fmt.Sprint("w-", i), State: state})
+		u.Workers = append(u.Workers, core.ListedWorker{Name: fmt.Sprint("w-", i), State: state})
 		u.Addresses = append(u.Addresses, "127.0.0.1:1")
 	}
 	return u
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -39,10 +39,10 @@
 func (f *Front) StopSince(since core.Time, done func()) {
 	if f.stopping == 0 {
 		f.stopping, f.stopped = min(since, f.loop.Now()), done
-		f.log.Info("stopping", "open", f.core.Open())
+		f.log.Info("stopping", "open", f.core.OpenRequests())
 		f.loop.At(f.stopping+f.ending.acceptOn, f.drain)
 		f.loop.At(f.stopping+f.ending.answerBy, func() {
-			f.core.GiveUp(func(u core.UserAgent) bool { _, ours := u.(*clientLink); return ours })
+			f.core.AbortRequests(func(u core.Client) bool { _, ours := u.(*clientLink); return ours })
 		})
 	}
 }
@@ -63,7 +63,7 @@
 func (f *Front) Drain() {
 	if f.drained == 0 {
 		f.drained = f.loop.Now()
-		f.log.Info("drain: clients are sent away", "open", f.core.Open(), "connections", f.clients.Len())
+		f.log.Info("drain: clients are sent away", "open", f.core.OpenRequests(), "connections", f.clients.Len())
 		f.letGo(f.drained)
 	}
 }
@@ -125,7 +125,7 @@
 			a.letGo(link.ShutDown)
 		}
 	})
-	owed += f.core.Open() + f.pool.inUse
+	owed += f.core.OpenRequests() + f.pool.inUse
 	owed += int(f.accepted.Load()) - f.clients.Len() // accepted, and not heard of yet
 	if owed == 0 && f.shut {
 		f.log.Info("stopped taking", "foreign_call_backs", f.foreign, "passed_on", f.passedOn)
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -478,11 +478,11 @@
 	told(n, b.Entry("up"))
 	require.Equal(t, 200, answered(t, c), "by the second copy")
 	require.Len(t, b.Jobs(), 1)
-	n.On(func() { assert.Equal(t, 1, n.Core.Passes(), "the first is out") })
+	n.On(func() { assert.Equal(t, 1, n.Core.InFlightAttempts(), "the first is out") })
 	c.Say(fmt.Sprintf(whole, "id-2"))
 	require.Equal(t, 200, answered(t, c))
-	n.On(func() { assert.Equal(t, 1, n.Core.Passes(), "and still is") })
-	onLoop(n, func() bool { return n.Core.Passes() == 0 })
+	n.On(func() { assert.Equal(t, 1, n.Core.InFlightAttempts(), "and still is") })
+	onLoop(n, func() bool { return n.Core.InFlightAttempts() == 0 })
 }
 
 // A by_key request whose first attempt may have run, since its connection broke before the 202, is repeated within its
--- a/internal/platform/events.go
+++ b/internal/platform/events.go
@@ -31,7 +31,7 @@
 		f.refuseInput(a, 400, "not a job event")
 		return false
 	}
-	p, out := f.core.Find(e.ID, e.From)
+	p, out := f.core.FindAttempt(e.ID, e.From)
 	if !out && !f.admission.Seen(e.ID) {
 		if f.passOn(a, q) {
 			return true
@@ -40,20 +40,20 @@
 		return false
 	}
 	f.reply(a, 204, nil, q.KeepAlive)
-	f.core.Answered(e.From)
+	f.core.WorkerResponded(e.From)
 	if !out {
 		return false // ended or withdrawn
 	}
-	c, _ := p.Carried.(*carried)
+	c, _ := p.TransportState.(*carried)
 	if c == nil || c.state < writing {
 		return false // not a pass that this worker can have got: it is none of ours
 	}
 	load := parseLoad(e.Load)
 	switch e.State {
 	case "started":
-		f.core.Started(p.Ref)
+		f.core.AttemptStarted(p.Ref)
 	case "running":
-		f.core.Progress(p.Ref, e.Share)
+		f.core.AttemptProgress(p.Ref, e.Share)
 	case "done":
 		f.finish(p, rules.OK, result(e.Result), load)
 	case "failed":
@@ -122,4 +122,4 @@
 	}
 }
 
-var _ core.UserAgent = (*clientLink)(nil)
+var _ core.Client = (*clientLink)(nil)
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -60,12 +60,12 @@
 	core      *core.Core
 	conf      *config.Config
 	log       *slog.Logger
-	failing   log.Sparse // peers that could not be reached
+	failing   log.FailureThrottle // peers that could not be reached
 	ready     bool
 
 	listener netpoll.Listener
 	server   netpoll.EventLoop
-	clients  core.Table[*clientLink]
+	clients  core.SlotMap[*clientLink]
 	budget   budget
 	spare    int          // descriptors in no budget
 	accepted atomic.Int64 // connections, also those the loop has not heard of yet
@@ -116,7 +116,7 @@
 	ref       core.Ref
 	front     *Front
 	request   http1.Request // in hand, while the loop holds the buffer
-	in        *core.Transaction
+	in        *core.Request
 	callsBack bool
 	jobs      int       // transactions that it has brought
 	last      core.Time // when it was last of use
@@ -142,7 +142,7 @@
 	}
 	f.starts.Settle(list, f.loop.Now(), true)
 	f.pool.addresses(list)
-	f.core.Farm(f, rules.ListCached, list.Workers)
+	f.core.UpdateWorkerList(f, rules.ListCached, list.Workers)
 	f.watch = newWatch(f, f.conf.Discovery, list.Version)
 
 	ln, err := link.Listen(f.conf.Listen)
--- a/internal/platform/leave_http2_test.go
+++ b/internal/platform/leave_http2_test.go
@@ -163,7 +163,7 @@
 					leave(l)
 					n.Eventually(func() bool { return open(n) == 0 })
 					letGo <- struct{}{}
-					onLoop(n, func() bool { return n.Core.Passes() == 0 && n.Front.Dials() == 0 })
+					onLoop(n, func() bool { return n.Core.InFlightAttempts() == 0 && n.Front.Dials() == 0 })
 					assert.Equal(t, before, len(a.Jobs())+len(b.Jobs()))
 					assert.Equal(t, "refused", ends(n, "id-1"))
 				})
@@ -200,7 +200,7 @@
 				require.Equal(t, 1, open(n), "it may run")
 				answer()
 				assert.Equal(t, want, ends(n, "id-1"))
-				onLoop(n, func() bool { return n.Core.Passes() == 0 })
+				onLoop(n, func() bool { return n.Core.InFlightAttempts() == 0 })
 				assert.Equal(t, 1, len(a.Jobs())+len(b.Jobs()))
 			})
 		}
--- a/internal/platform/list_test.go
+++ b/internal/platform/list_test.go
@@ -123,7 +123,7 @@
 			watch := next(t, watches)
 			assert.Equal(t, form.pushed, watch == "/api/targets?watch=1&after=7", "it goes on from the list")
 			close(changed)
-			onLoop(n, func() bool { return n.Core.FarmSize() == largeFleet && n.Front.Knows("s-2") })
+			onLoop(n, func() bool { return n.Core.WorkerCount() == largeFleet && n.Front.Knows("s-2") })
 			assert.Equal(t, 200, n.Ask("board-view", "k", "id-2", 5000, "").Status)
 			assert.Len(t, later.Jobs(), 1)
 			assert.False(t, n.Logged("discovery:"), "nothing was refused")
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -49,7 +49,7 @@
 		p.ranks[a] = rank
 	}
 	f.peers = p
-	f.core.Tell = p.tell
+	f.core.Broadcast = p.tell
 	go p.write(conf.All)
 	go p.read()
 	return nil
@@ -74,14 +74,14 @@
 
 // read hears until the socket is closed. A message of nobody known, or one that is too long, is let pass.
 func (p *peers) read() {
-	buf := make([]byte, core.MostTold+1)
+	buf := make([]byte, core.MaxPeerMessageBytes+1)
 	for {
 		n, from, err := p.socket.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
 		rank, known := p.ranks[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if !known || n > core.MostTold {
+		if !known || n > core.MaxPeerMessageBytes {
 			continue
 		}
 		if p.waiting.Add(1) > heardWaiting {
@@ -92,14 +92,14 @@
 		data := append([]byte(nil), buf[:n]...)
 		p.f.loop.Post(func() {
 			p.waiting.Add(-1)
-			p.f.core.Peer(rank, data)
+			p.f.core.PeerMessage(rank, data)
 		})
 	}
 }
 
 // close ends both directions; nothing is told any more.
 func (p *peers) close() {
-	p.f.core.Tell = nil
+	p.f.core.Broadcast = nil
 	close(p.out)
 	p.socket.Close()
 	if n := p.dropped.Load(); n > 0 {
--- a/internal/platform/pool.go
+++ b/internal/platform/pool.go
@@ -18,7 +18,7 @@
 type pool struct {
 	f       *Front
 	workers map[string]*workerLinks
-	links   core.Table[*workerLink]
+	links   core.SlotMap[*workerLink]
 	dials   int
 	dial    dialer
 	idleFor core.Time
@@ -55,7 +55,7 @@
 	got     func(r *http1.Response)               // the answer came
 	refused func(load rules.Load)                 // the answer was that it is not begun; nil: got is told that too
 	broken  func(reason string, mayHaveRead bool) // there will be none
-	limit   *core.Deadline
+	limit   *core.Timer
 	safe    bool        // it may be sent twice
 	fresh   bool        // only a new connection will do
 	still   func() bool // whether it is wanted yet; nil: it is
--- a/internal/platform/pool_test.go
+++ b/internal/platform/pool_test.go
@@ -68,6 +68,6 @@
 	p.retire()
 	assert.Len(t, a.idle, probesKeep, "the others would pile up unused")
 
-	p.addresses(&discovery.Update{Workers: []core.FarmWorker{{Name: "a", State: rules.Ready, StartedAt: 7}}, Addresses: []string{address}})
+	p.addresses(&discovery.Update{Workers: []core.ListedWorker{{Name: "a", State: rules.Ready, StartedAt: 7}}, Addresses: []string{address}})
 	assert.Equal(t, p.idleFor, p.keepsFor(a), "a process started anew has shown nothing yet")
 }
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -23,7 +23,7 @@
 
 func knows(n *standin.Node, workers int) func() bool {
 	return func() (yes bool) {
-		n.On(func() { yes = n.Core.FarmSize() == workers })
+		n.On(func() { yes = n.Core.WorkerCount() == workers })
 		return yes
 	}
 }
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -147,25 +147,25 @@
 
 // Answer implements core.UserAgent. With it the connection is free for the next request: an attempt that may still be out,
 // where attempts may not be cancelled, has a copy of what it carries.
-func (a *clientLink) Answer(t *core.Transaction, answer core.Answer) {
+func (a *clientLink) Answer(t *core.Request, answer core.Answer) {
 	r := a.front.admission.ReplyTo(answer)
 	if r.RetryAfter != "" {
 		a.front.reply(a, r.Status, r.Body, a.request.KeepAlive, "Retry-After", r.RetryAfter)
 	} else {
 		a.front.reply(a, r.Status, r.Body, a.request.KeepAlive)
 	}
-	t.Work.Body = nil
+	t.Job.Body = nil
 	a.free(t)
 }
 
 // Released implements core.UserAgent: the client has left, or was answered before.
-func (a *clientLink) Released(t *core.Transaction) {
+func (a *clientLink) Released(t *core.Request) {
 	a.front.admission.Released(t)
 	a.free(t)
 }
 
 // free gives the buffer of a request back, which its transaction held.
-func (a *clientLink) free(t *core.Transaction) {
+func (a *clientLink) free(t *core.Request) {
 	if a.in == t {
 		a.in = nil
 		a.last = a.front.loop.Now()
@@ -205,7 +205,7 @@
 	f.accepted.Add(-1)
 	f.clients.Free(a.ref)
 	if a.in != nil {
-		f.core.HangUp(a.in)
+		f.core.ClientDisconnected(a.in)
 	}
 	a.Release()
 }
--- a/internal/platform/rules_test.go
+++ b/internal/platform/rules_test.go
@@ -126,7 +126,7 @@
 	require.Equal(t, 500, n.Ask("move", "k", "id-slow", 300, "").Status, "it may have run: no refusal")
 	n.Eventually(func() bool { return w.Deleted("id-slow") })
 	assert.Equal(t, 204, w.Call("id-slow", "done", map[string]any{"result": "late"}), "and changes nothing")
-	n.On(func() { assert.Zero(t, n.Core.Open()+n.Core.Passes()) })
+	n.On(func() { assert.Zero(t, n.Core.OpenRequests()+n.Core.InFlightAttempts()) })
 }
 
 func TestRefusesWithATimeToReturn(t *testing.T) {
@@ -145,7 +145,7 @@
 	c.Close()
 	n.Eventually(func() bool { return w.Deleted("id-left") || n.Logged("reason=given-up") })
 	n.Eventually(func() (none bool) {
-		n.On(func() { none = n.Core.Open()+n.Core.Passes() == 0 })
+		n.On(func() { none = n.Core.OpenRequests()+n.Core.InFlightAttempts() == 0 })
 		return none
 	})
 }
@@ -299,7 +299,7 @@
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
 	go c.Write(make([]byte, 1<<20))
 	n.Eventually(func() bool { return n.Logged("reason=flooding") })
-	n.On(func() { assert.Zero(t, n.Core.Open()) })
+	n.On(func() { assert.Zero(t, n.Core.OpenRequests()) })
 }
 
 func TestIdleWorkerConnectionsAreRetired(t *testing.T) {
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -35,7 +35,7 @@
 
 // listFormat tells how the words of discovery's lists are read.
 func (f *Front) listFormat() discovery.Format {
-	return discovery.Format{Names: &f.conf.Names, FromUnix: f.loop.FromUnix}
+	return discovery.Format{Names: &f.conf.Names, FromUnix: f.loop.FromUnixMilli}
 }
 
 // read runs on a goroutine of netpoll's. The next read waits until the loop has taken what this one came to.
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -330,7 +330,7 @@
 	if update.Whole {
 		form = rules.ListFull
 	}
-	w.f.core.Farm(w.f, form, update.Workers)
+	w.f.core.UpdateWorkerList(w.f, form, update.Workers)
 	w.f.informed()
 	return true
 }
--- a/internal/platform/worker_link.go
+++ b/internal/platform/worker_link.go
@@ -55,7 +55,7 @@
 // breakOff ends a call whose connection broke. One that surely never left, or that may be sent twice,
 // is put on a new connection where the old one had been kept: it says nothing of the worker's health.
 func (l *workerLink) breakOff(k *call, mayHaveRead bool) {
-	l.f.loop.Drop(k.limit)
+	l.f.loop.CancelTimer(k.limit)
 	if l.Count > 1 && l.Reason == "" && !k.fresh && (k.safe || !mayHaveRead) && (k.still == nil || k.still()) {
 		k.fresh, k.written, k.gone = true, false, false
 		k.wanted(l.f, l.worker)
@@ -95,7 +95,7 @@
 		l.doubt(k)
 		return
 	}
-	l.f.loop.Drop(k.limit)
+	l.f.loop.CancelTimer(k.limit)
 	l.answered(l.response.KeepAlive)
 	k.got(&l.response)
 }
--- a/internal/replica/peers.go
+++ b/internal/replica/peers.go
@@ -54,7 +54,7 @@
 func (r *Replica) raiseUnseen() (news []directive.Entry) {
 	unseen := r.unseen
 	r.unseen = nil
-	if r.set.Clock() <= clock.Machine() {
+	if r.set.Clock() <= clock.MachineMicros() {
 		return nil
 	}
 	for key, on := range unseen {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -217,7 +217,7 @@
 // kept by, every process of the scheduler, or with the reason why that is not known within the time. It is not called
 // after Close.
 func (r *Replica) Change(key directive.Key, on bool, within time.Duration, answer func(error)) {
-	c := &change{key: key, on: on, at: clock.Machine(), until: clock.Monotonic() + within, answer: answer}
+	c := &change{key: key, on: on, at: clock.MachineMicros(), until: clock.Monotonic() + within, answer: answer}
 	select {
 	case r.changes <- c:
 	default:
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -25,29 +25,29 @@
 	List
 	Request
 	Outcome
-	Note
-	Hangup
+	Progress
+	ClientDisconnected
 	TimerDue
 	Probed
 	Streaming
-	Peer
+	PeerMessage
 )
 
 // Event is one line of a batch, with the instance it is for. Only the field of its type is set.
 type Event struct {
-	Type     EventType
-	Instance string
-	Seed     uint64
-	Settings *rules.Settings
-	List     *rules.List
-	Request  rules.Request
-	Outcome  rules.Outcome // also Streaming: request, attempt, worker, latency
-	Note     rules.Progress
-	Probed   rules.ProbeResult
-	Hangup   rules.RequestID
-	Token    uint64
-	From     int    // of Peer
-	Data     []byte // of Peer
+	Type         EventType
+	Instance     string
+	Seed         uint64
+	Settings     *rules.Settings
+	List         *rules.List
+	Request      rules.Request
+	Outcome      rules.Outcome // also Streaming: request, attempt, worker, latency
+	Progress     rules.Progress
+	Probed       rules.ProbeResult
+	Disconnected rules.RequestID
+	Token        uint64
+	From         int    // of Peer
+	Data         []byte // of Peer
 }
 
 // Batch is what one CLOCK ... COMMIT holds.
@@ -58,11 +58,11 @@
 
 // Decoder reads batches.
 type Decoder struct {
-	in       *bufio.Reader
-	line     int
-	instance string
-	fields   []string
-	long     []byte
+	in         *bufio.Reader
+	line       int
+	instance   string
+	fields     []string
+	lineBuffer []byte
 }
 
 // NewDecoder reads from r.
@@ -72,23 +72,23 @@
 
 // next gives the fields of the next line.
 func (d *Decoder) next() ([]string, error) {
-	d.long = d.long[:0]
+	d.lineBuffer = d.lineBuffer[:0]
 	for {
 		part, err := d.in.ReadSlice('\n')
-		d.long = append(d.long, part...)
+		d.lineBuffer = append(d.lineBuffer, part...)
 		if err == nil {
 			break
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
-		if errors.Is(err, io.EOF) && len(d.long) > 0 {
+		if errors.Is(err, io.EOF) && len(d.lineBuffer) > 0 {
 			return nil, io.ErrUnexpectedEOF
 		}
 		return nil, err
 	}
 	d.line++
-	text := strings.TrimSuffix(string(d.long[:len(d.long)-1]), "\r")
+	text := strings.TrimSuffix(string(d.lineBuffer[:len(d.lineBuffer)-1]), "\r")
 	d.fields = d.fields[:0]
 	for {
 		i := strings.IndexByte(text, '\t')
@@ -150,13 +150,13 @@
 }
 
 // reader takes the values of one line in turn and keeps the first fault.
-type reader struct {
+type lineReader struct {
 	fields []string
 	at     int
 	err    error
 }
 
-func (r *reader) text() string {
+func (r *lineReader) text() string {
 	r.at++
 	if r.at >= len(r.fields) {
 		if r.err == nil {
@@ -168,7 +168,7 @@
 }
 
 // id is a value that must be there.
-func (r *reader) id() string {
+func (r *lineReader) id() string {
 	s := r.text()
 	if (s == "-" || s == "") && r.err == nil {
 		r.err = fmt.Errorf("value %d is absent", r.at)
@@ -176,7 +176,7 @@
 	return s
 }
 
-func (r *reader) integer() int64 {
+func (r *lineReader) integer() int64 {
 	s := r.text()
 	if s == "-" {
 		return 0
@@ -188,7 +188,7 @@
 	return n
 }
 
-func (r *reader) index() int {
+func (r *lineReader) index() int {
 	n := r.integer()
 	if (n < 0 || n > math.MaxInt32) && r.err == nil {
 		r.err = fmt.Errorf("value %d: %d is no index", r.at, n)
@@ -197,7 +197,7 @@
 	return int(n)
 }
 
-func (r *reader) number() float64 {
+func (r *lineReader) number() float64 {
 	s := r.text()
 	if s == "-" {
 		return 0
@@ -209,7 +209,7 @@
 	return v
 }
 
-func (r *reader) flag() bool {
+func (r *lineReader) flag() bool {
 	switch s := r.text(); s {
 	case "1":
 		return true
@@ -223,21 +223,21 @@
 	}
 }
 
-var statuses = map[string]rules.Status{
+var statusesByName = map[string]rules.Status{
 	"done": rules.OK, "err": rules.Error, "busy": rules.Refused, "etimedout": rules.TimedOut,
 	"econnrefused": rules.Unreachable, "econnreset": rules.Reset, "ecanceled": rules.Cancelled,
 	"skipped": rules.NotSent,
 }
 
-func (r *reader) status() rules.Status {
-	s, known := statuses[r.id()]
+func (r *lineReader) status() rules.Status {
+	s, known := statusesByName[r.id()]
 	if !known {
 		return rules.Unknown
 	}
 	return s
 }
 
-func (r *reader) load() (l rules.Load) {
+func (r *lineReader) load() (l rules.Load) {
 	text := r.text()
 	if text == "-" || text == "" {
 		return l
@@ -270,7 +270,7 @@
 }
 
 func (d *Decoder) event(f []string, b *Batch) error {
-	r := reader{fields: f}
+	r := lineReader{fields: f}
 	e := Event{Instance: d.instance}
 	switch f[0] {
 	case "SELECT":
@@ -333,8 +333,8 @@
 		o.Worker = rules.WorkerID(r.id())
 		o.Latency = r.integer()
 	case "HEARTBEAT":
-		e.Type = Note
-		n := &e.Note
+		e.Type = Progress
+		n := &e.Progress
 		n.Request = rules.RequestID(r.id())
 		n.Attempt = r.index()
 		n.Worker = rules.WorkerID(r.id())
@@ -348,8 +348,8 @@
 			return r.err // a kind of note not known yet
 		}
 	case "HANGUP":
-		e.Type = Hangup
-		e.Hangup = rules.RequestID(r.id())
+		e.Type = ClientDisconnected
+		e.Disconnected = rules.RequestID(r.id())
 	case "TICK_DUE":
 		e.Type = TimerDue
 		e.Token = uint64(r.integer())
@@ -361,7 +361,7 @@
 		p.Latency = r.integer()
 		p.Load = r.load()
 	case "DATAGRAM":
-		e.Type = Peer
+		e.Type = PeerMessage
 		e.From = r.index()
 		data, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(r.text(), "-"))
 		if err != nil {
@@ -378,11 +378,11 @@
 	return r.err
 }
 
-var states = map[string]rules.WorkerState{
+var statesByName = map[string]rules.WorkerState{
 	"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Gone,
 }
 
-func (d *Decoder) view(r *reader) (*rules.List, error) {
+func (d *Decoder) view(r *lineReader) (*rules.List, error) {
 	r.integer()
 	form, n := r.id(), r.index()
 	if r.err != nil {
@@ -409,9 +409,9 @@
 		if f[0] != "M" {
 			return nil, fmt.Errorf("%d entries told, then %q", n, f[0])
 		}
-		m := reader{fields: f}
+		m := lineReader{fields: f}
 		e := rules.ListEntry{Worker: rules.WorkerID(m.id()), Zone: m.index(), Kind: m.index(), Cell: m.index()}
-		state, known := states[m.id()]
+		state, known := statesByName[m.id()]
 		if !known {
 			state = rules.Draining // a phase not known yet: nothing new goes there
 		}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -12,10 +12,10 @@
 
 // Encoder writes replies. Select names the instance whose actions follow.
 type Encoder struct {
-	out      *bufio.Writer
-	instance string
-	named    bool
-	num      []byte
+	out            *bufio.Writer
+	instance       string
+	contextWritten bool
+	num            []byte
 }
 
 // NewEncoder writes to w.
@@ -24,23 +24,23 @@
 // Select makes the instance the one whose actions follow.
 func (e *Encoder) Select(instance string) {
 	if instance != e.instance {
-		e.instance, e.named = instance, false
+		e.instance, e.contextWritten = instance, false
 	}
 }
 
 // Finish ends the reply and flushes it.
 func (e *Encoder) Finish() error {
-	e.instance, e.named = "", false
+	e.instance, e.contextWritten = "", false
 	e.out.WriteString("FINISHED\n")
 	return e.out.Flush()
 }
 
 func (e *Encoder) begin(action string) {
-	if !e.named {
+	if !e.contextWritten {
 		e.out.WriteString("CONTEXT\t")
 		e.out.WriteString(e.instance)
 		e.out.WriteByte('\n')
-		e.named = true
+		e.contextWritten = true
 	}
 	e.out.WriteString(action)
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,7 +9,7 @@
 )
 
 // lists whose length is told by a .count and whose items are numbered.
-const maxListed = 4096
+const maxListLength = 4096
 
 // params reads the path=value settings of an ATTACH. Unknown paths are skipped.
 type params struct {
@@ -70,7 +70,7 @@
 }
 
 // item gives the i-th of a list of plain values, the last serving for the rest.
-func item(list []string, i int) string {
+func itemOrLast(list []string, i int) string {
 	if len(list) == 0 {
 		return ""
 	}
@@ -78,7 +78,7 @@
 }
 
 func (p *params) itemNumber(path string, i int, absent float64) float64 {
-	s := item(p.list(path), i)
+	s := itemOrLast(p.list(path), i)
 	if s == "" {
 		return absent
 	}
@@ -91,7 +91,7 @@
 
 func (p *params) count(path string) int {
 	n := p.integer(path+".count", 0)
-	if n < 0 || n > maxListed {
+	if n < 0 || n > maxListLength {
 		p.fail(path+".count", strconv.Itoa(n), "a length")
 		return 0
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -34,13 +34,13 @@
 		{"unknown outcome and report value", "RESPONSE\trq_a\t0\tw1\tmelted\t1\t0\t-\tmood:3,x1:2", Event{Type: Outcome,
 			Outcome: rules.Outcome{Request: "rq_a", Worker: "w1", Status: rules.Unknown, Latency: 1,
 				Load: rules.Load{Has: rules.HasFreeMem, FreeMem: 2}}}},
-		{"start", "HEARTBEAT\trq_a\t0\tw1\t1\t-", Event{Type: Note,
-			Note: rules.Progress{Request: "rq_a", Worker: "w1", Started: true}}},
-		{"progress", "HEARTBEAT\trq_a\t0\tw1\t2\t0.25", Event{Type: Note,
-			Note: rules.Progress{Request: "rq_a", Worker: "w1", FractionDone: 0.25}}},
+		{"start", "HEARTBEAT\trq_a\t0\tw1\t1\t-", Event{Type: Progress,
+			Progress: rules.Progress{Request: "rq_a", Worker: "w1", Started: true}}},
+		{"progress", "HEARTBEAT\trq_a\t0\tw1\t2\t0.25", Event{Type: Progress,
+			Progress: rules.Progress{Request: "rq_a", Worker: "w1", FractionDone: 0.25}}},
 		{"probe", "STATUS_BACK\tw1\tetimedout\t400\t-", Event{Type: Probed,
 			Probed: rules.ProbeResult{Worker: "w1", Status: rules.TimedOut, Latency: 400}}},
-		{"hang-up", "HANGUP\trq_a", Event{Type: Hangup, Hangup: "rq_a"}},
+		{"hang-up", "HANGUP\trq_a", Event{Type: ClientDisconnected, Disconnected: "rq_a"}},
 		{"timer", "TICK_DUE\t77", Event{Type: TimerDue, Token: 77}},
 		{"stream", "FLOWING\trq_a\t0\tw1\t9", Event{Type: Streaming,
 			Outcome: rules.Outcome{Request: "rq_a", Worker: "w1", Latency: 9}}},
@@ -101,14 +101,14 @@
 
 func TestUnknownEventsAreSkipped(t *testing.T) {
 	b, err := decode(lines("CLOCK\t1", "SELECT\ts/1", "NOVELTY\t1\t2", "HEARTBEAT\tr\t0\tw\t9\t1", "HANGUP\tr", "COMMIT"))
-	if err != nil || len(b.Events) != 1 || b.Events[0].Type != Hangup {
+	if err != nil || len(b.Events) != 1 || b.Events[0].Type != ClientDisconnected {
 		t.Errorf("%v, %+v", err, b.Events)
 	}
 }
 
 func TestMessagesOfPeers(t *testing.T) {
 	b, err := decode(lines("CLOCK\t1", "SELECT\ts/1", "DATAGRAM\t2\taGk=", "COMMIT"))
-	if err != nil || len(b.Events) != 1 || b.Events[0].Type != Peer || b.Events[0].From != 2 || string(b.Events[0].Data) != "hi" {
+	if err != nil || len(b.Events) != 1 || b.Events[0].Type != PeerMessage || b.Events[0].From != 2 || string(b.Events[0].Data) != "hi" {
 		t.Errorf("%v, %+v", err, b.Events)
 	}
 	var out strings.Builder
--- a/internal/world/clients.go
+++ b/internal/world/clients.go
@@ -39,9 +39,9 @@
 func (w *World) clients(rate float64) {
 	s := &w.set
 	c := &clients{world: w, rate: rate}
-	c.keys = draw.Cumulated(max(1, s.Keys), func(i int) float64 { return math.Pow(float64(i+1), -s.Skew) })
-	c.classes = draw.Cumulated(len(s.Shares), func(i int) float64 { return s.Shares[i] })
-	c.to = draw.Cumulated(s.Schedulers, func(i int) float64 {
+	c.keys = draw.CumulativeWeights(max(1, s.Keys), func(i int) float64 { return math.Pow(float64(i+1), -s.Skew) })
+	c.classes = draw.CumulativeWeights(len(s.Shares), func(i int) float64 { return s.Shares[i] })
+	c.to = draw.CumulativeWeights(s.Schedulers, func(i int) float64 {
 		if s.Unlike > 0 && i%10 == 0 {
 			return s.Unlike
 		}
