--- a/internal/discovery/answer.go
+++ b/internal/discovery/answer.go
@@ -81,7 +81,7 @@
 	case plainBody, chunkData:
 		return a.takeData(buf)
 	case chunkSize:
-		a.left, size, need, fault = http1.ChunkSize(buf, 0)
+		a.left, size, need, fault = http1.ParseChunkSize(buf, 0)
 		if need > 0 || fault != nil {
 			break
 		}
@@ -93,11 +93,11 @@
 			}
 		}
 	case chunkEnd:
-		if size, need, fault = http1.ChunkEnd(buf, 0); need == 0 && fault == nil {
+		if size, need, fault = http1.ParseChunkEnd(buf, 0); need == 0 && fault == nil {
 			a.phase = chunkSize
 		}
 	case trailers:
-		if size, need, fault = http1.Trailers(buf, 0); need == 0 && fault == nil {
+		if size, need, fault = http1.ParseTrailers(buf, 0); need == 0 && fault == nil {
 			a.endDocument()
 		}
 	}
@@ -116,7 +116,7 @@
 	if need > 0 {
 		return 0, need, nil
 	}
-	length, chunked, fault := a.response.Length()
+	length, chunked, fault := a.response.BodyLength()
 	switch {
 	case a.response.Status != 200 && a.document:
 		return 0, 0, fmt.Errorf("the list was answered with %d", a.response.Status)
@@ -130,7 +130,7 @@
 		return 0, 0, errors.New("the watch was answered with a body that ends")
 	case length < 0:
 		return 0, 0, errors.New("the list was answered without a length")
-	case length >= http1.MaxChunk:
+	case length >= http1.MaxChunkSize:
 		return 0, 0, errors.New("the list's answer is too large")
 	case length == 0:
 		a.endDocument()
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -143,7 +143,7 @@
 // are divided among the processes that live, and the slow-start budgets are the latest one's.
 func (d *directives) updateProcesses(others replica.Others) {
 	d.log.Info("other processes of this scheduler", "alive", others.Alive, "successor", others.Successor)
-	d.front.ShareLimits(1 + others.Alive)
+	d.front.DivideLimits(1 + others.Alive)
 	ApplyLimits(d.front.Limits())
 	d.core.SetSlowStartElsewhere(others.Successor)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -146,7 +146,7 @@
 			g.Faktory.Quiet()
 		}
 		if g.HTTP2 != nil {
-			g.HTTP2.Quiet(g.Front.AnswersWithin())
+			g.HTTP2.Quiet(g.Front.AnswerTimeout())
 		}
 		g.Front.Stop(g.closeFronts)
 	})
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -81,7 +81,7 @@
 	for skip < len(buf) && skip < 4 && (buf[skip] == '\r' || buf[skip] == '\n') { // blank lines before a request
 		skip++
 	}
-	line, at, need, err := firstLine(buf, skip)
+	line, at, need, err := nextLine(buf, skip)
 	if need > 0 || err != nil {
 		return need, err
 	}
@@ -96,7 +96,7 @@
 	}
 	q.Method, q.Target = method, target
 	q.Path, _, _ = bytes.Cut(target, question)
-	need, err = q.rest(buf, at, minor, false)
+	need, err = q.parseHeadersAndBody(buf, at, minor, false)
 	if need == 0 && err == nil && minor == 1 && q.Count("Host") != 1 {
 		return 0, malformed("a request has one Host")
 	}
@@ -124,13 +124,13 @@
 		p.Body, p.Size, p.KeepAlive = buf[at:], len(buf), false
 		return 0, nil
 	}
-	return p.body(buf, at)
+	return p.parseBody(buf, at)
 }
 
 // ParseHead parses no more than a response's head and gives where its body begins.
 func ParseHead(buf []byte, p *Response) (at, need int, err *Error) {
 	*p = Response{Message: Message{Headers: p.Headers[:0]}}
-	line, at, need, err := firstLine(buf, 0)
+	line, at, need, err := nextLine(buf, 0)
 	if need > 0 || err != nil {
 		return 0, need, err
 	}
@@ -151,7 +151,7 @@
 	if p.Status < 100 {
 		return 0, 0, malformed("malformed status")
 	}
-	if need, err = p.rest(buf, at, minor, true); need > 0 || err != nil {
+	if need, err = p.parseHeadersAndBody(buf, at, minor, true); need > 0 || err != nil {
 		return 0, need, err
 	}
 	return p.Size, 0, nil
@@ -164,7 +164,7 @@
 )
 
 // firstLine gives the line that starts at from and where the next one does.
-func firstLine(buf []byte, from int) (line []byte, at, need int, err *Error) {
+func nextLine(buf []byte, from int) (line []byte, at, need int, err *Error) {
 	i := bytes.IndexByte(buf[from:min(len(buf), from+MaxHead)], '\n')
 	if i < 0 {
 		if len(buf)-from >= MaxHead {
@@ -179,13 +179,13 @@
 }
 
 // rest parses headers and, unless headOnly, the body. Size is where it stopped.
-func (m *Message) rest(buf []byte, at, minor int, headOnly bool) (need int, err *Error) {
+func (m *Message) parseHeadersAndBody(buf []byte, at, minor int, headOnly bool) (need int, err *Error) {
 	m.KeepAlive = minor == 1
 	for {
 		if at >= MaxHead {
 			return 0, &Error{431, "head too large"}
 		}
-		line, next, need, err := firstLine(buf, at)
+		line, next, need, err := nextLine(buf, at)
 		if err != nil || need > 0 {
 			if need > MaxHead {
 				err = &Error{431, "head too large"}
@@ -224,13 +224,13 @@
 	if m.Size = at; headOnly {
 		return 0, nil
 	}
-	return m.body(buf, at)
+	return m.parseBody(buf, at)
 }
 
 // Length tells how the body's end is found: it is chunked, or has a length in bytes, of which anything past 2^31 counts
 // as that; below zero: the head says nothing. A message with two lengths, or a length and a coding, is refused whole: two
 // parties that read it differently would see different requests in it.
-func (m *Message) Length() (n int, chunked bool, err *Error) {
+func (m *Message) BodyLength() (n int, chunked bool, err *Error) {
 	codings, lengths := m.Count("Transfer-Encoding"), m.Count("Content-Length")
 	switch {
 	case codings > 1 || lengths > 1 || codings > 0 && lengths > 0:
@@ -243,7 +243,7 @@
 	case lengths == 0:
 		return -1, false, nil
 	}
-	n, ok := digits(m.Get("Content-Length"), 10)
+	n, ok := parseUint(m.Get("Content-Length"), 10)
 	if !ok {
 		return 0, false, malformed("malformed length")
 	}
@@ -251,13 +251,13 @@
 }
 
 // body finds the body.
-func (m *Message) body(buf []byte, at int) (need int, err *Error) {
-	n, chunked, err := m.Length()
+func (m *Message) parseBody(buf []byte, at int) (need int, err *Error) {
+	n, chunked, err := m.BodyLength()
 	switch {
 	case err != nil:
 		return 0, err
 	case chunked:
-		return m.chunked(buf, at)
+		return m.parseChunkedBody(buf, at)
 	case n < 0:
 		m.Size = at
 		return 0, nil
@@ -272,11 +272,11 @@
 	return 0, nil
 }
 
-func (m *Message) chunked(buf []byte, at int) (need int, err *Error) {
+func (m *Message) parseChunkedBody(buf []byte, at int) (need int, err *Error) {
 	m.Body = nil
 	var whole []byte
 	for {
-		data, next, need, err := Chunk(buf, at)
+		data, next, need, err := ParseChunk(buf, at)
 		if need > 0 || err != nil {
 			return need, err
 		}
@@ -290,7 +290,7 @@
 		}
 		whole = append(whole, data...)
 	}
-	if at, need, err = Trailers(buf, at); need > 0 || err != nil {
+	if at, need, err = ParseTrailers(buf, at); need > 0 || err != nil {
 		return need, err
 	}
 	m.Body, m.Size = whole, at
@@ -298,9 +298,9 @@
 }
 
 // Trailers reads over what follows the last chunk, from its place on, and gives where the message ends.
-func Trailers(buf []byte, from int) (next, need int, err *Error) {
+func ParseTrailers(buf []byte, from int) (next, need int, err *Error) {
 	for lines := 0; ; lines++ {
-		line, next, need, err := firstLine(buf, from)
+		line, next, need, err := nextLine(buf, from)
 		if need > 0 || err != nil {
 			return 0, need, err
 		}
@@ -317,8 +317,8 @@
 }
 
 // Chunk parses the chunk that starts at from; the last one has nil data.
-func Chunk(buf []byte, from int) (data []byte, next, need int, err *Error) {
-	n, at, need, err := ChunkSize(buf, from)
+func ParseChunk(buf []byte, from int) (data []byte, next, need int, err *Error) {
+	n, at, need, err := ParseChunkSize(buf, from)
 	if need > 0 || err != nil {
 		return nil, 0, need, err
 	}
@@ -331,18 +331,18 @@
 	if at+n+2 > len(buf) {
 		return nil, 0, at + n + 2, nil
 	}
-	if next, _, err = ChunkEnd(buf, at+n); err != nil {
+	if next, _, err = ParseChunkEnd(buf, at+n); err != nil {
 		return nil, 0, 0, err
 	}
 	return buf[at : at+n], next, 0, nil
 }
 
 // MaxChunk is the size from which on a chunk is refused wherever it stands, in bytes.
-const MaxChunk = 1 << 31
+const MaxChunkSize = 1 << 31
 
 // ChunkSize parses the line that begins a chunk, and gives the size of its data and where that starts. The last chunk
 // has none.
-func ChunkSize(buf []byte, from int) (size, next, need int, err *Error) {
+func ParseChunkSize(buf []byte, from int) (size, next, need int, err *Error) {
 	const longest = 256 // of a size line with its extensions
 	i := bytes.IndexByte(buf[from:], '\n')
 	if i < 0 && len(buf)-from < longest {
@@ -352,18 +352,18 @@
 		return 0, 0, 0, malformed("malformed chunk size")
 	}
 	text, _, _ := bytes.Cut(buf[from:from+i-1], []byte(";"))
-	size, ok := digits(bytes.TrimRight(text, " \t"), 16)
+	size, ok := parseUint(bytes.TrimRight(text, " \t"), 16)
 	if !ok {
 		return 0, 0, 0, malformed("malformed chunk size")
 	}
-	if size >= MaxChunk {
+	if size >= MaxChunkSize {
 		return 0, 0, 0, &Error{413, "chunk too large"}
 	}
 	return size, from + i + 1, 0, nil
 }
 
 // ChunkEnd parses what stands behind a chunk's data.
-func ChunkEnd(buf []byte, from int) (next, need int, err *Error) {
+func ParseChunkEnd(buf []byte, from int) (next, need int, err *Error) {
 	next = from + len(crlf)
 	if next > len(buf) {
 		return 0, next, nil
@@ -382,7 +382,7 @@
 }
 
 // digits reads a number without sign or space; anything past 2^31 counts as that.
-func digits(s []byte, base int) (n int, ok bool) {
+func parseUint(s []byte, base int) (n int, ok bool) {
 	for _, c := range s {
 		d := 99
 		switch {
@@ -444,7 +444,7 @@
 	return true
 }
 
-var reasons = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found",
+var reasonPhrases = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 413: "Content Too Large", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 503: "Service Unavailable", 504: "Gateway Timeout"}
 
@@ -452,14 +452,14 @@
 func AppendResponse(b []byte, status int, keepAlive bool, body []byte, extra ...string) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
-	b = append(append(append(b, ' '), reasons[status]...), crlf...)
+	b = append(append(append(b, ' '), reasonPhrases[status]...), crlf...)
 	if status != 204 {
 		b = appendLength(b, len(body))
 	}
 	if !keepAlive {
 		b = append(b, "Connection: close\r\n"...)
 	}
-	b = appendExtra(b, extra)
+	b = appendHeaders(b, extra)
 	return append(append(b, crlf...), body...)
 }
 
@@ -471,14 +471,14 @@
 	if length >= 0 {
 		b = appendLength(b, length)
 	}
-	return append(append(appendExtra(b, extra), lines...), crlf...)
+	return append(append(appendHeaders(b, extra), lines...), crlf...)
 }
 
 func appendLength(b []byte, n int) []byte {
 	return append(strconv.AppendInt(append(b, "Content-Length: "...), int64(n), 10), crlf...)
 }
 
-func appendExtra(b []byte, extra []string) []byte {
+func appendHeaders(b []byte, extra []string) []byte {
 	for i := 0; i+1 < len(extra); i += 2 {
 		b = append(append(append(append(b, extra[i]...), ": "...), extra[i+1]...), crlf...)
 	}
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -23,20 +23,20 @@
 // Crossings at a connection that comes up late: it is held until the other side has acted, then let go.
 
 // told has the node hear of the endpoints, and waits until it has.
-func told(n *standin.Node, endpoints ...map[string]any) {
+func updateWorkerList(n *standin.Node, endpoints ...map[string]any) {
 	n.Farm.Say(string(n.Farm.Tell(false, endpoints...)))
 	n.ClearLog()
 	n.Farm.Say("no list") // logged after what came before has been taken
 	n.Eventually(func() bool { return n.Logged("bad line kept out") })
 }
 
-func open(n *standin.Node) (open int) {
+func openRequests(n *standin.Node) (open int) {
 	n.On(func() { open = n.Core.OpenRequests() })
 	return open
 }
 
 // onLoop waits for a condition that only the loop may look at.
-func onLoop(n *standin.Node, is func() bool) {
+func eventuallyOnLoop(n *standin.Node, is func() bool) {
 	n.T.Helper()
 	n.Eventually(func() (yes bool) {
 		n.On(func() { yes = is() })
@@ -44,7 +44,7 @@
 	})
 }
 
-func with(entry map[string]any, key string, value any) map[string]any {
+func withField(entry map[string]any, key string, value any) map[string]any {
 	entry[key] = value
 	return entry
 }
@@ -54,23 +54,23 @@
 func TestNothingIsWrittenToAWorkerThatLeftWhileDialled(t *testing.T) {
 	for _, class := range []string{"board-view", "settle"} {
 		for name, change := range map[string]func(map[string]any) map[string]any{
-			"draining":  func(e map[string]any) map[string]any { return with(e, "status", "draining") },
-			"removed":   func(e map[string]any) map[string]any { return with(e, "status", "removed") },
-			"restarted": func(e map[string]any) map[string]any { return with(e, "since_ms", 1_700_000_000_000) },
-			"moved":     func(e map[string]any) map[string]any { return with(e, "address", "127.0.0.1:9") },
+			"draining":  func(e map[string]any) map[string]any { return withField(e, "status", "draining") },
+			"removed":   func(e map[string]any) map[string]any { return withField(e, "status", "removed") },
+			"restarted": func(e map[string]any) map[string]any { return withField(e, "since_ms", 1_700_000_000_000) },
+			"moved":     func(e map[string]any) map[string]any { return withField(e, "address", "127.0.0.1:9") },
 		} {
 			t.Run(class+" "+name, func(t *testing.T) {
 				a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 				n := standin.Start(t, nil, a)
 				b.BackTo(n)
-				up, letGo := hold(n)
-				got := ask(n, class, "id-1")
-				require.Equal(t, a.Address(), next(t, up))
-				told(n, change(a.Entry("up")), b.Entry("up"))
+				up, letGo := holdDials(n)
+				got := submit(n, class, "id-1")
+				require.Equal(t, a.Address(), receive(t, up))
+				updateWorkerList(n, change(a.Entry("up")), b.Entry("up"))
 				letGo <- struct{}{}
-				require.Equal(t, b.Address(), next(t, up))
+				require.Equal(t, b.Address(), receive(t, up))
 				letGo <- struct{}{}
-				assert.Equal(t, standin.Answer{Status: 200, Body: "s-2 did id-1"}, next(t, got))
+				assert.Equal(t, standin.Answer{Status: 200, Body: "s-2 did id-1"}, receive(t, got))
 				assert.Empty(t, a.Jobs())
 				assert.Len(t, b.Jobs(), 1)
 			})
@@ -80,16 +80,16 @@
 
 // scripted is a table worker that does on each connection what a test says, and nothing else: the connection stays
 // open until the test ends.
-type scripted struct {
+type scriptedWorker struct {
 	net.Listener
 	name string
 }
 
-func newScripted(t *testing.T, name string, do func(c net.Conn, r *bufio.Reader)) *scripted {
-	return newScriptedAt(t, "127.0.0.1:0", name, do)
+func newScriptedWorker(t *testing.T, name string, do func(c net.Conn, r *bufio.Reader)) *scriptedWorker {
+	return newScriptedWorkerAt(t, "127.0.0.1:0", name, do)
 }
 
-func newScriptedAt(t *testing.T, address, name string, do func(c net.Conn, r *bufio.Reader)) *scripted {
+func newScriptedWorkerAt(t *testing.T, address, name string, do func(c net.Conn, r *bufio.Reader)) *scriptedWorker {
 	ln, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -103,15 +103,15 @@
 			go do(c, bufio.NewReader(c))
 		}
 	}()
-	return &scripted{ln, name}
+	return &scriptedWorker{ln, name}
 }
 
-func (s *scripted) entry(status string) map[string]any {
+func (s *scriptedWorker) entry(status string) map[string]any {
 	return standin.Entry(s.name, s.Addr().String(), status)
 }
 
 // took reads a request and answers that it was taken.
-func took(c net.Conn, r *bufio.Reader) (id string) {
+func acceptJob(c net.Conn, r *bufio.Reader) (id string) {
 	q, err := http.ReadRequest(r)
 	if err != nil {
 		return ""
@@ -122,34 +122,34 @@
 }
 
 // kept has a node with one worker and one kept connection to it, on which the next write fails in the call itself.
-func kept(t *testing.T, change func(*config.Config)) (n *standin.Node, a *scripted, jobs chan string) {
+func startWithBrokenIdleConn(t *testing.T, change func(*config.Config)) (n *standin.Node, a *scriptedWorker, jobs chan string) {
 	jobs = make(chan string, 16)
-	a = newScripted(t, "s-1", func(c net.Conn, r *bufio.Reader) { jobs <- took(c, r) })
+	a = newScriptedWorker(t, "s-1", func(c net.Conn, r *bufio.Reader) { jobs <- acceptJob(c, r) })
 	n = standin.Start(t, change)
-	told(n, a.entry("up"))
-	got := ask(n, "move", "id-0")
-	require.Equal(t, "id-0", next(t, jobs))
+	updateWorkerList(n, a.entry("up"))
+	got := submit(n, "move", "id-0")
+	require.Equal(t, "id-0", receive(t, jobs))
 	require.Equal(t, 204, standin.Event(n.URL(platform.PathEvents), map[string]any{"id": "id-0", "from": "s-1", "state": "done"}))
-	require.Equal(t, 200, next(t, got).Status)
-	onLoop(n, func() bool { return n.Front.Idle() == 1 })
-	n.On(func() { n.Front.BreakIdle(t) })
+	require.Equal(t, 200, receive(t, got).Status)
+	eventuallyOnLoop(n, func() bool { return n.Front.IdleConns() == 1 })
+	n.On(func() { n.Front.BreakIdleConns(t) })
 	return n, a, jobs
 }
 
 // The same where a kept connection turned out to be closed, so that a second dial is made for what surely never left.
 func TestNothingIsWrittenOnTheSecondDialToAWorkerThatLeft(t *testing.T) {
-	n, a, jobs := kept(t, nil)
-	up, letGo := hold(n)
-	got := ask(n, "settle", "id-1")
-	require.Equal(t, a.Addr().String(), next(t, up))
+	n, a, jobs := startWithBrokenIdleConn(t, nil)
+	up, letGo := holdDials(n)
+	got := submit(n, "settle", "id-1")
+	require.Equal(t, a.Addr().String(), receive(t, up))
 	n.Eventually(func() bool { return n.Logged("party=worker peer=" + a.Addr().String() + " reason=not-reading") }) // the first
 	b := standin.NewWorker(t, "s-2", nil)
 	b.BackTo(n)
-	told(n, a.entry("draining"), b.Entry("up"))
+	updateWorkerList(n, a.entry("draining"), b.Entry("up"))
 	letGo <- struct{}{}
-	require.Equal(t, b.Address(), next(t, up))
+	require.Equal(t, b.Address(), receive(t, up))
 	letGo <- struct{}{}
-	assert.Equal(t, 200, next(t, got).Status)
+	assert.Equal(t, 200, receive(t, got).Status)
 	assert.Empty(t, jobs)
 	assert.Len(t, b.Jobs(), 1)
 }
@@ -157,15 +157,15 @@
 // What waits for its second connection has not left yet, although the first was up: where its time ends meanwhile it
 // never ran, and the client is told that asking again is harmless.
 func TestWhatWaitsForItsSecondConnectionNeverRan(t *testing.T) {
-	n, a, jobs := kept(t, nil)
-	up, letGo := hold(n)
+	n, a, jobs := startWithBrokenIdleConn(t, nil)
+	up, letGo := holdDials(n)
 	got := make(chan standin.Answer, 1)
 	go func() { got <- n.Ask("settle", "k", "id-1", 500, "") }()
-	next(t, up)
+	receive(t, up)
 	n.Eventually(func() bool { return n.Logged("party=worker peer=" + a.Addr().String() + " reason=not-reading") }) // the first
-	assert.Equal(t, 503, next(t, got).Status)
+	assert.Equal(t, 503, receive(t, got).Status)
 	letGo <- struct{}{}
-	onLoop(n, func() bool { return n.Front.Dials() == 0 })
+	eventuallyOnLoop(n, func() bool { return n.Front.PendingDials() == 0 })
 	assert.Empty(t, jobs)
 }
 
@@ -175,21 +175,21 @@
 	for _, cancel := range []bool{true, false} {
 		for _, before := range []int{0, 1} {
 			t.Run(fmt.Sprintf("cancel %v, after %d attempts", cancel, before), func(t *testing.T) {
-				do := func(w *standin.Worker, id string, rw http.ResponseWriter, r *http.Request) { breakOff(w, id, rw, r) }
+				do := func(w *standin.Worker, id string, rw http.ResponseWriter, r *http.Request) { closeConn(w, id, rw, r) }
 				a, b := standin.NewWorker(t, "s-1", do), standin.NewWorker(t, "s-2", do)
 				n := standin.Start(t, func(c *config.Config) { c.Settings.MayCancel = cancel }, a, b)
-				up, letGo := hold(n)
+				up, letGo := holdDials(n)
 				c := standin.Dial(t, n.Front.Address())
-				c.Say("POST /board-view/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: " + leftBehind + "\r\n\r\n")
+				c.Say("POST /board-view/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: " + longTimeLeft + "\r\n\r\n")
 				for range before {
-					next(t, up)
+					receive(t, up)
 					letGo <- struct{}{}
 				}
-				next(t, up)
+				receive(t, up)
 				c.Close()
-				n.Eventually(func() bool { return open(n) == 0 })
+				n.Eventually(func() bool { return openRequests(n) == 0 })
 				letGo <- struct{}{}
-				onLoop(n, func() bool { return n.Core.InFlightAttempts() == 0 && n.Front.Dials() == 0 })
+				eventuallyOnLoop(n, func() bool { return n.Core.InFlightAttempts() == 0 && n.Front.PendingDials() == 0 })
 				assert.Equal(t, before, len(a.Jobs())+len(b.Jobs()))
 			})
 		}
@@ -201,17 +201,17 @@
 func TestWhatItsClientLeftIsNotSentOnWhenAWorkerComes(t *testing.T) {
 	left := func(n *standin.Node) {
 		c := standin.Dial(t, n.Front.Address())
-		c.Say("POST /board-view/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-left\r\nX-Time-Left-Ms: " + leftBehind + "\r\n\r\n")
-		n.Eventually(func() bool { return open(n) == 1 })
+		c.Say("POST /board-view/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-left\r\nX-Time-Left-Ms: " + longTimeLeft + "\r\n\r\n")
+		n.Eventually(func() bool { return openRequests(n) == 1 })
 		c.Close()
-		n.Eventually(func() bool { return open(n) == 0 })
+		n.Eventually(func() bool { return openRequests(n) == 0 })
 	}
 	t.Run("held", func(t *testing.T) {
 		a := standin.NewWorker(t, "s-1", nil)
 		n := standin.Start(t, nil)
 		a.BackTo(n)
 		left(n)
-		told(n, a.Entry("up"))
+		updateWorkerList(n, a.Entry("up"))
 		require.Equal(t, 200, n.Ask("board-view", "k", "id-2", 5000, "").Status)
 		assert.Len(t, a.Jobs(), 1, "of the one that stayed")
 	})
@@ -221,14 +221,14 @@
 			c.Settings.MayProbe, c.Settings.LoadInProbes, c.Settings.ProbeCost = true, true, 0.0001
 			c.Settings.Classes[0].LatencyTarget = 500_000_000 // a request waits for probes for a part of it
 		}, a)
-		up, letGo := hold(n)
+		up, letGo := holdDials(n)
 		left(n)
-		require.Equal(t, a.Address(), next(t, up), "the probe's")
+		require.Equal(t, a.Address(), receive(t, up), "the probe's")
 		letGo <- struct{}{}
-		onLoop(n, func() bool { return n.Front.Dials() == 0 })
-		got := ask(n, "move", "id-2")
+		eventuallyOnLoop(n, func() bool { return n.Front.PendingDials() == 0 })
+		got := submit(n, "move", "id-2")
 		letGo <- struct{}{} // should it need a connection of its own
-		require.Equal(t, 200, next(t, got).Status)
+		require.Equal(t, 200, receive(t, got).Status)
 		assert.Len(t, a.Jobs(), 1, "of the one that stayed")
 	})
 }
@@ -243,29 +243,29 @@
 			var n *standin.Node
 			do := func(w *standin.Worker, id string, rw http.ResponseWriter, r *http.Request) {
 				n.On(func() { first.CompareAndSwap(0, n.Loop.Now()) })
-				breakOff(w, id, rw, r)
+				closeConn(w, id, rw, r)
 			}
 			a, b := standin.NewWorker(t, "s-1", do), standin.NewWorker(t, "s-2", do)
 			n = standin.Start(t, func(c *config.Config) {
 				move := &c.Settings.Classes[1]
 				move.Effect, move.Group, move.Window = rules.Keyed, group, window
 			}, a, b)
-			up, letGo := hold(n)
+			up, letGo := holdDials(n)
 			got := make(chan standin.Answer, 1)
 			go func() { got <- n.Ask("move", "k", "id-1", 3_600_000, "") }() // given up long before
-			next(t, up)
+			receive(t, up)
 			letGo <- struct{}{}
-			next(t, up) // of the repeat
-			onLoop(n, func() bool { return n.Loop.Now() > first.Load()+window })
+			receive(t, up) // of the repeat
+			eventuallyOnLoop(n, func() bool { return n.Loop.Now() > first.Load()+window })
 			letGo <- struct{}{}
-			assert.Equal(t, want, next(t, got).Status, "no worker may be sent it any more")
+			assert.Equal(t, want, receive(t, got).Status, "no worker may be sent it any more")
 			assert.Equal(t, 1, len(a.Jobs())+len(b.Jobs()))
 		})
 	}
 }
 
 // next waits for what a channel brings, and has the test fail where nothing comes.
-func next[T any](t *testing.T, c chan T) (v T) {
+func receive[T any](t *testing.T, c chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
@@ -275,12 +275,12 @@
 	return v
 }
 
-func hold(n *standin.Node) (up chan string, letGo chan struct{}) {
+func holdDials(n *standin.Node) (up chan string, letGo chan struct{}) {
 	n.On(func() { up, letGo = n.Front.HoldDials(n.T) })
 	return up, letGo
 }
 
-func ask(n *standin.Node, class, id string) chan standin.Answer {
+func submit(n *standin.Node, class, id string) chan standin.Answer {
 	got := make(chan standin.Answer, 1)
 	go func() { got <- n.Ask(class, "k", id, 9000, "") }()
 	return got
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -22,10 +22,10 @@
 // Ends of clients' connections and of the process, each crossed by what the other side does in that instant: the loop
 // stands still, in one event of the test's, until the other side has acted.
 
-const whole = head + "\r\n"
+const completeRequest = requestHead + "\r\n"
 
 // meanwhile waits on the loop itself, which stands still: nothing is taken until the condition holds.
-func meanwhile(t *testing.T, f func() bool) {
+func blockUntil(t *testing.T, f func() bool) {
 	t.Helper()
 	for by := time.Now().Add(standin.Patience); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(by) {
@@ -35,7 +35,7 @@
 	}
 }
 
-func answered(t *testing.T, c *standin.Raw) int {
+func readStatus(t *testing.T, c *standin.Raw) int {
 	t.Helper()
 	r, err := http.ReadResponse(c.R, nil)
 	require.NoError(t, err)
@@ -45,7 +45,7 @@
 }
 
 // ended reads the end, and nothing before it and no reset.
-func ended(t *testing.T, c *standin.Raw) {
+func assertEOF(t *testing.T, c *standin.Raw) {
 	t.Helper()
 	rest, err := io.ReadAll(c.R)
 	assert.NoError(t, err, "the end, and no reset")
@@ -53,16 +53,16 @@
 }
 
 // crossOnce has a client's request arrive between the last look at a connection and its end, once, and tells whether it has.
-func crossOnce(t *testing.T, n *standin.Node, c *standin.Raw) (crossed *bool) {
+func sendBeforeIdleClose(t *testing.T, n *standin.Node, c *standin.Raw) (crossed *bool) {
 	crossed = new(bool)
 	n.On(func() {
-		n.Front.Crossing(func() {
+		n.Front.SetBeforeIdleClose(func() {
 			if *crossed {
 				return
 			}
 			*crossed = true
-			c.Say(fmt.Sprintf(whole, "id-1"))
-			meanwhile(t, func() bool { _, _, inHand := n.Front.Clients(); return inHand == 1 })
+			c.Say(fmt.Sprintf(completeRequest, "id-1"))
+			blockUntil(t, func() bool { _, _, inHand := n.Front.ClientCounts(); return inHand == 1 })
 		})
 	})
 	return crossed
@@ -84,10 +84,10 @@
 			n := standin.Start(t, nil, w)
 			c := standin.Dial(t, n.Front.Address())
 			c.Say("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-			require.Equal(t, 200, answered(t, c))
-			crossed := crossOnce(t, n, c)
+			require.Equal(t, 200, readStatus(t, c))
+			crossed := sendBeforeIdleClose(t, n, c)
 			end(n)
-			ended(t, c)
+			assertEOF(t, c)
 			if name == "SIGTERM" {
 				<-n.Ended
 			} else {
@@ -125,11 +125,11 @@
 			w := standin.NewWorker(t, "s-1", nil)
 			n := standin.Start(t, nil, w)
 			c := standin.Dial(t, n.Front.Address())
-			onLoop(n, func() bool { known, _, _ := n.Front.Clients(); return known == 1 })
-			crossed := crossOnce(t, n, c)
+			eventuallyOnLoop(n, func() bool { known, _, _ := n.Front.ClientCounts(); return known == 1 })
+			crossed := sendBeforeIdleClose(t, n, c)
 			end(n)
-			assert.Equal(t, 503, answered(t, c))
-			ended(t, c)
+			assert.Equal(t, 503, readStatus(t, c))
+			assertEOF(t, c)
 			if name == "SIGTERM" || name == "handover" {
 				<-n.Ended
 			} else {
@@ -142,15 +142,15 @@
 
 // What is behind a request whose answer is the connection's last is not taken, and does not reset the answer.
 func TestWhatIsBehindALastAnswerIsNotTaken(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	c := standin.Dial(t, n.Front.Address())
-	c.Say(fmt.Sprintf(head, "id-1") + "Connection: close\r\n\r\n" + fmt.Sprintf(whole, "id-2"))
+	c.Say(fmt.Sprintf(requestHead, "id-1") + "Connection: close\r\n\r\n" + fmt.Sprintf(completeRequest, "id-2"))
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
 	require.Equal(t, 204, w.Call("id-1", "done", nil))
-	require.Equal(t, 200, answered(t, c))
-	ended(t, c)
-	n.Eventually(func() bool { return open(n) == 0 })
+	require.Equal(t, 200, readStatus(t, c))
+	assertEOF(t, c)
+	n.Eventually(func() bool { return openRequests(n) == 0 })
 	assert.Len(t, w.Jobs(), 1, "one request, one job")
 }
 
@@ -162,17 +162,17 @@
 	for range budget {
 		usual = append(usual, standin.Dial(t, n.Front.Address()))
 	}
-	onLoop(n, func() bool { known, _, _ := n.Front.Clients(); return known == budget })
+	eventuallyOnLoop(n, func() bool { known, _, _ := n.Front.ClientCounts(); return known == budget })
 	n.On(func() {
 		standin.Dial(t, n.Front.Address())
-		meanwhile(t, func() bool { return n.Front.Accepted() == budget+1 }) // and its place is asked for first
+		blockUntil(t, func() bool { return n.Front.AcceptedConns() == budget+1 }) // and its place is asked for first
 		for _, c := range usual {
 			c.Say("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		}
-		meanwhile(t, func() bool { _, _, inHand := n.Front.Clients(); return inHand == budget })
+		blockUntil(t, func() bool { _, _, inHand := n.Front.ClientCounts(); return inHand == budget })
 	})
 	for _, c := range usual {
-		assert.Equal(t, 200, answered(t, c))
+		assert.Equal(t, 200, readStatus(t, c))
 	}
 	n.Eventually(func() bool { return n.Logged("reason=over-budget") })
 }
@@ -192,11 +192,11 @@
 		c.Say("POST /board-view/k HTTP/1.1\r\nHost: x\r\n")
 		half = append(half, c)
 	}
-	onLoop(n, func() bool { known, unread, _ := n.Front.Clients(); return known == budget && unread == budget })
+	eventuallyOnLoop(n, func() bool { known, unread, _ := n.Front.ClientCounts(); return known == budget && unread == budget })
 	standin.Dial(t, n.Front.Address())
 	n.Eventually(func() bool { return n.Logged("reason=over-budget") })
-	assert.Equal(t, 503, answered(t, half[0]), "the first that came")
-	ended(t, half[0])
+	assert.Equal(t, 503, readStatus(t, half[0]), "the first that came")
+	assertEOF(t, half[0])
 }
 
 // A request that comes whole only when all that was open has been answered, as the platform may kill us soon, is
@@ -205,13 +205,13 @@
 	w := standin.NewWorker(t, "s-1", nil)
 	n := standin.Start(t, nil, w)
 	c := standin.Dial(t, n.Front.Address())
-	text := fmt.Sprintf(whole, "id-1")
+	text := fmt.Sprintf(completeRequest, "id-1")
 	c.Say(text[:len(text)-1])
-	onLoop(n, func() bool { _, unread, _ := n.Front.Clients(); return unread == 1 })
+	eventuallyOnLoop(n, func() bool { _, unread, _ := n.Front.ClientCounts(); return unread == 1 })
 	n.On(func() { n.Front.StopSince(n.Loop.Now()-3600*core.Millisecond, n.Loop.Stop) })
 	c.Say(text[len(text)-1:])
-	assert.Equal(t, 503, answered(t, c))
-	ended(t, c)
+	assert.Equal(t, 503, readStatus(t, c))
+	assertEOF(t, c)
 	<-n.Ended
 	assert.Empty(t, w.Jobs())
 }
@@ -219,13 +219,13 @@
 // A connection that the poller has accepted, and of which the loop has not heard when it looks for the last time, is
 // served: the process does not end under it.
 func TestTheProcessDoesNotEndUnderAConnectionJustAccepted(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	var c *standin.Raw
 	n.On(func() {
 		c = standin.Dial(t, n.Front.Address())
-		c.Say(fmt.Sprintf(whole, "id-1"))
-		meanwhile(t, func() bool { return n.Front.Accepted() == 1 })
+		c.Say(fmt.Sprintf(completeRequest, "id-1"))
+		blockUntil(t, func() bool { return n.Front.AcceptedConns() == 1 })
 		n.Front.StopSince(n.Loop.Now()-2*core.Second, n.Loop.Stop) // the drain looks in this turn
 	})
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
@@ -241,7 +241,7 @@
 		}
 	}
 	require.Equal(t, 204, w.Call("id-1", "done", map[string]any{"result": "x"}))
-	assert.Equal(t, 200, answered(t, c))
+	assert.Equal(t, 200, readStatus(t, c))
 	<-n.Ended
 }
 
@@ -249,7 +249,7 @@
 // connection. Each gets one final answer before the kill, a refusal where it never left or may be repeated, and the
 // process ends.
 func TestSIGTERMWithRequestsAtEveryStage(t *testing.T) {
-	accepted := standin.NewWorker(t, "s-1", silent)
+	accepted := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, accepted)
 	clients := map[string]*standin.Raw{}
 	send := func(class, id string) {
@@ -258,28 +258,28 @@
 		clients[id] = c
 	}
 	send("settle", "accepted")
-	onLoop(n, func() bool { return len(accepted.Jobs()) == 1 && n.Front.Idle() == 1 }) // its 202 has been read
+	eventuallyOnLoop(n, func() bool { return len(accepted.Jobs()) == 1 && n.Front.IdleConns() == 1 }) // its 202 has been read
 	read := make(chan struct{}, 4)
-	mute := newScripted(t, "s-2", func(c net.Conn, r *bufio.Reader) { // reads a request and says nothing, as one that hangs
+	mute := newScriptedWorker(t, "s-2", func(c net.Conn, r *bufio.Reader) { // reads a request and says nothing, as one that hangs
 		if _, err := http.ReadRequest(r); err == nil {
 			read <- struct{}{}
 		}
 	})
-	told(n, accepted.Entry("draining"), mute.entry("up"))
+	updateWorkerList(n, accepted.Entry("draining"), mute.entry("up"))
 	send("settle", "written")
-	next(t, read)
+	receive(t, read)
 	send("board-view", "repeatable")
-	next(t, read)
-	up, _ := hold(n) // never let go
+	receive(t, read)
+	up, _ := holdDials(n) // never let go
 	send("settle", "dialling")
-	next(t, up)
-	told(n, mute.entry("draining"))
+	receive(t, up)
+	updateWorkerList(n, mute.entry("draining"))
 	send("settle", "held")
-	n.Eventually(func() bool { return open(n) == 5 })
+	n.Eventually(func() bool { return openRequests(n) == 5 })
 	n.On(func() { n.Front.StopSince(n.Loop.Now()-3500*core.Millisecond, n.Loop.Stop) })
 	for id, want := range map[string]int{"accepted": 500, "written": 500, "repeatable": 503, "dialling": 503, "held": 503} {
-		assert.Equal(t, want, answered(t, clients[id]), id)
-		ended(t, clients[id])
+		assert.Equal(t, want, readStatus(t, clients[id]), id)
+		assertEOF(t, clients[id])
 	}
 	<-n.Ended
 	n.Eventually(func() bool { return accepted.Deleted("accepted") })
@@ -305,7 +305,7 @@
 				answer chan error
 			}
 			jobs := make(chan job, 8)
-			a := newScripted(t, "s-1", func(c net.Conn, r *bufio.Reader) {
+			a := newScriptedWorker(t, "s-1", func(c net.Conn, r *bufio.Reader) {
 				for {
 					q, err := http.ReadRequest(r)
 					if err != nil {
@@ -318,29 +318,29 @@
 				}
 			})
 			n := standin.Start(t, nil)
-			told(n, a.entry("up"))
-			first := ask(n, "settle", "id-1")
-			j := next(t, jobs)
+			updateWorkerList(n, a.entry("up"))
+			first := submit(n, "settle", "id-1")
+			j := receive(t, jobs)
 			j.goOn <- unprocessed
-			require.NoError(t, next(t, j.answer))
-			onLoop(n, func() bool { return n.Front.Idle() == 1 })
-			n.On(n.Front.JustRested)
+			require.NoError(t, receive(t, j.answer))
+			eventuallyOnLoop(n, func() bool { return n.Front.IdleConns() == 1 })
+			n.On(n.Front.MarkIdleConnsJustUsed)
 			b := standin.NewWorker(t, "s-2", nil)
 			b.BackTo(n)
-			second := ask(n, "settle", "id-2")
-			j = next(t, jobs)
+			second := submit(n, "settle", "id-2")
+			j = receive(t, jobs)
 			require.Equal(t, "id-2", j.id)
-			told(n, a.entry("up"), b.Entry("up"))
-			assert.Equal(t, standin.Answer{Status: 200, Body: "s-2 did id-1"}, next(t, first), "it never ran, and goes to another")
+			updateWorkerList(n, a.entry("up"), b.Entry("up"))
+			assert.Equal(t, standin.Answer{Status: 200, Body: "s-2 did id-1"}, receive(t, first), "it never ran, and goes to another")
 			j.goOn <- c.answer
-			require.NoError(t, next(t, j.answer))
+			require.NoError(t, receive(t, j.answer))
 			if c.again {
-				assert.Equal(t, standin.Answer{Status: 200, Body: "s-2 did id-2"}, next(t, second))
+				assert.Equal(t, standin.Answer{Status: 200, Body: "s-2 did id-2"}, receive(t, second))
 				return
 			}
-			onLoop(n, func() bool { return n.Front.Idle() == 2 }) // both connections rest
+			eventuallyOnLoop(n, func() bool { return n.Front.IdleConns() == 2 }) // both connections rest
 			require.Equal(t, 204, standin.Event(n.URL(platform.PathEvents), map[string]any{"id": "id-2", "from": "s-1", "state": "done", "result": "r"}))
-			assert.Equal(t, standin.Answer{Status: 200, Body: "r"}, next(t, second))
+			assert.Equal(t, standin.Answer{Status: 200, Body: "r"}, receive(t, second))
 			assert.Len(t, b.Jobs(), 1, "it runs once")
 		})
 	}
@@ -353,7 +353,7 @@
 	for _, breaks := range []bool{false, true} {
 		t.Run(fmt.Sprint("breaks off: ", breaks), func(t *testing.T) {
 			jobs := make(chan string, 8)
-			a := newScripted(t, "s-1", func(c net.Conn, r *bufio.Reader) {
+			a := newScriptedWorker(t, "s-1", func(c net.Conn, r *bufio.Reader) {
 				if _, err := http.ReadRequest(r); err != nil {
 					return
 				}
@@ -366,15 +366,15 @@
 			b := standin.NewWorker(t, "s-2", nil)
 			n := standin.Start(t, nil)
 			b.BackTo(n)
-			told(n, a.entry("up"))
-			got := ask(n, "settle", "id-1")
-			next(t, jobs)
-			told(n, b.Entry("up"))
+			updateWorkerList(n, a.entry("up"))
+			got := submit(n, "settle", "id-1")
+			receive(t, jobs)
+			updateWorkerList(n, b.Entry("up"))
 			if breaks {
-				assert.Equal(t, 500, next(t, got).Status)
+				assert.Equal(t, 500, receive(t, got).Status)
 			} else {
 				require.Equal(t, 204, standin.Event(n.URL(platform.PathEvents), map[string]any{"id": "id-1", "from": "s-1", "state": "done", "result": "r"}))
-				assert.Equal(t, standin.Answer{Status: 200, Body: "r"}, next(t, got))
+				assert.Equal(t, standin.Answer{Status: 200, Body: "r"}, receive(t, got))
 			}
 			assert.Empty(t, b.Jobs())
 		})
@@ -384,44 +384,44 @@
 // A worker that resets its connection behind the 202 has the job all the same: its call-back serves it.
 func TestAResetBehindThe202ChangesNothing(t *testing.T) {
 	jobs := make(chan string, 8)
-	a := newScripted(t, "s-1", func(c net.Conn, r *bufio.Reader) {
-		id := took(c, r)
+	a := newScriptedWorker(t, "s-1", func(c net.Conn, r *bufio.Reader) {
+		id := acceptJob(c, r)
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 		jobs <- id
 	})
 	n := standin.Start(t, nil)
-	told(n, a.entry("up"))
-	got := ask(n, "settle", "id-1")
-	require.Equal(t, "id-1", next(t, jobs))
+	updateWorkerList(n, a.entry("up"))
+	got := submit(n, "settle", "id-1")
+	require.Equal(t, "id-1", receive(t, jobs))
 	n.Eventually(func() bool { return n.Logged("party=worker peer=" + a.Addr().String()) })
-	require.Equal(t, 1, open(n))
+	require.Equal(t, 1, openRequests(n))
 	require.Equal(t, 204, standin.Event(n.URL(platform.PathEvents), map[string]any{"id": "id-1", "from": "s-1", "state": "done", "result": "r"}))
-	assert.Equal(t, standin.Answer{Status: 200, Body: "r"}, next(t, got))
+	assert.Equal(t, standin.Answer{Status: 200, Body: "r"}, receive(t, got))
 }
 
 // An answer that is there in the turn in which the time of its request ends is given: the end comes after it.
 func TestAnAnswerInTheTurnOfTheDeadlineIsGiven(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	got := make(chan standin.Answer, 1)
 	go func() { got <- n.Ask("move", "k", "id-1", 500, "") }()
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
 	c := standin.Dial(t, n.Front.Address())
-	onLoop(n, func() bool { known, _, _ := n.Front.Clients(); return known == 2 })
+	eventuallyOnLoop(n, func() bool { known, _, _ := n.Front.ClientCounts(); return known == 2 })
 	n.On(func() {
 		late := time.Now().Add(600 * time.Millisecond)
 		body := `{"id":"id-1","from":"s-1","state":"done","result":"just"}`
 		c.Say(fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", platform.PathEvents, len(body), body))
-		meanwhile(t, func() bool { _, _, inHand := n.Front.Clients(); return inHand == 2 && time.Now().After(late) })
+		blockUntil(t, func() bool { _, _, inHand := n.Front.ClientCounts(); return inHand == 2 && time.Now().After(late) })
 	})
-	assert.Equal(t, standin.Answer{Status: 200, Body: "just"}, next(t, got))
+	assert.Equal(t, standin.Answer{Status: 200, Body: "just"}, receive(t, got))
 }
 
 // However a client leaves, by the end of its side, of both or by a reset, its request is given up, whatever it has sent
 // behind it: nothing, half a request or another whole one, which is not sent on either.
 func TestEachWayOfLeavingIsLeaving(t *testing.T) {
-	const request = "POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: " + leftBehind + "\r\n\r\n"
+	const request = "POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: " + longTimeLeft + "\r\n\r\n"
 	for name, leave := range map[string]func(c *net.TCPConn){
 		"close": func(c *net.TCPConn) { c.Close() },
 		"half":  func(c *net.TCPConn) { c.CloseWrite() },
@@ -435,10 +435,10 @@
 				w.BackTo(n)
 				c := standin.Dial(t, n.Front.Address())
 				c.Say(fmt.Sprintf(request, "id-1") + behind)
-				n.Eventually(func() bool { return open(n) == 1 })
+				n.Eventually(func() bool { return openRequests(n) == 1 })
 				leave(c.Conn.(*net.TCPConn))
-				n.Eventually(func() bool { return open(n) == 0 && n.Logged("party=agent") })
-				told(n, w.Entry("up"))
+				n.Eventually(func() bool { return openRequests(n) == 0 && n.Logged("party=agent") })
+				updateWorkerList(n, w.Entry("up"))
 				require.Equal(t, 200, n.Ask("move", "k", "id-3", 5000, "").Status)
 				assert.Len(t, w.Jobs(), 1, "of the one that stayed")
 			})
@@ -450,7 +450,7 @@
 // worker that never says a word. Its connection takes the next request all the same, and the attempt ends with its time.
 func TestAnAttemptThatIsStillOutHoldsNoConnectionUp(t *testing.T) {
 	jobs := make(chan string, 16)
-	a := newScripted(t, "s-1", func(c net.Conn, r *bufio.Reader) {
+	a := newScriptedWorker(t, "s-1", func(c net.Conn, r *bufio.Reader) {
 		for {
 			q, err := http.ReadRequest(r)
 			if err != nil {
@@ -466,23 +466,23 @@
 		}
 	})
 	n := standin.Start(t, func(c *config.Config) { c.Settings.MayCancel, c.Settings.MayHedge = false, true })
-	told(n, a.entry("up"))
+	updateWorkerList(n, a.entry("up"))
 	c := standin.Dial(t, n.Front.Address())
 	c.Say("POST /board-view/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 4500\r\n\r\n")
-	require.Equal(t, "id-1", next(t, jobs))
+	require.Equal(t, "id-1", receive(t, jobs))
 	for i := range 8 { // it fails others, again and again, so that it is avoided for seconds
 		require.Equal(t, 500, n.Ask("move", "k", fmt.Sprint("bad-", i), 5000, "").Status)
 	}
 	b := standin.NewWorker(t, "s-2", nil)
 	b.BackTo(n)
-	told(n, b.Entry("up"))
-	require.Equal(t, 200, answered(t, c), "by the second copy")
+	updateWorkerList(n, b.Entry("up"))
+	require.Equal(t, 200, readStatus(t, c), "by the second copy")
 	require.Len(t, b.Jobs(), 1)
 	n.On(func() { assert.Equal(t, 1, n.Core.InFlightAttempts(), "the first is out") })
-	c.Say(fmt.Sprintf(whole, "id-2"))
-	require.Equal(t, 200, answered(t, c))
+	c.Say(fmt.Sprintf(completeRequest, "id-2"))
+	require.Equal(t, 200, readStatus(t, c))
 	n.On(func() { assert.Equal(t, 1, n.Core.InFlightAttempts(), "and still is") })
-	onLoop(n, func() bool { return n.Core.InFlightAttempts() == 0 })
+	eventuallyOnLoop(n, func() bool { return n.Core.InFlightAttempts() == 0 })
 }
 
 // A by_key request whose first attempt may have run, since its connection broke before the 202, is repeated within its
@@ -506,7 +506,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			read, breaks := make(chan struct{}, 4), make(chan struct{})
-			a := newScripted(t, "s-1", func(c net.Conn, r *bufio.Reader) {
+			a := newScriptedWorker(t, "s-1", func(c net.Conn, r *bufio.Reader) {
 				if _, err := http.ReadRequest(r); err == nil {
 					read <- struct{}{}
 					<-breaks
@@ -520,12 +520,12 @@
 				move.Effect, move.Group, move.Window = rules.Keyed, c.group, move.Deadline
 			})
 			b.BackTo(n)
-			told(n, a.entry("up"))
-			got := ask(n, c.class, "id-1")
-			next(t, read)
-			told(n, a.entry("draining"), with(b.Entry("up"), c.key, c.is))
+			updateWorkerList(n, a.entry("up"))
+			got := submit(n, c.class, "id-1")
+			receive(t, read)
+			updateWorkerList(n, a.entry("draining"), withField(b.Entry("up"), c.key, c.is))
 			close(breaks)
-			assert.Equal(t, c.want, next(t, got).Status)
+			assert.Equal(t, c.want, receive(t, got).Status)
 			assert.Len(t, b.Jobs(), map[int]int{200: 1, 500: 0}[c.want])
 		})
 	}
--- a/internal/platform/events.go
+++ b/internal/platform/events.go
@@ -24,19 +24,19 @@
 // worker would try it again. One of an id never seen here is passed on to the scheduler's other processes, if there are any;
 // where nobody knows it, it gets 503 and the connection is closed, and the worker's tries end after ten. It tells whether the
 // connection waits for an answer that is given later.
-func (f *Front) event(a *clientLink, q *http1.Request) (waits bool) {
-	a.callsBack = true
+func (f *Front) handleCallback(a *clientConn, q *http1.Request) (waits bool) {
+	a.isCallback = true
 	var e JobEvent
 	if err := json.Unmarshal(q.Body, &e); err != nil || e.ID == "" || e.From == "" || e.State == "" {
-		f.refuseInput(a, 400, "not a job event")
+		f.rejectRequest(a, 400, "not a job event")
 		return false
 	}
 	p, out := f.core.FindAttempt(e.ID, e.From)
 	if !out && !f.admission.Seen(e.ID) {
-		if f.passOn(a, q) {
+		if f.forwardCallback(a, q) {
 			return true
 		}
-		f.refuseForeign(a)
+		f.refuseUnknownCallback(a)
 		return false
 	}
 	f.reply(a, 204, nil, q.KeepAlive)
@@ -55,7 +55,7 @@
 	case "running":
 		f.core.AttemptProgress(p.Ref, e.Share)
 	case "done":
-		f.finish(p, rules.OK, result(e.Result), load)
+		f.finish(p, rules.OK, resultBody(e.Result), load)
 	case "failed":
 		f.finish(p, rules.Error, nil, load)
 	case "returned":
@@ -67,7 +67,7 @@
 }
 
 // result is the body for the client: the text itself where the result is one, else its JSON.
-func result(raw json.RawMessage) []byte {
+func resultBody(raw json.RawMessage) []byte {
 	var s string
 	if len(raw) > 0 && raw[0] == '"' && json.Unmarshal(raw, &s) == nil {
 		return []byte(s)
@@ -84,7 +84,7 @@
 		if json.Unmarshal([]byte(text), &figures) == nil {
 			for name, v := range figures {
 				if n, ok := v.(float64); ok {
-					addLoad(&l, name, n)
+					setLoad(&l, name, n)
 				}
 			}
 		}
@@ -93,7 +93,7 @@
 	for pair := range strings.SplitSeq(strings.TrimPrefix(text, "TEXT "), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if v, err := strconv.ParseFloat(value, 64); err == nil {
-			addLoad(&l, name, v)
+			setLoad(&l, name, v)
 		}
 	}
 	return l
@@ -101,11 +101,11 @@
 
 // mostLoad is past any count that a worker can truly report. One that is believed once stays in the means
 // for long, so a figure that can't be is no figure.
-const mostLoad = 1e6
+const maxLoadValue = 1e6
 
 // addLoad knows the figures by the protocol's names and by the settings'.
-func addLoad(l *rules.Load, name string, v float64) {
-	if !(v >= 0 && v <= mostLoad) {
+func setLoad(l *rules.Load, name string, v float64) {
+	if !(v >= 0 && v <= maxLoadValue) {
 		return
 	}
 	switch name {
@@ -122,4 +122,4 @@
 	}
 }
 
-var _ core.Client = (*clientLink)(nil)
+var _ core.Client = (*clientConn)(nil)
--- a/internal/platform/fields_test.go
+++ b/internal/platform/fields_test.go
@@ -16,7 +16,7 @@
 )
 
 // keepsFields is a worker that keeps the header fields of each job.
-func keepsFields(t *testing.T) (w *standin.Worker, got func() http.Header) {
+func newFieldRecorder(t *testing.T) (w *standin.Worker, got func() http.Header) {
 	var mu sync.Mutex
 	var last http.Header
 	w = standin.NewWorker(t, "s-1", func(w *standin.Worker, id string, rw http.ResponseWriter, r *http.Request) {
@@ -34,7 +34,7 @@
 
 // A worker tells a repeat of a by_key request by a field that its client sends. The fields that end at a hop stay here.
 func TestFieldsPassToTheWorkerButForThoseOfTheHop(t *testing.T) {
-	w, got := keepsFields(t)
+	w, got := newFieldRecorder(t)
 	n := standin.Start(t, nil, w)
 	c := standin.Dial(t, n.Front.Address())
 	c.Say("POST /move/k HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 5000\r\n" +
@@ -58,7 +58,7 @@
 
 // The same by HTTP/2, where names come in lower case.
 func TestFieldsPassFromHTTP2(t *testing.T) {
-	w, got := keepsFields(t)
+	w, got := newFieldRecorder(t)
 	n := standin.Start(t, func(c *config.Config) { c.HTTP2.Listen = "127.0.0.1:0" }, w)
 	client := &http.Client{Transport: &http.Transport{Protocols: new(http.Protocols)}}
 	client.Transport.(*http.Transport).Protocols.SetUnencryptedHTTP2(true)
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -37,97 +37,97 @@
 )
 
 const (
-	sweepEvery = 50 * core.Millisecond
-	firstUse   = 200 * core.Millisecond // in which a new connection brings its first bytes, where we end
+	sweepInterval     = 50 * core.Millisecond
+	firstRequestGrace = 200 * core.Millisecond // in which a new connection brings its first bytes, where we end
 	// The platform kills a scheduler no sooner after SIGTERM than the longest deadline, counted as killMost where it
 	// is longer, and killLater more. What is still open killMargin before that gets its answer while there is time
 	// for it to arrive.
-	killMost   = 3 * core.Second
-	killLater  = 700 * core.Millisecond
-	killMargin = 150 * core.Millisecond
-	newLast    = 450 * core.Millisecond // for so long after SIGTERM new connections may come
+	maxCountedDeadline  = 3 * core.Second
+	killDelay           = 700 * core.Millisecond
+	killMargin          = 150 * core.Millisecond
+	newConnectionWindow = 450 * core.Millisecond // for so long after SIGTERM new connections may come
 	// firstList is how long readiness waits for the agent's list at the start: it may be silent, and ready we must be.
-	firstList = core.Second
+	initialListTimeout = core.Second
 	// Within messageTime a message has to come to its end, and a connection to its first job: those that say
 	// nothing, or half of something, take no place from others for longer.
-	messageTime = 2 * core.Second
+	messageTimeout = 2 * core.Second
 )
 
 // Front is the HTTP/1.1 front and the carrier to the workers that discovery tells of.
 type Front struct {
-	admission *admission.Controller
-	loop      *core.Loop
-	core      *core.Core
-	conf      *config.Config
-	log       *slog.Logger
-	failing   log.FailureThrottle // peers that could not be reached
-	ready     bool
-
-	listener netpoll.Listener
-	server   netpoll.EventLoop
-	clients  core.SlotMap[*clientLink]
-	budget   budget
-	spare    int          // descriptors in no budget
-	accepted atomic.Int64 // connections, also those the loop has not heard of yet
-	most     atomic.Int64 // of them: past it a new one is closed by the poller
-
-	pool   pool
-	watch  *watch
-	ending ending
-
-	listLimits   discovery.Limits // of what discovery sends
-	starts       discovery.Starts // of the workers
-	informedOnce bool             // discovery has told what there was before we ran
+	admission    *admission.Controller
+	loop         *core.Loop
+	core         *core.Core
+	conf         *config.Config
+	log          *slog.Logger
+	dialFailures log.FailureThrottle // peers that could not be reached
+	ready        bool
+
+	listener      netpoll.Listener
+	server        netpoll.EventLoop
+	clients       core.SlotMap[*clientConn]
+	budget        connBudget
+	spareSockets  int          // descriptors in no budget
+	acceptedConns atomic.Int64 // connections, also those the loop has not heard of yet
+	acceptLimit   atomic.Int64 // of them: past it a new one is closed by the poller
+
+	pool          pool
+	watch         *watch
+	shutdownTimes shutdownSchedule
+
+	listLimits      discovery.Limits // of what discovery sends
+	workerStarts    discovery.Starts // of the workers
+	hasReceivedList bool             // discovery has told what there was before we ran
 
 	peers *peers // nil: there are none to talk to
 
-	stopping core.Time // SIGTERM came then; 0: it has not
-	stopped  func()
-	drained  core.Time // an operator asked for a drain then; 0: none is on
-	handing  bool      // a successor serves at our address: SIGTERM ends us as soon as may be
-	shut     bool      // the listener is closed
-	crossing func()    // for tests: called between the last look at a resting connection and its end
-	relayed  uint64    // requests written whole to the workers
+	stoppingSince    core.Time // SIGTERM came then; 0: it has not
+	onStopped        func()
+	drainingSince    core.Time // an operator asked for a drain then; 0: none is on
+	isHandingOver    bool      // a successor serves at our address: SIGTERM ends us as soon as may be
+	isListenerClosed bool      // the listener is closed
+	beforeIdleClose  func()    // for tests: called between the last look at a resting connection and its end
+	relayed          uint64    // requests written whole to the workers
 	// processes is how many of this scheduler live, this one among them: the limits are divided among them.
-	processes int
-	foreign   uint64 // callbacks of ids that no process knows, refused
-	passing   int    // callbacks that are being passed on to the scheduler's other processes
-	passedOn  uint64 // callbacks that another process of the scheduler took
+	processes          int
+	unknownCallbacks   uint64 // callbacks of ids that no process knows, refused
+	forwarding         int    // callbacks that are being passed on to the scheduler's other processes
+	forwardedCallbacks uint64 // callbacks that another process of the scheduler took
 }
 
 // notUp logs a connection that never came up: at a peer's first failure, then at growing intervals with a
 // count, since one that is gone is tried again and again.
-func (f *Front) notUp(party, peer string, age core.Time) {
-	if n, tell := f.failing.Failed(peer, f.loop.Now()); tell {
+func (f *Front) recordDialFailure(party, peer string, age core.Time) {
+	if n, tell := f.dialFailures.Failed(peer, f.loop.Now()); tell {
 		link.LogEnd(f.log, party, peer, link.NotUp, 0, age, "failures", n)
 	}
 }
 
 // isUp ends a peer's failures.
-func (f *Front) isUp(peer string) {
-	if n := f.failing.Reached(peer); n > 1 {
+func (f *Front) recordDialSuccess(peer string) {
+	if n := f.dialFailures.Reached(peer); n > 1 {
 		f.log.Info("peer is back", "peer", peer, "failures", n)
 	}
 }
 
 // clientLink is an accepted connection: a client's, or a worker's that calls back.
-type clientLink struct {
+type clientConn struct {
 	link.Link
-	ref       core.Ref
-	front     *Front
-	request   http1.Request // in hand, while the loop holds the buffer
-	in        *core.Request
-	callsBack bool
-	jobs      int       // transactions that it has brought
-	last      core.Time // when it was last of use
-	begun     core.Time // the message that is coming was first seen then; 0: none is
+	ref          core.Ref
+	front        *Front
+	request      http1.Request // in hand, while the loop holds the buffer
+	inFlight     *core.Request
+	isCallback   bool
+	jobCount     int       // transactions that it has brought
+	lastUsed     core.Time // when it was last of use
+	partialSince core.Time // the message that is coming was first seen then; 0: none is
 }
 
 // New makes the front; Start opens it.
 func New(c *core.Core, conf *config.Config, controller *admission.Controller, logger *slog.Logger) *Front {
-	f := &Front{loop: c.Loop, core: c, conf: conf, admission: controller, log: logger, listLimits: discovery.DefaultLimits, processes: 1, ending: endingOf(conf.Settings.Classes)}
+	f := &Front{loop: c.Loop, core: c, conf: conf, admission: controller, log: logger, listLimits: discovery.DefaultLimits, processes: 1, shutdownTimes: newShutdownSchedule(conf.Settings.Classes)}
 	f.pool = newPool(f)
-	f.shareOut()
+	f.applyBudgets()
 	return f
 }
 
@@ -140,7 +140,7 @@
 		}
 		list = &discovery.Update{}
 	}
-	f.starts.Settle(list, f.loop.Now(), true)
+	f.workerStarts.Settle(list, f.loop.Now(), true)
 	f.pool.addresses(list)
 	f.core.UpdateWorkerList(f, rules.ListCached, list.Workers)
 	f.watch = newWatch(f, f.conf.Discovery, list.Version)
@@ -151,10 +151,10 @@
 	}
 	f.listener = ln
 	f.server, err = netpoll.NewEventLoop(onRequest,
-		netpoll.WithOnPrepare(f.prepare),
+		netpoll.WithOnPrepare(f.onAccept),
 		netpoll.WithOnDisconnect(func(ctx context.Context, _ netpoll.Connection) {
-			a := ctx.Value(linkKey{}).(*clientLink)
-			f.loop.Post(func() { f.gone(a) })
+			a := ctx.Value(connKey{}).(*clientConn)
+			f.loop.Post(func() { f.onConnClosed(a) })
 		}))
 	if err != nil {
 		return err
@@ -162,13 +162,13 @@
 	if err := f.listenToPeers(); err != nil {
 		return err
 	}
-	go f.server.Serve(bounded{ln, f})
+	go f.server.Serve(limitedListener{ln, f})
 	f.loop.Post(func() {
 		f.watch.open(0)
 		if f.watch.whole && f.conf.Discovery != "" {
-			f.loop.At(f.loop.Now()+firstList, f.informed)
+			f.loop.At(f.loop.Now()+initialListTimeout, f.markReady)
 		} else {
-			f.informed()
+			f.markReady()
 		}
 		f.sweep()
 	})
@@ -177,7 +177,7 @@
 
 // informed makes the front ready: the list that its agent holds has come, or was waited for long enough. What the agent
 // holds counts as told from the process's first moment, and the list known at the start may be older.
-func (f *Front) informed() { f.ready = true }
+func (f *Front) markReady() { f.ready = true }
 
 // Reload takes a new configuration over, within one event: the watch goes to its discovery at once, and
 // the budgets follow its limits. All that is open lives on, and so does what is known of the workers.
@@ -188,7 +188,7 @@
 	kept := *f.conf
 	kept.Discovery, kept.Limits = next.Discovery, next.Limits
 	f.conf = &kept
-	f.shareOut()
+	f.applyBudgets()
 	f.watch.move(kept.Discovery)
 	f.log.Info("reload: taken over")
 }
@@ -201,44 +201,44 @@
 // is bounded here, by the configured memory.
 func (f *Front) sweep() {
 	now, all := f.loop.Now(), 0
-	var largest *clientLink
+	var largest *clientConn
 	most := 0
-	f.clients.Each(func(_ core.Ref, a *clientLink) {
+	f.clients.Each(func(_ core.Ref, a *clientConn) {
 		unread := a.NC.Reader().Len()
 		if all += unread; unread > most {
 			largest, most = a, unread
 		}
 		switch {
-		case a.in != nil:
+		case a.inFlight != nil:
 			if unread > a.request.Size+link.AheadMost {
 				a.Close(link.Flooding)
 			}
 		case a.Reason != "":
 		case unread > http1.MaxMessage+link.AheadMost:
 			a.Close(link.Flooding)
-		case unread > 0 && a.begun == 0:
-			a.begun = now
-		case a.begun > 0 && now-a.begun > messageTime:
-			f.turnAway(a, link.SlowInput, 408, "no whole request came in time\n")
-		case a.begun == 0 && a.jobs == 0 && !a.callsBack && now-a.last > messageTime:
-			a.letGo(link.IdleOut)
+		case unread > 0 && a.partialSince == 0:
+			a.partialSince = now
+		case a.partialSince > 0 && now-a.partialSince > messageTimeout:
+			f.rejectAndClose(a, link.SlowInput, 408, "no whole request came in time\n")
+		case a.partialSince == 0 && a.jobCount == 0 && !a.isCallback && now-a.lastUsed > messageTimeout:
+			a.closeIfIdle(link.IdleOut)
 		}
 	})
 	if all > f.Limits().MemoryMB<<20/8 {
 		largest.Close(link.Flooding)
 	}
-	if f.drained > 0 {
-		f.letGo(now)
+	if f.drainingSince > 0 {
+		f.closeIdleClients(now)
 	}
 	f.pool.retire()
 	f.pool.dropDeparted()
 	f.watch.check()
-	f.bound()
-	f.loop.At(now+sweepEvery, f.sweep)
+	f.updateAcceptLimit()
+	f.loop.At(now+sweepInterval, f.sweep)
 }
 
 // Ready tells whether the front takes new clients: it has started, and neither a drain nor SIGTERM is on.
-func (f *Front) Ready() bool { return f.ready && f.drained == 0 && f.stopping == 0 }
+func (f *Front) Ready() bool { return f.ready && f.drainingSince == 0 && f.stoppingSince == 0 }
 
 // Relayed is the number of requests written whole to the workers since the start.
 func (f *Front) Relayed() uint64 { return f.relayed }
--- a/internal/platform/give_up_test.go
+++ b/internal/platform/give_up_test.go
@@ -34,10 +34,10 @@
 			require.NoError(t, err)
 			defer worker.Close()
 			n := standin.Start(t, nil)
-			told(n, standin.Entry("s-1", worker.Addr().String(), "up"))
+			updateWorkerList(n, standin.Entry("s-1", worker.Addr().String(), "up"))
 			c := standin.Dial(t, n.Front.Address())
 			c.Say("POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 1500\r\n\r\n")
-			attempt := nextRequest(t, worker)
+			attempt := awaitRequestConn(t, worker)
 			giveUp(n, c)
 			require.NoError(t, attempt.SetReadDeadline(time.Now().Add(standin.Patience)))
 			_, err = io.Copy(io.Discard, attempt)
@@ -47,7 +47,7 @@
 }
 
 // nextRequest gives the next connection on which a request, and no probe, has come, after the head of the request.
-func nextRequest(t *testing.T, ln net.Listener) net.Conn {
+func awaitRequestConn(t *testing.T, ln net.Listener) net.Conn {
 	t.Helper()
 	require.NoError(t, ln.(*net.TCPListener).SetDeadline(time.Now().Add(standin.Patience)))
 	for {
--- a/internal/platform/handover_test.go
+++ b/internal/platform/handover_test.go
@@ -13,7 +13,7 @@
 // With a successor beside it, a process that had SIGTERM more than 2 s ago refuses a new job at once, with
 // Retry-After, gives up what it holds at 3.55 s and closes its listener then.
 func TestHandOverRefusesLateJobsAndEndsTheListener(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	held := make(chan standin.Answer)
 	go func() { held <- n.Ask("board-view", "k", "id-0", 9000, "") }() // open until the give-up
--- a/internal/platform/hostile_test.go
+++ b/internal/platform/hostile_test.go
@@ -16,15 +16,15 @@
 	"cobaltflow/internal/standin"
 )
 
-const head = "POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: 9000\r\n"
+const requestHead = "POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: 9000\r\n"
 
 // Whoever says nothing, or half of something, is told so within 3 s of connecting, and closed.
 func TestSlowAndSilentPeersAreTurnedAway(t *testing.T) {
 	w := standin.NewWorker(t, "s-1", nil)
 	n := standin.Start(t, nil, w)
 	var peers []*standin.Raw
-	for _, text := range []string{"", "POST /move/k HT", fmt.Sprintf(head, "id-1"), fmt.Sprintf(head, "id-2") + "Content-Length: 9\r\n\r\nhalf",
-		fmt.Sprintf(head, "id-3") + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"} {
+	for _, text := range []string{"", "POST /move/k HT", fmt.Sprintf(requestHead, "id-1"), fmt.Sprintf(requestHead, "id-2") + "Content-Length: 9\r\n\r\nhalf",
+		fmt.Sprintf(requestHead, "id-3") + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"} {
 		c := standin.Dial(t, n.Front.Address())
 		c.Say(text)
 		peers = append(peers, c)
@@ -45,7 +45,7 @@
 	n := standin.Start(t, nil, standin.NewWorker(t, "s-1", nil))
 	asked, used := standin.Dial(t, n.Front.Address()), standin.Dial(t, n.Front.Address())
 	asked.Say("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	used.Say(fmt.Sprintf(head, "id-1") + "\r\n")
+	used.Say(fmt.Sprintf(requestHead, "id-1") + "\r\n")
 	for _, c := range []*standin.Raw{asked, used} {
 		r, err := http.ReadResponse(c.R, nil)
 		require.NoError(t, err)
@@ -53,7 +53,7 @@
 	}
 	_, err := asked.R.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
-	used.Say(fmt.Sprintf(head, "id-2") + "\r\n")
+	used.Say(fmt.Sprintf(requestHead, "id-2") + "\r\n")
 	r, err := http.ReadResponse(used.R, nil)
 	require.NoError(t, err)
 	assert.Equal(t, 200, r.StatusCode)
@@ -63,10 +63,10 @@
 func TestErrorArrivesWhileTheClientSends(t *testing.T) {
 	n := standin.Start(t, nil)
 	c := standin.Dial(t, n.Front.Address())
-	c.Say(fmt.Sprintf(head, "id-1") + "Content-Length: 62914560\r\n\r\n")
+	c.Say(fmt.Sprintf(requestHead, "id-1") + "Content-Length: 62914560\r\n\r\n")
 	ended := make(chan error, 1)
 	go func() {
-		_, err := io.CopyN(c.Conn, zeros{}, 60<<20)
+		_, err := io.CopyN(c.Conn, zeroReader{}, 60<<20)
 		ended <- err
 	}()
 	r, err := http.ReadResponse(c.R, nil)
@@ -75,16 +75,16 @@
 	assert.Error(t, <-ended, "cut off")
 }
 
-type zeros struct{}
+type zeroReader struct{}
 
-func (zeros) Read(p []byte) (int, error) { return len(p), nil }
+func (zeroReader) Read(p []byte) (int, error) { return len(p), nil }
 
 // Connections that say nothing take no place from a client that has brought jobs, however many they are.
 func TestSilentFloodTakesNoPlaceFromUsualClients(t *testing.T) {
 	n := standin.Start(t, func(c *config.Config) { c.Limits.Sockets = 64 }, standin.NewWorker(t, "s-1", nil))
 	usual := standin.Dial(t, n.Front.Address())
 	ask := func(id string) {
-		usual.Say(fmt.Sprintf(head, id) + "\r\n")
+		usual.Say(fmt.Sprintf(requestHead, id) + "\r\n")
 		r, err := http.ReadResponse(usual.R, nil)
 		require.NoError(t, err)
 		assert.Equal(t, 200, r.StatusCode)
@@ -133,7 +133,7 @@
 func TestUnreadInputIsBoundedByTheMemory(t *testing.T) {
 	n := standin.Start(t, func(c *config.Config) { c.Limits.MemoryMB = 1 })
 	for i := range 3 {
-		standin.Dial(t, n.Front.Address()).Say(fmt.Sprintf(head, fmt.Sprint("id-", i)) + "Content-Length: 60000\r\n\r\n" + strings.Repeat("x", 59000))
+		standin.Dial(t, n.Front.Address()).Say(fmt.Sprintf(requestHead, fmt.Sprint("id-", i)) + "Content-Length: 60000\r\n\r\n" + strings.Repeat("x", 59000))
 	}
 	n.Eventually(func() bool { return n.Logged("reason=flooding") })
 }
--- a/internal/platform/list_test.go
+++ b/internal/platform/list_test.go
@@ -115,15 +115,15 @@
 					c.part(string(change) + "\n")
 				}()
 			})
-			n.Eventually(knows(n, largeFleet))
+			n.Eventually(hasWorkers(n, largeFleet))
 			n.Eventually(func() bool { return ready(n) })
 			assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 5000, "").Status)
 			assert.Len(t, w.Jobs(), 1)
 
-			watch := next(t, watches)
+			watch := receive(t, watches)
 			assert.Equal(t, form.pushed, watch == "/api/targets?watch=1&after=7", "it goes on from the list")
 			close(changed)
-			onLoop(n, func() bool { return n.Core.WorkerCount() == largeFleet && n.Front.Knows("s-2") })
+			eventuallyOnLoop(n, func() bool { return n.Core.WorkerCount() == largeFleet && n.Front.KnowsWorker("s-2") })
 			assert.Equal(t, 200, n.Ask("board-view", "k", "id-2", 5000, "").Status)
 			assert.Len(t, later.Jobs(), 1)
 			assert.False(t, n.Logged("discovery:"), "nothing was refused")
@@ -173,14 +173,14 @@
 				} else {
 					n.Eventually(func() bool { return n.Logged(c.logged) })
 				}
-				assert.True(t, knows(n, 1)(), "the list from before stands")
+				assert.True(t, hasWorkers(n, 1)(), "the list from before stands")
 				n.Eventually(func() bool { return ready(n) })
 				assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 5000, "").Status)
 				if name == "a fault in its last entry" && !pushed { // a bad line costs itself only
-					next(t, watches).part(string(good) + "\n")
+					receive(t, watches).part(string(good) + "\n")
 				}
 				mended.Store(true)
-				n.Eventually(knows(n, 2))
+				n.Eventually(hasWorkers(n, 2))
 			})
 		}
 	}
@@ -193,8 +193,8 @@
 	n := standin.Start(t, nil, w)
 	limits := lists.DefaultLimits
 	limits.Endpoints = 5000
-	n.On(func() { n.Front.LimitLists(limits) })
-	reload(n, d.Addr().String())
+	n.On(func() { n.Front.SetListLimits(limits) })
+	reloadDiscovery(n, d.Addr().String())
 	text, good := largeList(t, 8, largeFleet, w), largeList(t, 9, 5000, w)
 	d.serve(t, func(c call) {
 		if n.Logged("discovery: unusable answer") {
@@ -205,5 +205,5 @@
 	})
 	n.Eventually(func() bool { return n.Logged("list refused at endpoint 5001: the list over 5000 endpoints") })
 	assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 5000, "").Status)
-	n.Eventually(knows(n, 5000))
+	n.Eventually(hasWorkers(n, 5000))
 }
--- a/internal/platform/pass_on.go
+++ b/internal/platform/pass_on.go
@@ -14,38 +14,38 @@
 // process passes on what it does not know, at the scheduler's own address, where each new connection reaches another process
 // as often as not.
 const (
-	headerPassedOn = "X-Passed-On" // a callback with it is passed on no further
+	headerForwarded = "X-Passed-On" // a callback with it is passed on no further
 	// passTries bounds the connections for one callback. That none of them reaches one of three processes, in any of the
 	// worker's ten tries, has a chance of under 1 in 10^30.
-	passTries = 20
-	passCall  = 100 * time.Millisecond // for a connection, and for an answer on it
-	passAll   = 500 * time.Millisecond // for all of a callback's connections: its worker waits
+	maxForwardAttempts    = 20
+	forwardAttemptTimeout = 100 * time.Millisecond // for a connection, and for an answer on it
+	forwardTimeout        = 500 * time.Millisecond // for all of a callback's connections: its worker waits
 	// mostPassing bounds the callbacks that are passed on at once; over it one is refused, and its worker tries again.
-	mostPassing = 64
+	maxForwarding = 64
 )
 
 // passOn looks for the process of this scheduler that knows a callback's id. The connection that brought it waits; where
 // nobody knows the id, or nobody else lives, it is refused. It tells whether the connection is waiting.
-func (f *Front) passOn(a *clientLink, q *http1.Request) (waits bool) {
-	if f.processes < 2 || f.passing >= mostPassing || q.Get(headerPassedOn) != nil {
+func (f *Front) forwardCallback(a *clientConn, q *http1.Request) (waits bool) {
+	if f.processes < 2 || f.forwarding >= maxForwarding || q.Get(headerForwarded) != nil {
 		return false
 	}
-	f.passing++
+	f.forwarding++
 	address, keepAlive := f.Address(), q.KeepAlive
-	message := http1.AppendRequest(nil, "POST", PathEvents, address, len(q.Body), nil, headerPassedOn, "1", "Connection", "close")
+	message := http1.AppendRequest(nil, "POST", PathEvents, address, len(q.Body), nil, headerForwarded, "1", "Connection", "close")
 	message = append(message, q.Body...)
 	go func() { // it blocks, so it is run outside the loop
-		taken, until := false, clock.Monotonic()+passAll
-		for n := 0; n < passTries && !taken && clock.Monotonic() < until; n++ {
-			taken = takenAt(address, message)
+		taken, until := false, clock.Monotonic()+forwardTimeout
+		for n := 0; n < maxForwardAttempts && !taken && clock.Monotonic() < until; n++ {
+			taken = postCallback(address, message)
 		}
 		f.loop.Post(func() {
-			f.passing--
+			f.forwarding--
 			if taken {
-				f.passedOn++
+				f.forwardedCallbacks++
 				f.reply(a, 204, nil, keepAlive)
 			} else {
-				f.refuseForeign(a)
+				f.refuseUnknownCallback(a)
 			}
 			a.Release()
 		})
@@ -54,27 +54,27 @@
 }
 
 // refuseForeign answers a callback of an id that no process knows.
-func (f *Front) refuseForeign(a *clientLink) {
-	f.foreign++
+func (f *Front) refuseUnknownCallback(a *clientConn) {
+	f.unknownCallbacks++
 	f.reply(a, 503, nil, false)
 }
 
 // takenAt sends a callback on a connection of its own and tells whether whoever has it knows its id.
-func takenAt(address string, message []byte) bool {
-	nc, err := dialTCP(address, passCall)
+func postCallback(address string, message []byte) bool {
+	nc, err := dialTCP(address, forwardAttemptTimeout)
 	if err != nil {
 		return false
 	}
 	defer nc.Close()
-	nc.SetReadTimeout(passCall)
+	nc.SetReadTimeout(forwardAttemptTimeout)
 	if _, err := nc.Write(message); err != nil {
 		return false
 	}
-	return answersYes(nc.Reader())
+	return readSuccess(nc.Reader())
 }
 
 // answersYes reads an answer and tells whether it is a yes.
-func answersYes(r netpoll.Reader) bool {
+func readSuccess(r netpoll.Reader) bool {
 	var answer http1.Response
 	for need := 1; ; {
 		head, err := r.Peek(max(need, r.Len()))
--- a/internal/platform/pool.go
+++ b/internal/platform/pool.go
@@ -143,13 +143,13 @@
 		f.loop.Post(func() {
 			p.dials--
 			if err != nil {
-				f.notUp("worker", address, f.loop.Now()-began)
+				f.recordDialFailure("worker", address, f.loop.Now()-began)
 				if k.still == nil || k.still() {
 					k.broken(link.NotUp, false)
 				}
 				return
 			}
-			f.isUp(address)
+			f.recordDialSuccess(address)
 			l := p.add(nc, w, address)
 			if address != w.address { // the worker has moved since
 				l.Close(link.Moved)
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -15,13 +15,13 @@
 	"cobaltflow/internal/standin"
 )
 
-func reload(n *standin.Node, discovery string) {
+func reloadDiscovery(n *standin.Node, discovery string) {
 	next := *n.Conf
 	next.Discovery = discovery
 	n.On(func() { n.Front.Reload(&next) })
 }
 
-func knows(n *standin.Node, workers int) func() bool {
+func hasWorkers(n *standin.Node, workers int) func() bool {
 	return func() (yes bool) {
 		n.On(func() { yes = n.Core.WorkerCount() == workers })
 		return yes
@@ -31,7 +31,7 @@
 // The watch moves at once and starts from the new address's whole list, whose version is below the old
 // one's; what is open lives on, and a worker that is missing there is gone.
 func TestReloadMovesTheWatch(t *testing.T) {
-	a, b := standin.NewWorker(t, "s-1", silent), standin.NewWorker(t, "s-2", silent)
+	a, b := standin.NewWorker(t, "s-1", acceptOnly), standin.NewWorker(t, "s-2", acceptOnly)
 	n := standin.Start(t, nil, a, b)
 	for range 5 {
 		n.Farm.Say(string(n.Farm.Tell(false, a.Entry("up"))))
@@ -42,11 +42,11 @@
 
 	next := standin.NewDiscovery(t)
 	next.Whole(next.Tell(true, b.Entry("up")))
-	reload(n, next.Address())
-	n.Eventually(knows(n, 1))
+	reloadDiscovery(n, next.Address())
+	n.Eventually(hasWorkers(n, 1))
 	n.Eventually(func() bool { return next.After() == "1" })
 	next.Say(string(next.Tell(false, a.Entry("up"))))
-	n.Eventually(knows(n, 2))
+	n.Eventually(hasWorkers(n, 2))
 	assert.True(t, n.Logged("party=discovery peer="+n.Farm.Address()+" reason=moved"))
 
 	owner := a
@@ -60,7 +60,7 @@
 // While the new address refuses, or takes connections and says nothing, the last good list stands. A
 // reload that comes on top of one, in the drain too, wins.
 func TestReloadsInARowAndInTheDrain(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -69,9 +69,9 @@
 	require.NoError(t, err)
 	defer mute.Close()
 
-	reload(n, closed.Addr().String())
+	reloadDiscovery(n, closed.Addr().String())
 	n.Eventually(func() bool { return n.Logged("peer=" + closed.Addr().String() + " reason=refused") })
-	reload(n, mute.Addr().String())
+	reloadDiscovery(n, mute.Addr().String())
 	held, err := mute.Accept()
 	require.NoError(t, err)
 	defer held.Close()
@@ -83,14 +83,14 @@
 	next := standin.NewDiscovery(t)
 	other := standin.NewWorker(t, "s-2", nil)
 	next.Whole(next.Tell(true, w.Entry("up"), other.Entry("up")))
-	reload(n, mute.Addr().String())
-	reload(n, next.Address())
-	n.Eventually(knows(n, 2))
+	reloadDiscovery(n, mute.Addr().String())
+	reloadDiscovery(n, next.Address())
+	n.Eventually(hasWorkers(n, 2))
 	// The old address's list comes late and changes nothing.
 	late := string(n.Farm.Tell(true))
 	fmt.Fprintf(held, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(late), late)
 	n.Eventually(func() bool { return n.Logged("peer=" + mute.Addr().String() + " reason=moved") })
-	assert.True(t, knows(n, 2)())
+	assert.True(t, hasWorkers(n, 2)())
 	w.Call("id-1", "done", nil)
 	assert.Equal(t, 200, (<-got).Status)
 	<-n.Ended
@@ -106,7 +106,7 @@
 // Proof: with the dial held until the watch has moved, as here, the line is missing each time.
 func TestAConnectionToDiscoveryThatComesUpTooLateIsLogged(t *testing.T) {
 	for reason, leave := range map[string]func(n *standin.Node, next string){
-		"moved": reload,
+		"moved": reloadDiscovery,
 		"shut-down": func(n *standin.Node, _ string) {
 			n.On(func() { n.Front.StopSince(n.Loop.Now()-4*core.Second, func() {}) })
 		},
@@ -117,7 +117,7 @@
 			var letGo chan struct{}
 			n.On(func() { up, letGo = n.Front.HoldWatchDials(t) })
 			left, next := standin.NewDiscovery(t), standin.NewDiscovery(t)
-			reload(n, left.Address())
+			reloadDiscovery(n, left.Address())
 			require.Equal(t, left.Address(), <-up)
 			leave(n, next.Address())
 			if reason == "shut-down" {
@@ -139,10 +139,10 @@
 	var up chan string
 	var letGo chan struct{}
 	n.On(func() { up, letGo = n.Front.HoldWatchDials(t) })
-	reload(n, closed.Addr().String())
+	reloadDiscovery(n, closed.Addr().String())
 	require.Equal(t, closed.Addr().String(), <-up)
 	next := standin.NewDiscovery(t)
-	reload(n, next.Address())
+	reloadDiscovery(n, next.Address())
 	require.Equal(t, next.Address(), <-up)
 	letGo <- struct{}{} // the first that waits; the other dial is held on
 	n.Eventually(func() bool { return n.Logged("peer=" + closed.Addr().String()) })
@@ -186,7 +186,7 @@
 	require.NoError(t, err)
 	defer agent.Close()
 	n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Settings.GroupSize = true, 300 }, standin.NewWorker(t, "s-1", nil))
-	reload(n, agent.Addr().String())
+	reloadDiscovery(n, agent.Addr().String())
 	for range 3 {
 		require.NoError(t, agent.(*net.TCPListener).SetDeadline(time.Now().Add(standin.Patience/4)))
 		silent, err := agent.Accept()
@@ -198,5 +198,5 @@
 	defer held.Close()
 	list := string(n.Farm.Tell(true))
 	fmt.Fprintf(held, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
-	n.Eventually(knows(n, 0))
+	n.Eventually(hasWorkers(n, 0))
 }
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -14,7 +14,7 @@
 
 // onRequest runs on a goroutine of netpoll's; package link says who holds the buffer.
 func onRequest(ctx context.Context, _ netpoll.Connection) error {
-	a := ctx.Value(linkKey{}).(*clientLink)
+	a := ctx.Value(connKey{}).(*clientConn)
 	f, told := a.front, false
 	var fault *http1.Error
 	return a.Read(f.loop, func(buf []byte) (int, int, bool) {
@@ -25,26 +25,26 @@
 			f.loop.Post(func() { a.Send(f.loop, link.Outgoing{Message: []byte("HTTP/1.1 100 Continue\r\n\r\n")}) })
 		}
 		return a.request.Size, need, fault != nil
-	}, func() { f.take(a, fault) })
+	}, func() { f.handleMessage(a, fault) })
 }
 
 // take has a whole message in hand, or a fault in it.
-func (f *Front) take(a *clientLink, fault *http1.Error) {
+func (f *Front) handleMessage(a *clientConn, fault *http1.Error) {
 	a.Count++
-	a.last, a.begun = f.loop.Now(), 0
+	a.lastUsed, a.partialSince = f.loop.Now(), 0
 	if a.Ended || a.Reason != "" {
 		a.Release()
 		return
 	}
 	q := &a.request
 	if fault != nil {
-		f.turnAway(a, link.BadInput, fault.Status, fault.Text)
+		f.rejectAndClose(a, link.BadInput, fault.Status, fault.Text)
 		a.Release()
 		return
 	}
 	path := string(q.Path)
 	r, fixed := routes[path]
-	if !fixed && f.endsSoon() {
+	if !fixed && f.isTooLateForJobs() {
 		// Its job could not end before we do: the client tries again elsewhere. Refused at once, as the rule on
 		// given-up requests wants.
 		a.Reason = link.ShutDown
@@ -53,7 +53,7 @@
 		return
 	}
 	if !fixed {
-		if f.open(a, q, path) {
+		if f.admit(a, q, path) {
 			return // the transaction holds the buffer
 		}
 	} else if m := string(q.Method); m == r.method || m == "HEAD" && r.method == "GET" {
@@ -61,28 +61,28 @@
 			return // it is released with its answer
 		}
 	} else {
-		f.refuseInput(a, 405, r.method)
+		f.rejectRequest(a, 405, r.method)
 	}
 	a.Release()
 }
 
 // endsSoon tells that a job that comes now could not end before we do: all that is open was answered already, or a
 // successor at our address has the time that we have not.
-func (f *Front) endsSoon() bool {
-	since := f.loop.Now() - f.stopping
-	return f.stopping > 0 && (since >= f.ending.answerBy || f.handing && since > f.ending.takeLast)
+func (f *Front) isTooLateForJobs() bool {
+	since := f.loop.Now() - f.stoppingSince
+	return f.stoppingSince > 0 && (since >= f.shutdownTimes.answerBy || f.isHandingOver && since > f.shutdownTimes.refuseJobsAfter)
 }
 
 type route struct {
 	method string
-	handle func(f *Front, a *clientLink, q *http1.Request) (waits bool)
+	handle func(f *Front, a *clientConn, q *http1.Request) (waits bool)
 }
 
 // routes are the fixed paths; any other is a class's.
 var routes = map[string]route{
-	PathReady:   {"GET", (*Front).health},
-	PathHealthy: {"GET", (*Front).health},
-	PathEvents:  {"POST", (*Front).event},
+	PathReady:   {"GET", (*Front).handleHealth},
+	PathHealthy: {"GET", (*Front).handleHealth},
+	PathEvents:  {"POST", (*Front).handleCallback},
 }
 
 // Routes lists method and path of all that is served; the last two stand for the classes.
@@ -94,7 +94,7 @@
 	return append(out, "POST /{class}", "POST /{class}/{key}")
 }
 
-func (f *Front) health(a *clientLink, q *http1.Request) (waits bool) {
+func (f *Front) handleHealth(a *clientConn, q *http1.Request) (waits bool) {
 	if f.Ready() {
 		f.reply(a, 200, nil, q.KeepAlive)
 	} else {
@@ -105,7 +105,7 @@
 
 // refuseInput answers a message that can't be served. The connection ends with it: nothing more of use is
 // to be expected there.
-func (f *Front) refuseInput(a *clientLink, status int, text string) {
+func (f *Front) rejectRequest(a *clientConn, status int, text string) {
 	extra := []string(nil)
 	if status == 405 {
 		extra = []string{"Allow", text}
@@ -113,13 +113,13 @@
 	if text += "\n"; string(a.request.Method) == "HEAD" {
 		text = ""
 	}
-	f.turnAway(a, link.BadInput, status, text, extra...)
+	f.rejectAndClose(a, link.BadInput, status, text, extra...)
 }
 
 // turnAway tells the peer why and ends its connection, which is read over until then: the peer may still
 // be writing, and reset under that it might not read the error. The request is not looked at: it may be
 // in OnRequest's hands.
-func (f *Front) turnAway(a *clientLink, reason string, status int, text string, extra ...string) {
+func (f *Front) rejectAndClose(a *clientConn, reason string, status int, text string, extra ...string) {
 	a.Reason = reason
 	a.Discard()
 	message := http1.AppendResponse(nil, status, false, []byte(text), extra...)
@@ -127,7 +127,7 @@
 }
 
 // open turns a request into a transaction; what can't be one is answered and reaches no worker.
-func (f *Front) open(a *clientLink, q *http1.Request, path string) bool {
+func (f *Front) admit(a *clientConn, q *http1.Request, path string) bool {
 	t, fault := f.admission.Admit(&admission.Request{Method: string(q.Method), Target: string(q.Target), Path: path, Body: q.Body,
 		Header: func(name string) ([]byte, int) { return q.Get(name), q.Count(name) }, Fields: func(b []byte) []byte {
 			connection := q.Get("Connection")
@@ -137,17 +137,17 @@
 			return b
 		}}, a)
 	if fault != nil {
-		f.refuseInput(a, fault.Status, fault.Text)
+		f.rejectRequest(a, fault.Status, fault.Text)
 		return false
 	}
-	a.in = t
-	a.jobs++
+	a.inFlight = t
+	a.jobCount++
 	return true
 }
 
 // Answer implements core.UserAgent. With it the connection is free for the next request: an attempt that may still be out,
 // where attempts may not be cancelled, has a copy of what it carries.
-func (a *clientLink) Answer(t *core.Request, answer core.Answer) {
+func (a *clientConn) Answer(t *core.Request, answer core.Answer) {
 	r := a.front.admission.ReplyTo(answer)
 	if r.RetryAfter != "" {
 		a.front.reply(a, r.Status, r.Body, a.request.KeepAlive, "Retry-After", r.RetryAfter)
@@ -155,32 +155,32 @@
 		a.front.reply(a, r.Status, r.Body, a.request.KeepAlive)
 	}
 	t.Job.Body = nil
-	a.free(t)
+	a.releaseRequest(t)
 }
 
 // Released implements core.UserAgent: the client has left, or was answered before.
-func (a *clientLink) Released(t *core.Request) {
+func (a *clientConn) Released(t *core.Request) {
 	a.front.admission.Released(t)
-	a.free(t)
+	a.releaseRequest(t)
 }
 
 // free gives the buffer of a request back, which its transaction held.
-func (a *clientLink) free(t *core.Request) {
-	if a.in == t {
-		a.in = nil
-		a.last = a.front.loop.Now()
+func (a *clientConn) releaseRequest(t *core.Request) {
+	if a.inFlight == t {
+		a.inFlight = nil
+		a.lastUsed = a.front.loop.Now()
 		a.Release()
 	}
 }
 
 // reply queues an answer. The message is put together anew, since it outlives the turn and with it
 // the call-back's buffer that the result is a slice of.
-func (f *Front) reply(a *clientLink, status int, body []byte, keepAlive bool, extra ...string) {
+func (f *Front) reply(a *clientConn, status int, body []byte, keepAlive bool, extra ...string) {
 	if a.Ended {
 		return
 	}
-	keepAlive = keepAlive && (f.stopping == 0 || f.loop.Now() < f.stopping+f.ending.acceptOn || a.callsBack) && a.Reason == "" &&
-		(f.drained == 0 || a.callsBack)
+	keepAlive = keepAlive && (f.stoppingSince == 0 || f.loop.Now() < f.stoppingSince+f.shutdownTimes.acceptUntil || a.isCallback) && a.Reason == "" &&
+		(f.drainingSince == 0 || a.isCallback)
 	if string(a.request.Method) == "HEAD" {
 		body = nil
 	}
@@ -195,17 +195,17 @@
 }
 
 // gone has an accepted connection end: what it waited for is hung up.
-func (f *Front) gone(a *clientLink) {
-	if a.callsBack {
+func (f *Front) onConnClosed(a *clientConn) {
+	if a.isCallback {
 		a.Party = "call-back"
 	}
 	if !a.Farewell(f.log, f.loop.Now()) {
 		return
 	}
-	f.accepted.Add(-1)
+	f.acceptedConns.Add(-1)
 	f.clients.Free(a.ref)
-	if a.in != nil {
-		f.core.ClientDisconnected(a.in)
+	if a.inFlight != nil {
+		f.core.ClientDisconnected(a.inFlight)
 	}
 	a.Release()
 }
--- a/internal/platform/rules_test.go
+++ b/internal/platform/rules_test.go
@@ -18,12 +18,12 @@
 
 // One test with real sockets for each rule.
 
-func breakOff(_ *standin.Worker, _ string, rw http.ResponseWriter, _ *http.Request) {
+func closeConn(_ *standin.Worker, _ string, rw http.ResponseWriter, _ *http.Request) {
 	c, _, _ := rw.(http.Hijacker).Hijack()
 	c.Close()
 }
 
-func silent(_ *standin.Worker, _ string, rw http.ResponseWriter, _ *http.Request) {
+func acceptOnly(_ *standin.Worker, _ string, rw http.ResponseWriter, _ *http.Request) {
 	rw.WriteHeader(202)
 }
 
@@ -72,8 +72,8 @@
 		again bool
 		want  int // where it is not sent again
 	}{
-		"reset, once":             {"move", breakOff, false, 500},
-		"reset, repeatable":       {"board-view", breakOff, true, 0},
+		"reset, once":             {"move", closeConn, false, 500},
+		"reset, repeatable":       {"board-view", closeConn, true, 0},
 		"lost, once":              {"settle", state("lost"), false, 500},
 		"lost, repeatable":        {"board-view", state("lost"), true, 0},
 		"failed, once":            {"move", state("failed"), false, 500},
@@ -121,7 +121,7 @@
 }
 
 func TestAnswersByTheDeadlineAndGivesTheJobUp(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	require.Equal(t, 500, n.Ask("move", "k", "id-slow", 300, "").Status, "it may have run: no refusal")
 	n.Eventually(func() bool { return w.Deleted("id-slow") })
@@ -137,10 +137,10 @@
 }
 
 func TestClientThatLeavesHasItsJobGivenUp(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	c := standin.Dial(t, n.Front.Address())
-	c.Say("POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-left\r\nX-Time-Left-Ms: " + leftBehind + "\r\n\r\n")
+	c.Say("POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-left\r\nX-Time-Left-Ms: " + longTimeLeft + "\r\n\r\n")
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
 	c.Close()
 	n.Eventually(func() bool { return w.Deleted("id-left") || n.Logged("reason=given-up") })
@@ -179,7 +179,7 @@
 }
 
 func TestStaleAndForeignCallBacksChangeNothing(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	url := n.URL(platform.PathEvents)
 	// An id never seen here may be that of another process at this address, as at an upgrade: the worker is
@@ -231,7 +231,7 @@
 }
 
 func TestAnIdInUseIsNotTakenTwice(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	got := make(chan standin.Answer)
 	go func() { got <- n.Ask("move", "k", "id-1", 9000, "") }()
@@ -244,7 +244,7 @@
 
 // After SIGTERM what was taken is answered, workers can still call back, and idle clients are closed.
 func TestStopAnswersAllThatWasTaken(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	idle := standin.Dial(t, n.Front.Address())
 	idle.Say("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -275,24 +275,24 @@
 
 // Where all connections are busy the new one is closed, and none of the busy ones.
 func TestBusyConnectionsAreKeptOverTheBudget(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, func(c *config.Config) { c.Limits.Sockets = 64 }, w)
 	busy := 24
 	for i := range busy {
 		standin.Dial(t, n.Front.Address()).Say(fmt.Sprintf("POST /board-view/k%d HTTP/1.1\r\nHost: x\r\n"+
 			"X-Correlation-Id: id-%d\r\nX-Time-Left-Ms: 9000\r\n\r\n", i, i))
 	}
-	n.Eventually(func() bool { return open(n) == busy })
+	n.Eventually(func() bool { return openRequests(n) == busy })
 	_, err := standin.Dial(t, n.Front.Address()).R.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
 	n.Eventually(func() bool { return n.Logged("reason=over-budget") })
-	assert.Equal(t, busy, open(n))
+	assert.Equal(t, busy, openRequests(n))
 }
 
 // A connection that is cut off with a request in hand has it hung up before its buffer is given back:
 // what is still to be sent of it would else be read from memory that is in use again.
 func TestFloodingPeerIsCutOffAndItsRequestHungUp(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	c := standin.Dial(t, n.Front.Address())
 	c.Say("POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 9000\r\n\r\n")
@@ -315,7 +315,7 @@
 // of the worker, and a job given up must not run on for it.
 func TestWithdrawalIsSentAgainWhenAKeptConnectionBreaks(t *testing.T) {
 	var cuts atomic.Int32
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	w.Cut = func(r *http.Request) bool { return r.Method == "DELETE" && cuts.Add(1) == 1 }
 	n := standin.Start(t, nil, w)
 	require.Equal(t, 500, n.Ask("move", "k", "id-slow", 300, "").Status)
@@ -326,7 +326,7 @@
 // What is still open when the platform may soon kill us gets its answer before: a refusal where asking
 // again elsewhere is harmless, else a failure. Left to the kill, a client would learn nothing.
 func TestWhatIsOpenIsAnsweredBeforeTheKill(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	view, move, settle := make(chan standin.Answer), make(chan standin.Answer), make(chan standin.Answer)
 	go func() { view <- n.Ask("board-view", "k", "id-1", 60_000, "") }()
@@ -336,9 +336,9 @@
 	n.Farm.Say("no list") // logged after what came before has been taken
 	n.Eventually(func() bool { return n.Logged("bad line kept out") })
 	go func() { settle <- n.Ask("settle", "k", "id-3", 60_000, "") }()
-	n.Eventually(func() bool { return open(n) == 3 })
+	n.Eventually(func() bool { return openRequests(n) == 3 })
 	n.On(func() { n.Front.Stop(n.Loop.Stop) })
-	n.Eventually(func() bool { return open(n) == 0 })
+	n.Eventually(func() bool { return openRequests(n) == 0 })
 	got := <-view
 	assert.Equal(t, 503, got.Status)
 	assert.NotEmpty(t, got.RetryAfter)
@@ -353,7 +353,7 @@
 	n := standin.Start(t, nil, standin.NewWorker(t, "s-1", nil))
 	c := standin.Dial(t, n.Front.Address())
 	for i := range 3 {
-		c.Say(fmt.Sprintf(head, fmt.Sprint("id-", i)) + "\r\n")
+		c.Say(fmt.Sprintf(requestHead, fmt.Sprint("id-", i)) + "\r\n")
 		r, err := http.ReadResponse(c.R, nil)
 		require.NoError(t, err)
 		assert.Equal(t, 200, r.StatusCode)
--- a/internal/platform/silence_test.go
+++ b/internal/platform/silence_test.go
@@ -34,7 +34,7 @@
 
 func newSilentDiscoveryAt(t *testing.T, address string) *discovery {
 	d := &discovery{calls: make(chan call, 64)}
-	d.Listener = newScriptedAt(t, address, "", func(c net.Conn, r *bufio.Reader) {
+	d.Listener = newScriptedWorkerAt(t, address, "", func(c net.Conn, r *bufio.Reader) {
 		for {
 			q, err := http.ReadRequest(r)
 			if err != nil {
@@ -67,7 +67,7 @@
 	a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 	n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery = true, agent.Addr().String() }, a)
 	b.BackTo(n)
-	asked := next(t, agent.calls)
+	asked := receive(t, agent.calls)
 	require.Equal(t, "/api/targets", asked.target, "whole: a watch says nothing where nothing changed")
 	assert.False(t, ready(n), "the agent has not answered")
 	asked.whole(n.Farm.Tell(true, a.Entry("draining"), b.Entry("up")))
@@ -118,21 +118,21 @@
 					c.Pushed, c.Discovery, c.Settings.GroupSize = pushed, d.Addr().String(), 300
 				}, a)
 				b.BackTo(n)
-				first := next(t, d.calls)
+				first := receive(t, d.calls)
 				if pushed { // the watch follows on the same connection
 					first.whole(n.Farm.Tell(true, a.Entry("up")))
-					first = next(t, d.calls)
+					first = receive(t, d.calls)
 				}
 				since := time.Now()
 				last(first, n.Farm.Tell(true, a.Entry("up")))
-				second := next(t, d.calls)
+				second := receive(t, d.calls)
 				took := time.Since(since)
 				if silent == "the start" && pushed {
 					assert.Less(t, took, time.Duration(n.Conf.Settings.DrainGrace)*time.Microsecond)
 				}
 				assert.Less(t, took, 6*time.Second)
 				second.whole(n.Farm.Tell(true, a.Entry("draining"), b.Entry("up")))
-				n.Eventually(knows(n, 2))
+				n.Eventually(hasWorkers(n, 2))
 				for i := range 4 {
 					require.Equal(t, 200, n.Ask("board-view", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
 				}
@@ -148,18 +148,18 @@
 	n := standin.Start(t, nil, a)
 	b.BackTo(n)
 	require.Equal(t, 200, n.Ask("move", "k", "id-1", 5000, "").Status)
-	told(n, a.Entry("removed"))
-	got := ask(n, "move", "id-2")
-	n.Eventually(func() bool { return open(n) == 1 })
-	told(n, b.Entry("up"))
-	assert.Equal(t, 200, next(t, got).Status)
+	updateWorkerList(n, a.Entry("removed"))
+	got := submit(n, "move", "id-2")
+	n.Eventually(func() bool { return openRequests(n) == 1 })
+	updateWorkerList(n, b.Entry("up"))
+	assert.Equal(t, 200, receive(t, got).Status)
 	assert.Len(t, a.Jobs(), 1)
 	assert.Len(t, b.Jobs(), 1)
 }
 
 // A process that the platform may kill soon answers what is open before: where the longest deadline is short, so is its time.
 func TestWhatIsOpenIsAnsweredBeforeAnEarlyKill(t *testing.T) {
-	w := standin.NewWorker(t, "s-1", silent)
+	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, func(c *config.Config) {
 		for i := range c.Settings.Classes {
 			c.Settings.Classes[i].Deadline = 1_200_000
@@ -169,6 +169,6 @@
 	go func() { got <- n.Ask("move", "k", "id-1", 60_000, "") }()
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
 	n.On(func() { n.Front.StopSince(n.Loop.Now()-1_800_000, func() {}) }) // killed 1.9 s after SIGTERM at the earliest
-	assert.Zero(t, open(n), "given up in the same turn")
-	assert.Equal(t, 500, next(t, got).Status, "it may have run")
+	assert.Zero(t, openRequests(n), "given up in the same turn")
+	assert.Equal(t, 500, receive(t, got).Status, "it may have run")
 }
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -152,7 +152,7 @@
 		nc, err := dial(address, time.Duration(within)*time.Microsecond)
 		loop.Post(func() {
 			if err != nil {
-				w.f.notUp("discovery", address, 0)
+				w.f.recordDialFailure("discovery", address, 0)
 				if epoch == w.epoch { // else it says nothing of the address that is followed now
 					w.again(epoch)
 				}
@@ -162,7 +162,7 @@
 				w.closeLate(nc, address)
 				return
 			}
-			w.f.isUp(address)
+			w.f.recordDialSuccess(address)
 			l := &link.Link{}
 			l.Init(nc, "discovery", address, loop.Now())
 			s := newStream(w, l)
@@ -323,14 +323,14 @@
 		return false
 	}
 	w.version, w.whole = update.Version, false
-	w.f.starts.Settle(update, w.f.loop.Now(), !w.f.informedOnce)
-	w.f.informedOnce = true
+	w.f.workerStarts.Settle(update, w.f.loop.Now(), !w.f.hasReceivedList)
+	w.f.hasReceivedList = true
 	w.f.pool.addresses(update)
 	form := rules.ListDelta
 	if update.Whole {
 		form = rules.ListFull
 	}
 	w.f.core.UpdateWorkerList(w.f, form, update.Workers)
-	w.f.informed()
+	w.f.markReady()
 	return true
 }
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -69,7 +69,7 @@
 	}
 	// A call that fails began, or was last heard, so long before it is found to have: at once, as its dial is given up, as
 	// its answer does not begin, as a watch is silent, as the end of a list does not come.
-	for _, took := range []core.Time{0, watchDial, watchFirst, watchSilence, watchPart + sweepEvery} {
+	for _, took := range []core.Time{0, watchDial, watchFirst, watchSilence, watchPart + sweepInterval} {
 		for _, schedulers := range []int{1, 5, 80, 300, 3000} {
 			for failed := range 9 {
 				for _, drawn := range []float64{0, 0.3, 0.6, 0.999999} {
@@ -90,10 +90,10 @@
 // counted as 3 s where it is longer, and 0.7 s. New connections come for 0.4 s.
 func TestTheEndFollowsTheLongestDeadline(t *testing.T) {
 	for longest, kill := range map[core.Time]core.Time{0: 3700, 300: 1000, 1200: 1900, 3000: 3700, 20_000: 3700} {
-		e := endingOf([]rules.Class{{Deadline: longest / 2 * core.Millisecond}, {Deadline: longest * core.Millisecond}})
-		assert.Less(t, 400*core.Millisecond, e.acceptOn, "longest deadline %d ms", longest)
-		assert.Less(t, e.acceptOn, e.takeLast)
-		assert.Less(t, e.takeLast, e.answerBy)
+		e := newShutdownSchedule([]rules.Class{{Deadline: longest / 2 * core.Millisecond}, {Deadline: longest * core.Millisecond}})
+		assert.Less(t, 400*core.Millisecond, e.acceptUntil, "longest deadline %d ms", longest)
+		assert.Less(t, e.acceptUntil, e.refuseJobsAfter)
+		assert.Less(t, e.refuseJobsAfter, e.answerBy)
 		assert.Equal(t, kill*core.Millisecond-killMargin, e.answerBy)
 	}
 }
