--- a/internal/faktory/front.go
+++ b/internal/faktory/front.go
@@ -140,7 +140,7 @@
 func (f *Front) Close() {
 	f.closed = true
 	f.listener.Close()
-	f.sessions.Each(func(_ core.Ref, s *session) { s.Close(link.ShutDown) })
+	f.sessions.Each(func(_ core.Ref, s *session) { s.Close(link.Shutdown) })
 }
 
 func (f *Front) accept(nc netpoll.Connection) context.Context {
@@ -185,7 +185,7 @@
 
 // gone has a session end. The worker whose last one it was has gone with it.
 func (f *Front) gone(s *session) {
-	if !s.Farewell(f.log, f.loop.Now()) {
+	if !s.MarkEnded(f.log, f.loop.Now()) {
 		return
 	}
 	s.letGo()
@@ -249,9 +249,9 @@
 		f.reassign(w, now)
 	}
 	f.sessions.Each(func(_ core.Ref, s *session) {
-		if s.NC.Reader().Len() > f.longest+link.AheadMost {
+		if s.Conn.Reader().Len() > f.longest+link.MaxReadAheadBytes {
 			s.Close(link.Flooding)
-		} else if s.Queued() > unreadMost {
+		} else if s.QueuedBytes() > unreadMost {
 			s.Close(link.NotReading)
 		}
 	})
--- a/internal/faktory/intake.go
+++ b/internal/faktory/intake.go
@@ -63,7 +63,7 @@
 // behind it waits, and netpoll's own reading is bounded by the sweep.
 func (s *session) read() error {
 	f, in := s.front, &s.in
-	r := s.NC.Reader()
+	r := s.Conn.Reader()
 	n := r.Len()
 	if in.stopped {
 		r.Skip(n)
@@ -124,7 +124,7 @@
 		if need > 0 {
 			break
 		}
-		q := request{verb: verbOf(c.Verb), arg: c.Arg, size: c.Size, cost: max(c.Size, link.LeastCost)}
+		q := request{verb: verbOf(c.Verb), arg: c.Arg, size: c.Size, cost: max(c.Size, link.MinMessageCost)}
 		if dear[q.verb] {
 			q.cost = max(c.Size, dearCost)
 		}
@@ -199,7 +199,7 @@
 	if !s.in.closed {
 		s.in.closed = true
 		s.front.input.Add(-s.in.held)
-		s.in.backlog.End()
+		s.in.backlog.Close()
 	}
 }
 
--- a/internal/faktory/session.go
+++ b/internal/faktory/session.go
@@ -39,7 +39,7 @@
 
 // reply adds a reply; all of a turn leave in one piece.
 func (s *session) reply(message []byte) {
-	if s.Ended || s.Reason != "" {
+	if s.Ended || s.CloseReason != "" {
 		return
 	}
 	s.out = append(s.out, message...)
@@ -51,21 +51,21 @@
 
 func (s *session) flush() {
 	s.marked = false
-	if s.Queued() > unreadMost {
+	if s.QueuedBytes() > unreadMost {
 		s.Close(link.NotReading)
 		return
 	}
 	if out := s.out; len(out) > 0 {
 		s.out = nil
-		s.Send(s.front.loop, link.Outgoing{Message: out, Last: s.Reason != "" && !s.Closed})
+		s.Send(s.front.loop, link.Outgoing{Message: out, CloseAfter: s.CloseReason != "" && !s.ClosedLocally})
 	}
 }
 
 // end replies and closes.
 func (s *session) end(message []byte, reason string) {
 	s.reply(message)
-	if s.Reason == "" {
-		s.Reason = reason
+	if s.CloseReason == "" {
+		s.CloseReason = reason
 	}
 }
 
@@ -105,8 +105,8 @@
 		if s.blocked {
 			return batch[i:]
 		}
-		if !s.Ended && s.Reason == "" {
-			s.Count++
+		if !s.Ended && s.CloseReason == "" {
+			s.MessageCount++
 			f.commands++
 			if w := s.worker; w != nil {
 				w.beat = f.loop.Now()
@@ -206,7 +206,7 @@
 		f.log.Warn("faktory: a worker came anew", "wid", wid)
 		f.sessions.Each(func(_ core.Ref, other *session) {
 			if other.worker == w {
-				other.Close(link.Moved)
+				other.Close(link.AddressChanged)
 			}
 		})
 		f.removeWorker(w)
--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -104,7 +104,7 @@
 // Close ends the listener and every call.
 func (f *Front) Close() {
 	f.listener.Close()
-	f.calls.Each(func(_ core.Ref, k *call) { k.Close(link.ShutDown) })
+	f.calls.Each(func(_ core.Ref, k *call) { k.Close(link.Shutdown) })
 }
 
 // prepare runs on the poller, before anything of the connection can be read.
@@ -124,7 +124,7 @@
 		k.ref = f.calls.Add(k)
 		k.limit = f.loop.At(k.Opened+CallTime, func() {
 			switch {
-			case k.answered || k.Closed:
+			case k.answered || k.ClosedLocally:
 			case k.taken:
 				f.answer(k, link.NoAnswer, 503, "in force here, but not confirmed in time; ask again\n")
 			default:
@@ -142,7 +142,7 @@
 func (f *Front) shed(newest *call) {
 	victim := newest
 	f.calls.Each(func(_ core.Ref, k *call) {
-		if !k.Closed && !k.answered && k.Count == 0 && (victim == newest || k.Opened < victim.Opened) {
+		if !k.ClosedLocally && !k.answered && k.MessageCount == 0 && (victim == newest || k.Opened < victim.Opened) {
 			victim = k
 		}
 	})
@@ -162,9 +162,9 @@
 
 // take has a whole call in hand, or a fault in it. The answer is put together at once, on the loop.
 func (f *Front) take(k *call, fault *http1.Error) {
-	defer k.Release()
-	k.Count++
-	if k.Ended || k.Closed || k.answered || k.taken {
+	defer k.ReleaseBuffer()
+	k.MessageCount++
+	if k.Ended || k.ClosedLocally || k.answered || k.taken {
 		return
 	}
 	k.taken = true
@@ -195,18 +195,18 @@
 func (f *Front) answer(k *call, reason string, status int, body string, extra ...string) {
 	k.answered = true
 	f.loop.CancelTimer(k.limit)
-	k.Reason = reason
+	k.CloseReason = reason
 	message := http1.AppendResponse(nil, status, false, []byte(body), append(extra, "Content-Type", "text/plain")...)
-	k.Send(f.loop, link.Outgoing{Message: message, Last: true})
+	k.Send(f.loop, link.Outgoing{Message: message, CloseAfter: true})
 }
 
 func (f *Front) gone(k *call) {
-	if !k.Farewell(f.log, f.loop.Now()) {
+	if !k.MarkEnded(f.log, f.loop.Now()) {
 		return
 	}
 	f.loop.CancelTimer(k.limit)
 	f.calls.Free(k.ref)
-	k.Release()
+	k.ReleaseBuffer()
 }
 
 // Paths of the calls.
--- a/internal/front/admin/directives.go
+++ b/internal/front/admin/directives.go
@@ -60,7 +60,7 @@
 		age := f.loop.Now() - k.Opened
 		f.log.Info("admin: told", "key", string(o.key), "on", o.on, "out_of_rotation", f.core.WorkersOutOfRotation(), "after_ms",
 			age/core.Millisecond, "error", err)
-		if k.Ended || k.Closed || k.answered {
+		if k.Ended || k.ClosedLocally || k.answered {
 			return
 		}
 		switch {
--- a/internal/front/http2/conn.go
+++ b/internal/front/http2/conn.go
@@ -9,7 +9,7 @@
 
 // write adds frames; all of a turn leave in one piece.
 func (c *conn) write(b []byte) {
-	if c.Ended || c.Closed {
+	if c.Ended || c.ClosedLocally {
 		return
 	}
 	c.out = append(c.out, b...)
@@ -23,18 +23,18 @@
 	c.marked = false
 	if out := c.out; len(out) > 0 {
 		c.out = nil
-		c.Send(c.front.loop, link.Outgoing{Message: out, Last: c.Reason != ""})
+		c.Send(c.front.loop, link.Outgoing{Message: out, CloseAfter: c.CloseReason != ""})
 	}
 }
 
 // goAway ends the connection with a GOAWAY and, in the log, a reason. Streams that were taken end as if reset.
 func (c *conn) goAway(code Code, reason, text string) {
-	if c.Reason != "" {
+	if c.CloseReason != "" {
 		return
 	}
 	c.write(appendGoAway(nil, c.highest, code, text))
-	c.Reason = reason
-	c.Discard()
+	c.CloseReason = reason
+	c.DiscardInput()
 	for _, s := range c.streams {
 		s.abandon()
 	}
@@ -52,7 +52,7 @@
 
 // warn tells that the front ends: with the highest possible stream first, then with the last one taken.
 func (c *conn) warn(last uint32) {
-	if c.Reason == "" {
+	if c.CloseReason == "" {
 		c.warned = true
 		c.write(appendGoAway(nil, last, NoError, ""))
 	}
--- a/internal/front/http2/front.go
+++ b/internal/front/http2/front.go
@@ -120,13 +120,13 @@
 
 // gone has a connection end. What it waited for goes on or is withdrawn, as for a stream that was reset.
 func (f *Front) gone(c *conn) {
-	if !c.Farewell(f.log, f.loop.Now()) {
+	if !c.MarkEnded(f.log, f.loop.Now()) {
 		return
 	}
-	if c.Reason != "" {
-		f.Figures.Ended[c.Reason]++
+	if c.CloseReason != "" {
+		f.Figures.Ended[c.CloseReason]++
 	}
-	c.backlog.End()
+	c.backlog.Close()
 	f.conns.Free(c.ref)
 	for _, s := range c.streams {
 		s.abandon()
@@ -148,17 +148,17 @@
 	f.ledger.Expire(now)
 	f.conns.Each(func(_ core.Ref, c *conn) {
 		switch {
-		case c.Reason != "" || c.Closed:
-		case c.NC.Reader().Len() > link.BacklogMost+mostUnread:
+		case c.CloseReason != "" || c.ClosedLocally:
+		case c.Conn.Reader().Len() > link.MaxBacklogBytes+mostUnread:
 			c.goAway(EnhanceYourCalm, link.Flooding, "more came than a client may send ahead")
-		case c.Queued() > unreadMost:
+		case c.QueuedBytes() > unreadMost:
 			c.Close(link.NotReading)
 		case (!c.settled || !c.acked) && now-c.Opened > f.limits.Settings:
 			c.goAway(SettingsTimeout, ReasonSettings, "no SETTINGS, or no acknowledgement of ours, came in time")
 		case c.unsent > 0 && now-c.moved > f.limits.Stall:
 			c.stalled()
 		case len(c.streams) == 0 && now-c.used > f.limits.Idle:
-			c.goAway(NoError, link.IdleOut, "")
+			c.goAway(NoError, link.IdleTimeout, "")
 		}
 	})
 	if !f.closed {
@@ -192,7 +192,7 @@
 		return false
 	}
 	done := true
-	f.conns.Each(func(_ core.Ref, c *conn) { done = done && len(c.streams) == 0 && c.unsent == 0 && c.IdleWriter() })
+	f.conns.Each(func(_ core.Ref, c *conn) { done = done && len(c.streams) == 0 && c.unsent == 0 && c.IsWriterIdle() })
 	return done
 }
 
@@ -200,7 +200,7 @@
 func (f *Front) Close() {
 	f.closed = true
 	f.listener.Close()
-	f.conns.Each(func(_ core.Ref, c *conn) { c.Close(link.ShutDown) })
+	f.conns.Each(func(_ core.Ref, c *conn) { c.Close(link.Shutdown) })
 }
 
 // conn is a client's connection. Its reader and what is said to be so are netpoll's goroutine's.
--- a/internal/front/http2/intake.go
+++ b/internal/front/http2/intake.go
@@ -17,7 +17,7 @@
 }
 
 func (c *conn) read() error {
-	r := c.NC.Reader()
+	r := c.Conn.Reader()
 	if c.stopped {
 		r.Skip(r.Len())
 		return r.Release()
@@ -32,7 +32,7 @@
 			c.front.loop.Post(func() { c.Close(reason) })
 			c.stopped = true
 			r.Skip(r.Len())
-			c.NC.Close()
+			c.Conn.Close()
 			return nil
 		}
 		batch, used, more := c.cut(buf)
@@ -41,7 +41,7 @@
 			return err
 		}
 		if len(batch) > 0 {
-			cost := max(used, link.LeastCost*len(batch))
+			cost := max(used, link.MinMessageCost*len(batch))
 			c.backlog.Add(cost)
 			c.front.loop.Post(func() { c.front.handle(c, batch, cost) })
 			if !c.backlog.Wait() {
@@ -79,10 +79,10 @@
 func (f *Front) handle(c *conn, batch []*frame, cost int) {
 	c.used = f.loop.Now()
 	for _, fr := range batch {
-		if c.Ended || c.Reason != "" {
+		if c.Ended || c.CloseReason != "" {
 			break
 		}
-		c.Count++
+		c.MessageCount++
 		if fr.bad != nil {
 			c.fail(fr.bad)
 			break
--- a/internal/front/http2/stream.go
+++ b/internal/front/http2/stream.go
@@ -181,7 +181,7 @@
 // respond writes an answer: HEADERS now, DATA as far as the windows let it.
 func (s *stream) respond(status int, body []byte, extra ...string) {
 	c := s.conn
-	if s.gone || s.answered || c.Reason != "" {
+	if s.gone || s.answered || c.CloseReason != "" {
 		return
 	}
 	s.answered = true
--- a/internal/link/accept.go
+++ b/internal/link/accept.go
@@ -13,7 +13,7 @@
 // acceptPause is how long a poller waits after an accept that failed for want of descriptors or memory. The connection
 // stays in the kernel's queue and would be tried again at once, at full speed; its other connections wait no longer than
 // this.
-const acceptPause = time.Millisecond
+const exhaustedAcceptPause = time.Millisecond
 
 // acceptFailures counts the accepts of all listeners that failed.
 var acceptFailures atomic.Uint64
@@ -24,28 +24,28 @@
 // tolerant is a listener whose accepts may fail for a while. netpoll stops listening for up to a second where descriptors
 // are short, and asks again at full speed after other failures; here each failure but the listener's own end is that of
 // one connection, or passes.
-type tolerant struct {
+type tolerantListener struct {
 	netpoll.Listener
 	accept func() (net.Conn, error)
 }
 
-func newTolerant(l netpoll.Listener) tolerant { return tolerant{l, l.Accept} }
+func newTolerantListener(l netpoll.Listener) tolerantListener { return tolerantListener{l, l.Accept} }
 
 // Accept gives the next connection; neither one nor an error says that there is none now.
-func (l tolerant) Accept() (net.Conn, error) {
+func (l tolerantListener) Accept() (net.Conn, error) {
 	c, err := l.accept()
-	if err == nil || ended(err) {
+	if err == nil || isListenerClosed(err) {
 		return c, err
 	}
 	acceptFailures.Add(1)
-	if exhausted(err) {
-		time.Sleep(acceptPause)
+	if isResourceExhausted(err) {
+		time.Sleep(exhaustedAcceptPause)
 	}
 	return nil, nil
 }
 
 // ended tells of the errors of a listener that is closed, or was none.
-func ended(err error) bool {
+func isListenerClosed(err error) bool {
 	for _, end := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP} {
 		if errors.Is(err, end) {
 			return true
@@ -55,7 +55,7 @@
 }
 
 // exhausted tells of the errors that stay until somebody gives something back.
-func exhausted(err error) bool {
+func isResourceExhausted(err error) bool {
 	for _, want := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, want) {
 			return true
--- a/internal/link/accept_test.go
+++ b/internal/link/accept_test.go
@@ -22,7 +22,7 @@
 		t.Run(fault.Error(), func(t *testing.T) {
 			ln, err := Listen("127.0.0.1:0")
 			require.NoError(t, err)
-			faulty := ln.(tolerant)
+			faulty := ln.(tolerantListener)
 			var mu sync.Mutex
 			left, before := failures, AcceptFailures()
 			faulty.accept = func() (net.Conn, error) {
@@ -32,7 +32,7 @@
 					left--
 					return nil, fault
 				}
-				return ln.(tolerant).Listener.Accept()
+				return ln.(tolerantListener).Listener.Accept()
 			}
 			server, err := netpoll.NewEventLoop(func(_ context.Context, c netpoll.Connection) error {
 				_, err := c.Writer().WriteString("here")
@@ -70,7 +70,7 @@
 // The end of a listener is no failure that passes.
 func TestTheEndOfAListenerIsTold(t *testing.T) {
 	for _, end := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL} {
-		l := tolerant{accept: func() (net.Conn, error) { return nil, end }}
+		l := tolerantListener{accept: func() (net.Conn, error) { return nil, end }}
 		_, err := l.Accept()
 		assert.ErrorIs(t, err, end)
 	}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -26,81 +26,81 @@
 
 // Reasons for which a connection ends, as they stand in its log line.
 const (
-	PeerClosed = "peer-closed" // the other side ended it
-	Answered   = "answered"    // ended after an answer that said so
-	BadInput   = "bad-input"   // what came could not be taken
-	SlowInput  = "slow-input"  // a message did not come to its end in time
-	NotReading = "not-reading" // the peer did not take what was written
-	Flooding   = "flooding"    // more came than a peer may send ahead
-	IdleOut    = "idle"        // stood idle
-	GivenUp    = "given-up"    // an attempt was withdrawn before it was accepted
-	NoAnswer   = "no-answer"   // a call went unanswered for its time
-	OverBudget = "over-budget" // more connections than the budget of its party
-	NotUp      = "refused"     // never came up
-	Moved      = "moved"       // the peer has another address now
-	ShutDown   = "shut-down"   // the program ends
+	PeerClosed       = "peer-closed" // the other side ended it
+	Answered         = "answered"    // ended after an answer that said so
+	BadInput         = "bad-input"   // what came could not be taken
+	SlowInput        = "slow-input"  // a message did not come to its end in time
+	NotReading       = "not-reading" // the peer did not take what was written
+	Flooding         = "flooding"    // more came than a peer may send ahead
+	IdleTimeout      = "idle"        // stood idle
+	AttemptCancelled = "given-up"    // an attempt was withdrawn before it was accepted
+	NoAnswer         = "no-answer"   // a call went unanswered for its time
+	OverBudget       = "over-budget" // more connections than the budget of its party
+	ConnectFailed    = "refused"     // never came up
+	AddressChanged   = "moved"       // the peer has another address now
+	Shutdown         = "shut-down"   // the program ends
 )
 
 // Limits of a connection.
 const (
-	readTime  = 10 * time.Second // for a message to come to its end, once begun
-	writeTime = 2 * time.Second  // for a peer to take what is written
-	AheadMost = 64 << 10         // bytes that may wait unread behind a message
+	readTimeout       = 10 * time.Second // for a message to come to its end, once begun
+	writeTimeout      = 2 * time.Second  // for a peer to take what is written
+	MaxReadAheadBytes = 64 << 10         // bytes that may wait unread behind a message
 
-	lingerTime = 300 * core.Millisecond // for a peer to read the end, and end its side
-	lingerMost = 128 << 10              // bytes of it that are read over meanwhile
+	lingerTimeout  = 300 * core.Millisecond // for a peer to read the end, and end its side
+	maxLingerBytes = 128 << 10              // bytes of it that are read over meanwhile
 )
 
 // Link is one connection, accepted or dialed, with its writer. Fields are the loop's but for the
 // outbox.
 type Link struct {
-	NC     netpoll.Connection
-	Party  string
-	Peer   string
-	Opened core.Time
-	Count  int // messages taken
-	Ended  bool
-	Closed bool   // by us; the end is still to come
-	Reason string // why we ended it; empty: the peer did
-	Cut    func() // called by Close before the buffer is given back: what is made of it must not be used on
+	Conn          netpoll.Connection
+	Party         string
+	Peer          string
+	Opened        core.Time
+	MessageCount  int // messages taken
+	Ended         bool
+	ClosedLocally bool   // by us; the end is still to come
+	CloseReason   string // why we ended it; empty: the peer did
+	OnClose       func() // called by Close before the buffer is given back: what is made of it must not be used on
 
-	held    chan struct{} // OnRequest waits here while the loop holds its buffer
-	inHand  atomic.Bool   // a message has come whole, and its buffer was not given back yet
-	discard atomic.Bool   // what comes from now on is read over
-	over    int           // bytes that were; OnRequest's
-	shut    bool          // our side has ended; the peer's may go on for a moment
+	released          chan struct{} // OnRequest waits here while the loop holds its buffer
+	hasPendingMessage atomic.Bool   // a message has come whole, and its buffer was not given back yet
+	discardsInput     atomic.Bool   // what comes from now on is read over
+	discardedBytes    int           // bytes that were; OnRequest's
+	isWriteClosed     bool          // our side has ended; the peer's may go on for a moment
 
-	mu      sync.Mutex
-	outbox  []Outgoing
-	writing bool
-	fdGone  bool         // the descriptor is being given back: its number may soon be another's
-	queued  atomic.Int64 // bytes that the peer has not taken yet
+	mu          sync.Mutex
+	outbox      []Outgoing
+	isWriting   bool
+	isFDClosed  bool         // the descriptor is being given back: its number may soon be another's
+	queuedBytes atomic.Int64 // bytes that the peer has not taken yet
 }
 
 // Outgoing is a message to be written.
 type Outgoing struct {
-	Message []byte      // not touched again by the sender: it may be written after the turn
-	Done    func(error) // posted to the loop when all is written, or could not be
-	Last    bool        // our side of the connection ends with it, see Shut
+	Message    []byte      // not touched again by the sender: it may be written after the turn
+	Done       func(error) // posted to the loop when all is written, or could not be
+	CloseAfter bool        // our side of the connection ends with it, see Shut
 }
 
 // Init readies a link for a connection; it is called before anything is read.
 func (l *Link) Init(nc netpoll.Connection, party, peer string, now core.Time) {
-	l.NC, l.Party, l.Peer, l.Opened, l.held = nc, party, peer, now, make(chan struct{}, 1)
-	nc.SetReadTimeout(readTime)
-	nc.SetWriteTimeout(writeTime)
+	l.Conn, l.Party, l.Peer, l.Opened, l.released = nc, party, peer, now, make(chan struct{}, 1)
+	nc.SetReadTimeout(readTimeout)
+	nc.SetWriteTimeout(writeTimeout)
 	nc.AddCloseCallback(func(netpoll.Connection) error { // called before netpoll's own, which gives the descriptor back
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.fdGone = true
+		l.isFDClosed = true
 		return nil
 	})
 }
 
 // Release gives the buffer back to OnRequest.
-func (l *Link) Release() {
+func (l *Link) ReleaseBuffer() {
 	select {
-	case l.held <- struct{}{}:
+	case l.released <- struct{}{}:
 	default:
 	}
 }
@@ -111,9 +111,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.outbox = append(l.outbox, o)
-	l.queued.Add(int64(len(o.Message)))
-	if !l.writing {
-		l.writing = true
+	l.queuedBytes.Add(int64(len(o.Message)))
+	if !l.isWriting {
+		l.isWriting = true
 		// From a pool, as netpoll's own: a new goroutine's stack would have to grow for each message.
 		gopool.Go(func() { l.write(loop) })
 	}
@@ -123,7 +123,7 @@
 	for {
 		l.mu.Lock()
 		if len(l.outbox) == 0 {
-			l.writing = false
+			l.isWriting = false
 			l.mu.Unlock()
 			return
 		}
@@ -132,58 +132,58 @@
 		l.mu.Unlock()
 		// Write, not Writer: a connection that ends gives its buffers back at once, and only Write takes
 		// netpoll's lock against that. Through Writer a message for a peer that had just gone crashed us.
-		err := errGone
-		if l.NC.IsActive() {
-			_, err = l.NC.Write(o.Message)
+		err := errConnEnded
+		if l.Conn.IsActive() {
+			_, err = l.Conn.Write(o.Message)
 		}
-		l.queued.Add(-int64(len(o.Message)))
+		l.queuedBytes.Add(-int64(len(o.Message)))
 		if o.Done != nil {
 			loop.Post(func() { o.Done(err) })
 		}
 		if err != nil {
 			loop.Post(func() { l.Close(NotReading) })
-		} else if o.Last {
-			loop.Post(func() { l.Shut(loop, Answered) })
+		} else if o.CloseAfter {
+			loop.Post(func() { l.CloseWrite(loop, Answered) })
 		}
 	}
 }
 
-var errGone = errors.New("the connection had ended")
+var errConnEnded = errors.New("the connection had ended")
 
 // Unwritten tells of a write that failed in the call itself, so that the last byte surely never left.
 // A write that was still waiting when the connection went may have been completed by the poller.
-func Unwritten(err error) bool {
-	return errors.Is(err, errGone) || errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ENOTCONN)
+func NeverSent(err error) bool {
+	return errors.Is(err, errConnEnded) || errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ENOTCONN)
 }
 
 // Discard has all that comes from now on read over, unparsed, up to a bound: the peer is to read why, not
 // to be read.
-func (l *Link) Discard() { l.discard.Store(true) }
+func (l *Link) DiscardInput() { l.discardsInput.Store(true) }
 
 // InHand tells that a message has come whole and waits for the loop, or is held by it.
-func (l *Link) InHand() bool { return l.inHand.Load() }
+func (l *Link) HasPendingMessage() bool { return l.hasPendingMessage.Load() }
 
 // Shut ends our side of the connection, behind all that was written, which must be with the system by now. What the
 // peer sends from then on is read over and never taken: the peer reads the end, and sends elsewhere what has crossed
 // it. So nothing lies unread at the close: a close over unread bytes resets the connection, and an answer that the peer
 // has not read yet may go with it. The connection is closed when the peer ends its side too, or lingerTime later. The
 // first reason stands.
-func (l *Link) Shut(loop *core.Loop, reason string) {
-	if l.shut || l.Closed || l.Ended {
+func (l *Link) CloseWrite(loop *core.Loop, reason string) {
+	if l.isWriteClosed || l.ClosedLocally || l.Ended {
 		return
 	}
-	l.shut = true
+	l.isWriteClosed = true
 	l.mu.Lock()
-	if conn, ok := l.NC.(netpoll.Conn); ok && !l.fdGone {
+	if conn, ok := l.Conn.(netpoll.Conn); ok && !l.isFDClosed {
 		// An error tells that the peer has gone already, of which we hear by itself.
 		_ = syscall.Shutdown(conn.Fd(), syscall.SHUT_WR)
 	}
 	l.mu.Unlock()
-	l.Discard()
-	if l.Reason == "" {
-		l.Reason = reason
+	l.DiscardInput()
+	if l.CloseReason == "" {
+		l.CloseReason = reason
 	}
-	loop.At(loop.Now()+lingerTime, func() {
+	loop.At(loop.Now()+lingerTimeout, func() {
 		if !l.Ended {
 			l.Close(reason)
 		}
@@ -191,26 +191,26 @@
 }
 
 // IsShut tells that our side has ended.
-func (l *Link) IsShut() bool { return l.shut }
+func (l *Link) IsWriteClosed() bool { return l.isWriteClosed }
 
 // Close ends the connection from our side; the first reason stands.
 func (l *Link) Close(reason string) {
-	if l.Reason == "" {
-		l.Reason = reason
+	if l.CloseReason == "" {
+		l.CloseReason = reason
 	}
-	l.Closed = true
-	if l.Cut != nil {
-		l.Cut()
+	l.ClosedLocally = true
+	if l.OnClose != nil {
+		l.OnClose()
 	}
-	l.Release()
-	l.NC.Close()
+	l.ReleaseBuffer()
+	l.Conn.Close()
 }
 
 // Abort ends the connection from our side with a reset: what the peer has not acknowledged is dropped. After Close the
 // system goes on sending it, for minutes where the network is cut, and the peer may act on it when nobody waits any more.
 func (l *Link) Abort(reason string) {
 	l.mu.Lock()
-	if conn, ok := l.NC.(netpoll.Conn); ok && !l.fdGone {
+	if conn, ok := l.Conn.(netpoll.Conn); ok && !l.isFDClosed {
 		// An error tells that the peer has gone already.
 		_ = unix.SetsockoptLinger(conn.Fd(), unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
@@ -219,16 +219,16 @@
 }
 
 // Farewell writes the log line of an ended connection, once.
-func (l *Link) Farewell(log *slog.Logger, now core.Time) (first bool) {
+func (l *Link) MarkEnded(log *slog.Logger, now core.Time) (first bool) {
 	if l.Ended {
 		return false
 	}
 	l.Ended = true
-	reason := l.Reason
+	reason := l.CloseReason
 	if reason == "" {
 		reason = PeerClosed
 	}
-	LogEnd(log, l.Party, l.Peer, reason, l.Count, now-l.Opened)
+	LogEnd(log, l.Party, l.Peer, reason, l.MessageCount, now-l.Opened)
 	return true
 }
 
@@ -239,25 +239,25 @@
 }
 
 // Queued is the number of bytes that wait for the peer to take them.
-func (l *Link) Queued() int64 { return l.queued.Load() }
+func (l *Link) QueuedBytes() int64 { return l.queuedBytes.Load() }
 
 // IdleWriter tells that nothing waits to be written.
-func (l *Link) IdleWriter() bool {
+func (l *Link) IsWriterIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.writing
+	return !l.isWriting
 }
 
 // Read is the body of an OnRequest. parse is given all that has come of a message and says how much of
 // it the message took, or how much is needed at the least; take is posted to the loop with the parser's
 // fault, if any, and has to see to it that Release is called. Small waits between parts are netpoll's.
 func (l *Link) Read(loop *core.Loop, parse func(buf []byte) (size, need int, fault bool), take func()) error {
-	r := l.NC.Reader()
-	if l.discard.Load() {
+	r := l.Conn.Reader()
+	if l.discardsInput.Load() {
 		n := r.Len()
-		if l.over += n; l.over > lingerMost {
+		if l.discardedBytes += n; l.discardedBytes > maxLingerBytes {
 			loop.Post(func() { l.Close(Flooding) })
-			l.NC.Close()
+			l.Conn.Close()
 		}
 		r.Skip(n)
 		return r.Release()
@@ -271,7 +271,7 @@
 			}
 			loop.Post(func() { l.Close(reason) })
 			r.Skip(r.Len())
-			l.NC.Close() // or netpoll would call again for the bytes of a message that never ended
+			l.Conn.Close() // or netpoll would call again for the bytes of a message that never ended
 			return nil
 		}
 		size, more, fault := parse(buf)
@@ -279,10 +279,10 @@
 			need = max(more, len(buf)+1)
 			continue
 		}
-		l.inHand.Store(true)
+		l.hasPendingMessage.Store(true)
 		loop.Post(take)
-		<-l.held
-		l.inHand.Store(false)
+		<-l.released
+		l.hasPendingMessage.Store(false)
 		if fault {
 			size = r.Len()
 		}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -44,44 +44,44 @@
 	l.Send(loop, Outgoing{Message: []byte("x"), Done: func(err error) { done <- err }})
 	err := <-done
 	require.Error(t, err)
-	assert.True(t, Unwritten(err), "nothing has left")
+	assert.True(t, NeverSent(err), "nothing has left")
 }
 
 func TestPeerThatDoesNotReadIsClosedAndHoldsUpNobody(t *testing.T) {
 	l, _, loop, gone := dialed(t)
-	l.NC.SetWriteTimeout(50 * time.Millisecond)
+	l.Conn.SetWriteTimeout(50 * time.Millisecond)
 	done := make(chan error, 1)
 	l.Send(loop, Outgoing{Message: make([]byte, 64<<20), Done: func(err error) { done <- err }})
 	err := <-done
 	require.Error(t, err)
-	assert.False(t, Unwritten(err), "part of it has left")
+	assert.False(t, NeverSent(err), "part of it has left")
 	<-gone
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
-	assert.True(t, l.Farewell(log, 0))
+	assert.True(t, l.MarkEnded(log, 0))
 	assert.Contains(t, out.String(), "reason="+NotReading)
 	for _, field := range []string{"party=", "peer=", "messages=", "age_ms="} {
 		assert.Contains(t, out.String(), field)
 	}
-	assert.False(t, l.Farewell(log, 0), "one line a connection")
+	assert.False(t, l.MarkEnded(log, 0), "one line a connection")
 }
 
 // What a peer sends behind our last answer, before it has read it, neither resets the connection nor takes the answer
 // with it: the peer reads the answer whole, and then the end. It is closed when the peer ends its side.
 func TestWhatComesBehindTheLastAnswerDoesNotResetIt(t *testing.T) {
 	l, peer, loop, gone := dialed(t)
-	require.NoError(t, l.NC.SetOnRequest(func(context.Context, netpoll.Connection) error {
+	require.NoError(t, l.Conn.SetOnRequest(func(context.Context, netpoll.Connection) error {
 		return l.Read(loop, func([]byte) (int, int, bool) { t.Error("looked at"); return 1, 0, false }, func() {})
 	}))
 	answer := bytes.Repeat([]byte("answer "), 1000)
 	sent := make(chan error, 1)
 	shut := func() (yes bool) {
 		done := make(chan struct{})
-		loop.Post(func() { yes = l.IsShut(); close(done) })
+		loop.Post(func() { yes = l.IsWriteClosed(); close(done) })
 		<-done
 		return yes
 	}
-	l.Send(loop, Outgoing{Message: answer, Last: true, Done: func(err error) { sent <- err }})
+	l.Send(loop, Outgoing{Message: answer, CloseAfter: true, Done: func(err error) { sent <- err }})
 	require.NoError(t, <-sent)
 	require.Eventually(t, shut, 5*time.Second, time.Millisecond)
 	for range 3 { // a reset would come with the first, and be met by the next
@@ -93,7 +93,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, answer, got)
 	closed := make(chan bool, 1)
-	loop.Post(func() { closed <- l.Closed })
+	loop.Post(func() { closed <- l.ClosedLocally })
 	assert.False(t, <-closed, "the end was read, and the connection is open to what comes")
 	require.NoError(t, peer.Close())
 	<-gone
@@ -102,7 +102,7 @@
 // A peer that does not end its side is closed all the same.
 func TestAPeerThatStaysIsClosedInTheEnd(t *testing.T) {
 	l, _, loop, gone := dialed(t)
-	loop.Post(func() { l.Shut(loop, IdleOut) })
+	loop.Post(func() { l.CloseWrite(loop, IdleTimeout) })
 	<-gone
-	assert.Equal(t, IdleOut, l.Reason)
+	assert.Equal(t, IdleTimeout, l.CloseReason)
 }
--- a/internal/link/listen.go
+++ b/internal/link/listen.go
@@ -13,7 +13,7 @@
 // shared lets a second process of ours bind the same address while the first still serves: at an upgrade
 // the new version listens beside the old one, and the kernel spreads new connections over both until the
 // old one closes its socket. Without it the new process could not start at all.
-var shared = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+var sharedListenConfig = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	var err error
 	if cerr := c.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
@@ -29,7 +29,7 @@
 // Listen opens a TCP listener at address (host:port) for netpoll, shared with other processes of the same
 // user that listen there too. The error is the system's, for the caller to name its key.
 func Listen(address string) (netpoll.Listener, error) {
-	ln, err := shared.Listen(context.Background(), "tcp", address)
+	ln, err := sharedListenConfig.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
@@ -37,13 +37,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return newTolerant(converted), nil
+	return newTolerantListener(converted), nil
 }
 
 // ListenUDP opens a UDP socket at address (host:port), shared in the same way: datagrams are spread over
 // the processes that hold it, which the peers bear as loss.
 func ListenUDP(address string) (*net.UDPConn, error) {
-	pc, err := shared.ListenPacket(context.Background(), "udp4", address)
+	pc, err := sharedListenConfig.ListenPacket(context.Background(), "udp4", address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -63,7 +63,7 @@
 // part. A burst, which the loop brings back to the budget as it turns, costs no usual client its place then.
 func (f *Front) updateAcceptLimit() {
 	free := (f.spareSockets - f.otherFrontSockets()) / 2 / f.processes
-	used := f.pool.links.Len() + f.pool.dials
+	used := f.pool.links.Len() + f.pool.pendingDials
 	f.acceptLimit.Store(int64(f.budget.clients + f.budget.workers + free - used))
 }
 
@@ -94,7 +94,7 @@
 	f.acceptedConns.Add(1)
 	a := &clientConn{front: f}
 	a.Init(nc, "agent", nc.RemoteAddr().String(), 0)
-	a.Cut = func() {
+	a.OnClose = func() {
 		if a.inFlight != nil {
 			f.core.ClientDisconnected(a.inFlight)
 		}
@@ -123,7 +123,7 @@
 func (f *Front) enforceClientBudget(newest *clientConn) {
 	victim, best, over := newest, busyRank, f.clients.Len()-f.budget.clients
 	f.clients.Each(func(_ core.Ref, a *clientConn) {
-		if a.Closed || a.Reason == link.OverBudget {
+		if a.ClosedLocally || a.CloseReason == link.OverBudget {
 			over-- // it is going already
 			return
 		}
@@ -131,8 +131,8 @@
 			victim, best = a, rank
 		}
 	})
-	if over > 0 && !(victim == newest && newest.InHand()) { // whose request has come whole is served: the poller's bound holds
-		f.log.Info("a client's connection is closed for another", "peer", victim.Peer, "rank", best, "unread", victim.NC.Reader().Len(),
+	if over > 0 && !(victim == newest && newest.HasPendingMessage()) { // whose request has come whole is served: the poller's bound holds
+		f.log.Info("a client's connection is closed for another", "peer", victim.Peer, "rank", best, "unread", victim.Conn.Reader().Len(),
 			"clients", f.clients.Len(), "budget", f.budget.clients, "processes", f.processes)
 		f.evictClient(victim)
 	}
@@ -142,7 +142,7 @@
 // could not tell the bare end from a request that was taken and lost. The answer's connection lingers within what the
 // poller lets in.
 func (f *Front) evictClient(a *clientConn) {
-	if a.NC.Reader().Len() > 0 {
+	if a.Conn.Reader().Len() > 0 {
 		f.rejectAndClose(a, link.OverBudget, 503, "too many connections; try again\n", "Retry-After", "1")
 		return
 	}
@@ -152,12 +152,12 @@
 const busyRank = 5 // the rank of a connection that is kept
 
 func (a *clientConn) evictionRank() int {
-	unread := a.NC.Reader().Len()
-	silent := a.Count == 0 && unread == 0
+	unread := a.Conn.Reader().Len()
+	silent := a.MessageCount == 0 && unread == 0
 	switch {
-	case a.inFlight != nil || a.InHand() || !a.IdleWriter() || a.isCallback && unread > 0:
+	case a.inFlight != nil || a.HasPendingMessage() || !a.IsWriterIdle() || a.isCallback && unread > 0:
 		return busyRank // it owes an answer, or has not given it whole
-	case a.Reason != "" || silent && a.front.loop.Now()-a.Opened > firstRequestGrace:
+	case a.CloseReason != "" || silent && a.front.loop.Now()-a.Opened > firstRequestGrace:
 		return 0
 	case a.jobCount == 0 && !a.isCallback && !silent:
 		return 1
--- a/internal/platform/carry.go
+++ b/internal/platform/carry.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	probeTime  = 200 * core.Millisecond
-	deleteTime = 2 * core.Second
+	probeTimeout  = 200 * core.Millisecond
+	cancelTimeout = 2 * core.Second
 )
 
 // passState is how far a carried pass has come.
-type passState uint8
+type sendState uint8
 
 const (
-	dialing  passState = iota // no connection yet: nothing has left
-	writing                   // the request is being written
-	sent                      // its last byte is written
-	accepted                  // the worker link.Answered 202
+	stateDialing  sendState = iota // no connection yet: nothing has left
+	stateWriting                   // the request is being written
+	stateSent                      // its last byte is written
+	stateAccepted                  // the worker link.Answered 202
 )
 
 // carried is the pool's side of a proxy pass.
-type carried struct {
-	state passState
+type attemptState struct {
+	state sendState
 	link  *workerLink // until accepted
 }
 
 // Carry implements core.Carrier.
 func (f *Front) Send(p *core.Attempt) {
 	t := p.Request
-	c := &carried{}
+	c := &attemptState{}
 	p.TransportState = c
 	ref := p.Ref
 	w := f.pool.workers[p.Worker]
@@ -48,41 +48,41 @@
 		len(t.Job.Body), t.Job.HeaderFields, HeaderID, t.ID, HeaderClass, f.conf.Names.Classes[t.Job.Class],
 		HeaderTimeLeft, strconv.FormatInt(left, 10))
 	k := &call{message: append(message, t.Job.Body...)}
-	k.waits = func() { c.state, c.link = dialing, nil }
-	k.begin = func(l *workerLink) { c.state, c.link = writing, l }
-	k.wrote = func(err error) {
+	k.onDial = func() { c.state, c.link = stateDialing, nil }
+	k.onBegin = func(l *workerLink) { c.state, c.link = stateWriting, l }
+	k.onWritten = func(err error) {
 		if err == nil {
 			f.relayed++
 		}
-		if err == nil && c.state == writing {
-			c.state = sent
+		if err == nil && c.state == stateWriting {
+			c.state = stateSent
 		}
 	}
-	k.refused = func(load rules.Load) {
+	k.onRefused = func(load rules.Load) {
 		c.link = nil
 		f.core.WorkerResponded(w.name)
 		f.core.AttemptEnded(ref, rules.Refused, nil, load)
 	}
-	k.got = func(r *http1.Response) {
+	k.onResponse = func(r *http1.Response) {
 		load := parseLoad(r.Get(HeaderLoad))
-		if notBegun(r) {
-			k.refused(load)
+		if isUnprocessed(r) {
+			k.onRefused(load)
 			return
 		}
 		c.link = nil
 		f.core.WorkerResponded(w.name)
 		switch {
 		case r.Status == 202:
-			c.state = accepted
+			c.state = stateAccepted
 		case r.Status >= 500:
 			f.core.AttemptEnded(ref, rules.Error, nil, load)
 		default:
 			f.core.AttemptEnded(ref, rules.Unknown, nil, load)
 		}
 	}
-	k.broken = func(reason string, mayHaveRead bool) {
+	k.onFailed = func(reason string, mayHaveRead bool) {
 		c.link = nil
-		f.noAnswer(w, reason)
+		f.reportNoAnswer(w, reason)
 		status := rules.Unreachable
 		switch {
 		case mayHaveRead:
@@ -92,14 +92,14 @@
 		}
 		f.core.AttemptEnded(ref, status, nil, rules.Load{})
 	}
-	k.may = func() bool { return f.core.BeginAttempt(ref) }
-	k.still = func() bool { q, out := f.core.FindAttempt(t.ID, p.Worker); return out && q.Ref == ref }
+	k.mayBegin = func() bool { return f.core.BeginAttempt(ref) }
+	k.isWanted = func() bool { q, out := f.core.FindAttempt(t.ID, p.Worker); return out && q.Ref == ref }
 	f.core.ReplyExpected(w.name)
-	k.wanted(f, w)
+	k.acquireConn(f, w)
 }
 
 // notBegun tells of an answer that proves that the request was not begun.
-func notBegun(r *http1.Response) bool {
+func isUnprocessed(r *http1.Response) bool {
 	return (r.Status == 503 || r.Status == 504) && string(r.Get(HeaderUnprocessed)) == "1"
 }
 
@@ -111,9 +111,9 @@
 
 // noAnswer tells what a connection that came to nothing says of its worker. One that was up and broke says nothing: it
 // may have been closed on the way.
-func (f *Front) noAnswer(w *workerLinks, reason string) {
+func (f *Front) reportNoAnswer(w *poolWorker, reason string) {
 	switch reason {
-	case link.NotUp:
+	case link.ConnectFailed:
 		f.core.ConnectFailed(w.name)
 	case link.NoAnswer: // it still owes the answer
 	default:
@@ -122,34 +122,36 @@
 }
 
 // finish ends a pass by a call-back. One that came before the 202 leaves the connection waiting for it.
-func (f *Front) finish(p *core.Attempt, status rules.Status, result []byte, load rules.Load) {
+func (f *Front) endAttempt(p *core.Attempt, status rules.Status, result []byte, load rules.Load) {
 	f.core.AttemptEnded(p.Ref, status, result, load)
 }
 
 // Begun implements core.Carrier.
-func (f *Front) HasBegun(p *core.Attempt) bool { return p.TransportState.(*carried).state != dialing }
+func (f *Front) HasBegun(p *core.Attempt) bool {
+	return p.TransportState.(*attemptState).state != stateDialing
+}
 
 // Withdraw implements core.Carrier.
 func (f *Front) Cancel(p *core.Attempt) (mayHaveRun bool) {
-	c := p.TransportState.(*carried)
+	c := p.TransportState.(*attemptState)
 	switch c.state {
-	case dialing:
+	case stateDialing:
 		f.core.ReplyAbandoned(p.Worker)
 		return false
-	case writing, sent:
+	case stateWriting, stateSent:
 		f.core.ReplyAbandoned(p.Worker)
 		// Before the 202 the protocol gives an attempt up by closing its connection. A request that a cut network still
 		// holds would come to the worker after an orderly end, for nobody: it is dropped.
 		c.link.setCall(nil)
-		c.link.Abort(link.GivenUp)
+		c.link.Abort(link.AttemptCancelled)
 		return true
 	}
 	if w := f.pool.workers[p.Worker]; w != nil {
-		k := &call{safe: true, message: http1.AppendRequest(nil, "DELETE", PathJobs+p.Request.ID, w.address, -1, nil)}
-		k.begin = func(l *workerLink) { f.limit(k, l, deleteTime) }
-		k.got = func(*http1.Response) {}
-		k.broken = func(string, bool) {}
-		k.wanted(f, w)
+		k := &call{isIdempotent: true, message: http1.AppendRequest(nil, "DELETE", PathJobs+p.Request.ID, w.address, -1, nil)}
+		k.onBegin = func(l *workerLink) { f.setTimeout(k, l, cancelTimeout) }
+		k.onResponse = func(*http1.Response) {}
+		k.onFailed = func(string, bool) {}
+		k.acquireConn(f, w)
 	}
 	return true
 }
@@ -163,10 +165,10 @@
 		f.loop.Post(func() { done(rules.Unreachable, rules.Load{}) })
 		return
 	}
-	k := &call{safe: true, message: http1.AppendRequest(nil, "GET", PathLoad, w.address, -1, nil)}
-	k.begin = func(l *workerLink) { f.limit(k, l, probeTime) }
+	k := &call{isIdempotent: true, message: http1.AppendRequest(nil, "GET", PathLoad, w.address, -1, nil)}
+	k.onBegin = func(l *workerLink) { f.setTimeout(k, l, probeTimeout) }
 	f.core.ReplyExpected(w.name)
-	k.got = func(r *http1.Response) {
+	k.onResponse = func(r *http1.Response) {
 		f.core.WorkerResponded(w.name)
 		load := parseLoad(r.Body)
 		if header := r.Get(HeaderLoad); load.Has == 0 && header != nil {
@@ -178,8 +180,8 @@
 			done(rules.Error, load)
 		}
 	}
-	k.broken = func(reason string, mayHaveRead bool) {
-		f.noAnswer(w, reason)
+	k.onFailed = func(reason string, mayHaveRead bool) {
+		f.reportNoAnswer(w, reason)
 		switch {
 		case reason == link.NoAnswer:
 			done(rules.TimedOut, rules.Load{})
@@ -189,10 +191,10 @@
 			done(rules.Unreachable, rules.Load{})
 		}
 	}
-	k.wanted(f, w)
+	k.acquireConn(f, w)
 }
 
 // limit closes the connection of a call that goes unanswered.
-func (f *Front) limit(k *call, l *workerLink, within core.Time) {
-	k.limit = f.loop.At(f.loop.Now()+within, func() { l.Close(link.NoAnswer) })
+func (f *Front) setTimeout(k *call, l *workerLink, within core.Time) {
+	k.timeout = f.loop.At(f.loop.Now()+within, func() { l.Close(link.NoAnswer) })
 }
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -81,31 +81,31 @@
 func (f *Front) closeIdleClients(now core.Time) {
 	f.clients.Each(func(_ core.Ref, a *clientConn) {
 		if !a.isCallback && !a.awaitsFirstRequest(now) {
-			a.closeIfIdle(link.ShutDown)
+			a.closeIfIdle(link.Shutdown)
 		}
 	})
 }
 
 // fresh tells of a connection whose first request may still be on its way.
 func (a *clientConn) awaitsFirstRequest(now core.Time) bool {
-	return a.Count == 0 && now-a.Opened < firstRequestGrace
+	return a.MessageCount == 0 && now-a.Opened < firstRequestGrace
 }
 
 // letGo ends our side of a connection that holds nothing: no job, nothing unread or to write. What arrives between the
 // look and the end is never taken. On a connection that has brought nothing yet that would be a first request, whose
 // client takes a bare end for a loss: it gets its refusal in advance.
 func (a *clientConn) closeIfIdle(reason string) {
-	if a.inFlight != nil || a.Reason != "" || a.NC.Reader().Len() > 0 || !a.IdleWriter() {
+	if a.inFlight != nil || a.CloseReason != "" || a.Conn.Reader().Len() > 0 || !a.IsWriterIdle() {
 		return
 	}
 	if a.front.beforeIdleClose != nil {
 		a.front.beforeIdleClose()
 	}
-	if a.Count == 0 {
+	if a.MessageCount == 0 {
 		a.front.rejectAndClose(a, reason, 503, "this connection ends; try again\n", "Retry-After", "0")
 		return
 	}
-	a.Shut(a.front.loop, reason)
+	a.CloseWrite(a.front.loop, reason)
 }
 
 // drain looks, from acceptOn after SIGTERM on, whether anything is still owed, and ends the front when nothing is. The
@@ -116,7 +116,7 @@
 	f.clients.Each(func(_ core.Ref, a *clientConn) {
 		switch {
 		case a.isCallback:
-		case a.IsShut():
+		case a.IsWriteClosed():
 			if !over { // else only its peer's end is to come
 				owed++
 			}
@@ -124,14 +124,14 @@
 			owed++
 		default:
 			owed++
-			a.closeIfIdle(link.ShutDown)
+			a.closeIfIdle(link.Shutdown)
 		}
 	})
 	owed += f.core.OpenRequests() + f.pool.inUse
 	owed += int(f.acceptedConns.Load()) - f.clients.Len() // accepted, and not heard of yet
 	if owed == 0 && f.isListenerClosed {
 		f.log.Info("stopped taking", "foreign_call_backs", f.unknownCallbacks, "passed_on", f.forwardedCallbacks)
-		f.clients.Each(func(_ core.Ref, a *clientConn) { a.Close(link.ShutDown) })
+		f.clients.Each(func(_ core.Ref, a *clientConn) { a.Close(link.Shutdown) })
 		f.pool.close()
 		f.watch.stop()
 		if f.peers != nil {
--- a/internal/platform/events.go
+++ b/internal/platform/events.go
@@ -44,8 +44,8 @@
 	if !out {
 		return false // ended or withdrawn
 	}
-	c, _ := p.TransportState.(*carried)
-	if c == nil || c.state < writing {
+	c, _ := p.TransportState.(*attemptState)
+	if c == nil || c.state < stateWriting {
 		return false // not a pass that this worker can have got: it is none of ours
 	}
 	load := parseLoad(e.Load)
@@ -55,13 +55,13 @@
 	case "running":
 		f.core.AttemptProgress(p.Ref, e.Share)
 	case "done":
-		f.finish(p, rules.OK, resultBody(e.Result), load)
+		f.endAttempt(p, rules.OK, resultBody(e.Result), load)
 	case "failed":
-		f.finish(p, rules.Error, nil, load)
+		f.endAttempt(p, rules.Error, nil, load)
 	case "returned":
-		f.finish(p, rules.Refused, nil, load)
+		f.endAttempt(p, rules.Refused, nil, load)
 	case "lost":
-		f.finish(p, rules.Reset, nil, load)
+		f.endAttempt(p, rules.Reset, nil, load)
 	}
 	return false
 }
--- a/internal/platform/export_test.go
+++ b/internal/platform/export_test.go
@@ -26,15 +26,15 @@
 }
 
 // WatchSilence is how long a watch may be silent.
-const WatchSilence = watchSilence
+const WatchSilence = watchSilenceTimeout
 
 // WatchSilentFor is for how long the watch has not been heard, by the loop's clock. It is called on the loop.
-func (f *Front) WatchSilentFor() core.Time { return f.loop.Now() - f.watch.heard }
+func (f *Front) WatchSilentFor() core.Time { return f.loop.Now() - f.watch.lastReceived }
 
 // WatchFailures is how many calls to discovery have failed in a row. It is called on the loop.
-func (f *Front) WatchFailures() int { return f.watch.fails }
+func (f *Front) WatchFailures() int { return f.watch.failures }
 
-func newHeldDialer(t *testing.T) (dial dialer, up chan string, letGo chan struct{}) {
+func newHeldDialer(t *testing.T) (dial dialFunc, up chan string, letGo chan struct{}) {
 	up, letGo = make(chan string, 16), make(chan struct{}, 16)
 	ended := make(chan struct{})
 	t.Cleanup(func() { close(ended) })
@@ -55,7 +55,7 @@
 func (f *Front) BreakIdleConns(t *testing.T) {
 	for _, w := range f.pool.workers {
 		for _, l := range w.idle {
-			if err := unix.Shutdown(l.NC.(netpoll.Conn).Fd(), unix.SHUT_WR); err != nil {
+			if err := unix.Shutdown(l.Conn.(netpoll.Conn).Fd(), unix.SHUT_WR); err != nil {
 				t.Error(err)
 			}
 		}
@@ -75,7 +75,7 @@
 	for _, w := range f.pool.workers {
 		for _, l := range slices.Clone(w.idle) {
 			f.pool.removeIdle(l)
-			l.restSince(f.loop.Now() + core.Second)
+			l.becomeIdleSince(f.loop.Now() + core.Second)
 		}
 	}
 }
@@ -88,10 +88,10 @@
 func (f *Front) ClientCounts() (known, unread, inHand int) {
 	f.clients.Each(func(_ core.Ref, a *clientConn) {
 		known++
-		if a.NC.Reader().Len() > 0 {
+		if a.Conn.Reader().Len() > 0 {
 			unread++
 		}
-		if a.InHand() {
+		if a.HasPendingMessage() {
 			inHand++
 		}
 	})
@@ -102,10 +102,10 @@
 func (f *Front) AcceptedConns() int { return int(f.acceptedConns.Load()) }
 
 // Dials is the number of connections to workers that are not up yet.
-func (f *Front) PendingDials() int { return f.pool.dials }
+func (f *Front) PendingDials() int { return f.pool.pendingDials }
 
 // FailedCalls has so many calls to discovery in a row count as failed before the present one. It is called on the loop.
-func (f *Front) SetWatchFailures(n int) { f.watch.fails = n }
+func (f *Front) SetWatchFailures(n int) { f.watch.failures = n }
 
 // Knows tells whether a worker of the name has an address. It is called on the loop.
 func (f *Front) KnowsWorker(worker string) bool { return f.pool.workers[worker] != nil }
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -71,8 +71,8 @@
 	acceptedConns atomic.Int64 // connections, also those the loop has not heard of yet
 	acceptLimit   atomic.Int64 // of them: past it a new one is closed by the poller
 
-	pool          pool
-	watch         *watch
+	pool          connPool
+	watch         *discoveryWatch
 	shutdownTimes shutdownSchedule
 
 	listLimits      discovery.Limits // of what discovery sends
@@ -99,7 +99,7 @@
 // count, since one that is gone is tried again and again.
 func (f *Front) recordDialFailure(party, peer string, age core.Time) {
 	if n, tell := f.dialFailures.Failed(peer, f.loop.Now()); tell {
-		link.LogEnd(f.log, party, peer, link.NotUp, 0, age, "failures", n)
+		link.LogEnd(f.log, party, peer, link.ConnectFailed, 0, age, "failures", n)
 	}
 }
 
@@ -126,7 +126,7 @@
 // New makes the front; Start opens it.
 func New(c *core.Core, conf *config.Config, controller *admission.Controller, logger *slog.Logger) *Front {
 	f := &Front{loop: c.Loop, core: c, conf: conf, admission: controller, log: logger, listLimits: discovery.DefaultLimits, processes: 1, shutdownTimes: newShutdownSchedule(conf.Settings.Classes)}
-	f.pool = newPool(f)
+	f.pool = newConnPool(f)
 	f.applyBudgets()
 	return f
 }
@@ -141,9 +141,9 @@
 		list = &discovery.Update{}
 	}
 	f.workerStarts.Settle(list, f.loop.Now(), true)
-	f.pool.addresses(list)
+	f.pool.updateWorkers(list)
 	f.core.UpdateWorkerList(f, rules.ListCached, list.Workers)
-	f.watch = newWatch(f, f.conf.Discovery, list.Version)
+	f.watch = newDiscoveryWatch(f, f.conf.Discovery, list.Version)
 
 	ln, err := link.Listen(f.conf.Listen)
 	if err != nil {
@@ -159,13 +159,13 @@
 	if err != nil {
 		return err
 	}
-	if err := f.listenToPeers(); err != nil {
+	if err := f.openPeerSocket(); err != nil {
 		return err
 	}
 	go f.server.Serve(limitedListener{ln, f})
 	f.loop.Post(func() {
 		f.watch.open(0)
-		if f.watch.whole && f.conf.Discovery != "" {
+		if f.watch.needsFullList && f.conf.Discovery != "" {
 			f.loop.At(f.loop.Now()+initialListTimeout, f.markReady)
 		} else {
 			f.markReady()
@@ -189,7 +189,7 @@
 	kept.Discovery, kept.Limits = next.Discovery, next.Limits
 	f.conf = &kept
 	f.applyBudgets()
-	f.watch.move(kept.Discovery)
+	f.watch.moveTo(kept.Discovery)
 	f.log.Info("reload: taken over")
 }
 
@@ -204,24 +204,24 @@
 	var largest *clientConn
 	most := 0
 	f.clients.Each(func(_ core.Ref, a *clientConn) {
-		unread := a.NC.Reader().Len()
+		unread := a.Conn.Reader().Len()
 		if all += unread; unread > most {
 			largest, most = a, unread
 		}
 		switch {
 		case a.inFlight != nil:
-			if unread > a.request.Size+link.AheadMost {
+			if unread > a.request.Size+link.MaxReadAheadBytes {
 				a.Close(link.Flooding)
 			}
-		case a.Reason != "":
-		case unread > http1.MaxMessage+link.AheadMost:
+		case a.CloseReason != "":
+		case unread > http1.MaxMessage+link.MaxReadAheadBytes:
 			a.Close(link.Flooding)
 		case unread > 0 && a.partialSince == 0:
 			a.partialSince = now
 		case a.partialSince > 0 && now-a.partialSince > messageTimeout:
 			f.rejectAndClose(a, link.SlowInput, 408, "no whole request came in time\n")
 		case a.partialSince == 0 && a.jobCount == 0 && !a.isCallback && now-a.lastUsed > messageTimeout:
-			a.closeIfIdle(link.IdleOut)
+			a.closeIfIdle(link.IdleTimeout)
 		}
 	})
 	if all > f.Limits().MemoryMB<<20/8 {
@@ -230,9 +230,9 @@
 	if f.drainingSince > 0 {
 		f.closeIdleClients(now)
 	}
-	f.pool.retire()
-	f.pool.dropDeparted()
-	f.watch.check()
+	f.pool.closeExpiredIdle()
+	f.pool.forgetRemoved()
+	f.watch.closeIfStalled()
 	f.updateAcceptLimit()
 	f.loop.At(now+sweepInterval, f.sweep)
 }
--- a/internal/platform/idle_test.go
+++ b/internal/platform/idle_test.go
@@ -15,41 +15,41 @@
 )
 
 // quietConnection is a connection that is up, and on which nothing happens.
-type quietConnection struct{ netpoll.Connection }
+type inertConn struct{ netpoll.Connection }
 
-func (quietConnection) Close() error   { return nil }
-func (quietConnection) IsActive() bool { return true }
+func (inertConn) Close() error   { return nil }
+func (inertConn) IsActive() bool { return true }
 
 // newIdlePool is a pool that knows so many workers and has no connection.
-func newIdlePool(workers int) (*pool, []*workerLinks) {
+func newIdlePool(workers int) (*connPool, []*poolWorker) {
 	f := &Front{loop: core.NewLoop(), log: slog.New(slog.DiscardHandler), conf: &config.Config{Names: config.Names{ConnIdle: 60_000_000}}}
-	f.pool = newPool(f)
-	all := make([]*workerLinks, workers)
+	f.pool = newConnPool(f)
+	all := make([]*poolWorker, workers)
 	for i := range all {
 		name := fmt.Sprint("w-", i)
-		all[i] = &workerLinks{name: name, address: name}
+		all[i] = &poolWorker{name: name, address: name}
 		f.pool.workers[name] = all[i]
 	}
 	return &f.pool, all
 }
 
-func quietLink(p *pool, w *workerLinks) *workerLink {
-	l := &workerLink{Link: link.Link{NC: quietConnection{}, Peer: w.address}, f: p.f, worker: w}
+func newInertLink(p *connPool, w *poolWorker) *workerLink {
+	l := &workerLink{Link: link.Link{Conn: inertConn{}, Peer: w.address}, f: p.f, worker: w}
 	l.ref = p.links.Add(l)
 	return l
 }
 
 // retiredOf is what retire has to close, found by looking at every connection: those idle for longer than any may be,
 // and where a worker has more than probes can try, those that no job may have any more.
-func retiredOf(p *pool) map[*workerLink]bool {
+func expectedClosed(p *connPool) map[*workerLink]bool {
 	out, now := map[*workerLink]bool{}, p.f.loop.Now()
 	for _, w := range p.workers {
-		p.keepsFor(w) // what was seen too long ago is forgotten first, whoever it was
+		p.currentKeepAlive(w) // what was seen too long ago is forgotten first, whoever it was
 	}
 	for _, w := range p.workers {
-		old := now - p.keepsFor(w)
+		old := now - p.currentKeepAlive(w)
 		for i, l := range w.idle {
-			if l.since >= now-p.idleFor && (len(w.idle)-i <= probesKeep || l.since >= old) {
+			if l.stateSince >= now-p.idleTimeout && (len(w.idle)-i <= idleKeptForProbes || l.stateSince >= old) {
 				break
 			}
 			out[l] = true
@@ -70,21 +70,21 @@
 			w := rapid.SampledFrom(workers).Draw(t, "worker")
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0: // a kept connection of it ends early
-				l := quietLink(p, w)
-				l.Count, l.since = 2, now-rapid.Int64Range(0, 20_000_000).Draw(t, "idle")
-				p.closedEarly(l)
+				l := newInertLink(p, w)
+				l.MessageCount, l.stateSince = 2, now-rapid.Int64Range(0, 20_000_000).Draw(t, "idle")
+				p.recordEarlyClose(l)
 			case 1: // what was seen of it is old
-				if w.early != nil {
-					w.keepAt = now - 2*earlyFor
-					p.idle.early.MoveToFront(w.early)
+				if w.earlyCloserElem != nil {
+					w.keepAliveSeenAt = now - 2*earlyCloseTTL
+					p.idle.earlyClosers.MoveToFront(w.earlyCloserElem)
 				}
 			case 2:
-				p.forget(w)
+				p.forgetKeepAlive(w)
 			case 3: // the last used is used again, and may not begin: it has been idle as before
 				if n := len(w.idle); n > 0 {
 					l := w.idle[n-1]
 					p.removeIdle(l)
-					l.use(&call{may: func() bool { return false }})
+					l.startCall(&call{mayBegin: func() bool { return false }})
 				}
 			case 4: // one ends
 				if len(w.idle) > 0 {
@@ -92,33 +92,33 @@
 				}
 			default:
 				since = min(now, since+rapid.Int64Range(0, 5_000_000).Draw(t, "later"))
-				l := quietLink(p, w)
-				l.restSince(since)
+				l := newInertLink(p, w)
+				l.becomeIdleSince(since)
 				open = append(open, l)
 			}
 		}
-		want := retiredOf(p)
-		p.retire()
+		want := expectedClosed(p)
+		p.closeExpiredIdle()
 		for _, l := range open {
-			if l.Reason != "" {
-				assert.Equal(t, link.IdleOut, l.Reason)
+			if l.CloseReason != "" {
+				assert.Equal(t, link.IdleTimeout, l.CloseReason)
 			}
-			assert.Equal(t, want[l], l.Reason != "", "idle for %d us", now-l.since)
+			assert.Equal(t, want[l], l.CloseReason != "", "idle for %d us", now-l.stateSince)
 		}
 		for more := true; more; {
 			oldest := now + 1
 			for _, w := range workers {
 				for _, l := range w.idle {
-					oldest = min(oldest, l.since)
+					oldest = min(oldest, l.stateSince)
 				}
 			}
 			if front := p.idle.order.Front(); front != nil {
-				assert.Equal(t, oldest, front.Value.(*workerLink).since)
+				assert.Equal(t, oldest, front.Value.(*workerLink).stateSince)
 			}
 			more = p.evict()
 		}
 		assert.Zero(t, p.idle.order.Len())
-		assert.Empty(t, p.idle.crowded)
+		assert.Empty(t, p.idle.surplus)
 	})
 }
 
@@ -131,33 +131,33 @@
 		for i := range idle {
 			since := now
 			if i < due {
-				since -= 2 * p.idleFor
+				since -= 2 * p.idleTimeout
 			}
-			quietLink(p, all[i%workers]).restSince(since)
+			newInertLink(p, all[i%workers]).becomeIdleSince(since)
 		}
-		p.retire()
+		p.closeExpiredIdle()
 		assert.Equal(t, idle-due, p.idle.order.Len())
-		assert.LessOrEqual(t, p.idle.looked, uint64(due+2), "those that are due, and the next of each order")
-		p.idle.looked = 0
+		assert.LessOrEqual(t, p.idle.scanned, uint64(due+2), "those that are due, and the next of each order")
+		p.idle.scanned = 0
 		for range evicted {
 			assert.True(t, p.evict())
 		}
-		assert.Equal(t, uint64(evicted), p.idle.looked)
+		assert.Equal(t, uint64(evicted), p.idle.scanned)
 	}
 }
 
 // Connections in use are counted as calls begin and end.
 func TestConnectionsInUseAreCounted(t *testing.T) {
 	p, workers := newIdlePool(1)
-	a, b := quietLink(p, workers[0]), quietLink(p, workers[0])
+	a, b := newInertLink(p, workers[0]), newInertLink(p, workers[0])
 	a.setCall(&call{})
 	b.setCall(&call{})
 	a.setCall(&call{})
 	assert.Equal(t, 2, p.inUse)
-	a.answered(true)
+	a.finishCall(true)
 	a.setCall(nil)
 	assert.Equal(t, 1, p.inUse)
-	b.gone()
+	b.onEnded()
 	assert.Zero(t, p.inUse)
 }
 
@@ -169,13 +169,13 @@
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
 			p, all := newIdlePool(workers)
 			for i := range 4000 {
-				quietLink(p, all[i%workers]).rest()
+				newInertLink(p, all[i%workers]).becomeIdle()
 			}
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
-				l := quietLink(p, all[n%workers])
-				l.rest()
+				l := newInertLink(p, all[n%workers])
+				l.becomeIdle()
 				p.evict()
 				p.links.Free(l.ref)
 				n++
@@ -190,12 +190,12 @@
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
 			p, all := newIdlePool(workers)
 			for i := range 4000 {
-				quietLink(p, all[i%workers]).rest()
-				quietLink(p, all[i%workers]).setCall(&call{})
+				newInertLink(p, all[i%workers]).becomeIdle()
+				newInertLink(p, all[i%workers]).setCall(&call{})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				p.retire()
+				p.closeExpiredIdle()
 			}
 		})
 	}
--- a/internal/platform/list_test.go
+++ b/internal/platform/list_test.go
@@ -42,7 +42,7 @@
 }
 
 // inChunks writes a text in chunks of a size, as the body of an answer that goes on.
-func (c call) inChunks(text []byte, size int) {
+func (c discoveryCall) sendInChunks(text []byte, size int) {
 	var b bytes.Buffer
 	for len(text) > 0 {
 		n := min(size, len(text))
@@ -52,14 +52,14 @@
 	c.Write(b.Bytes())
 }
 
-func (c call) withLength(text []byte) {
+func (c discoveryCall) sendWithLength(text []byte) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(text))
 	c.Write(text)
 }
 
 // serve has each call from now on answered: one whose answer did not begin in time, on a busy machine, is made again.
 // Those that have waited may be closed by now.
-func (d *discovery) serve(t *testing.T, answer func(call)) {
+func (d *fakeDiscovery) serve(t *testing.T, answer func(discoveryCall)) {
 	ended, left := make(chan struct{}), make(chan struct{})
 	t.Cleanup(func() { close(ended); <-left })
 	go func() {
@@ -80,16 +80,24 @@
 func TestAStartWithoutAListServesWithTheLargestOne(t *testing.T) {
 	for name, form := range map[string]struct {
 		pushed bool // the whole list is asked for first; else the watch begins with it
-		answer func(c call, list []byte)
+		answer func(c discoveryCall, list []byte)
 	}{
-		"an answer with a length":   {true, func(c call, list []byte) { c.withLength(list) }},
-		"an answer in one chunk":    {true, func(c call, list []byte) { c.head(); c.inChunks(list, len(list)); io.WriteString(c, "0\r\n\r\n") }},
-		"an answer in small chunks": {true, func(c call, list []byte) { c.head(); c.inChunks(list, 16<<10); io.WriteString(c, "0\r\n\r\n") }},
-		"a line in one chunk":       {false, func(c call, list []byte) { c.head(); c.inChunks(append(list, '\n'), len(list)+1) }},
-		"a line in small chunks":    {false, func(c call, list []byte) { c.head(); c.inChunks(append(list, '\n'), 16<<10) }},
+		"an answer with a length": {true, func(c discoveryCall, list []byte) { c.sendWithLength(list) }},
+		"an answer in one chunk": {true, func(c discoveryCall, list []byte) {
+			c.sendHead()
+			c.sendInChunks(list, len(list))
+			io.WriteString(c, "0\r\n\r\n")
+		}},
+		"an answer in small chunks": {true, func(c discoveryCall, list []byte) {
+			c.sendHead()
+			c.sendInChunks(list, 16<<10)
+			io.WriteString(c, "0\r\n\r\n")
+		}},
+		"a line in one chunk":    {false, func(c discoveryCall, list []byte) { c.sendHead(); c.sendInChunks(append(list, '\n'), len(list)+1) }},
+		"a line in small chunks": {false, func(c discoveryCall, list []byte) { c.sendHead(); c.sendInChunks(append(list, '\n'), 16<<10) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newSilentDiscovery(t)
+			d := newFakeDiscovery(t)
 			w, later := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 			n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery, c.Known = form.pushed, d.Addr().String(), nil })
 			w.BackTo(n)
@@ -99,24 +107,24 @@
 			change, err := json.Marshal(map[string]any{"index": 8, "endpoints": []any{w.Entry("removed"), later.Entry("up")}})
 			require.NoError(t, err)
 			watches, changed := make(chan string, 64), make(chan struct{})
-			d.serve(t, func(c call) {
+			d.serve(t, func(c discoveryCall) {
 				switch {
 				case c.target == "/api/targets":
 					form.answer(c, list)
 					return
 				case form.pushed:
-					c.head()
+					c.sendHead()
 				default:
 					form.answer(c, list)
 				}
 				watches <- c.target
 				go func() { // each watch tells of the change, since an earlier one may have been given up
 					<-changed
-					c.part(string(change) + "\n")
+					c.sendChunk(string(change) + "\n")
 				}()
 			})
 			n.Eventually(hasWorkers(n, largeFleet))
-			n.Eventually(func() bool { return ready(n) })
+			n.Eventually(func() bool { return isReady(n) })
 			assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 5000, "").Status)
 			assert.Len(t, w.Jobs(), 1)
 
@@ -150,21 +158,21 @@
 		for _, pushed := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, pushed %v", name, pushed), func(t *testing.T) {
 				t.Parallel()
-				d := newSilentDiscovery(t)
+				d := newFakeDiscovery(t)
 				w := standin.NewWorker(t, "s-1", nil)
 				n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery = pushed, d.Addr().String() }, w)
 				var mended atomic.Bool
 				good := n.Farm.Tell(true, w.Entry("up"), standin.Entry("s-2", "127.0.0.1:9", "draining"))
-				watches := make(chan call, 64)
-				d.serve(t, func(asked call) {
+				watches := make(chan discoveryCall, 64)
+				d.serve(t, func(asked discoveryCall) {
 					switch {
 					case mended.Load():
-						asked.whole(good)
+						asked.sendFullList(good)
 					case asked.target == "/api/targets":
-						asked.withLength(c.text)
+						asked.sendWithLength(c.text)
 					default:
-						asked.head()
-						asked.inChunks(append(bytes.Clone(c.text), '\n'), 16<<10)
+						asked.sendHead()
+						asked.sendInChunks(append(bytes.Clone(c.text), '\n'), 16<<10)
 						watches <- asked
 					}
 				})
@@ -174,10 +182,10 @@
 					n.Eventually(func() bool { return n.Logged(c.logged) })
 				}
 				assert.True(t, hasWorkers(n, 1)(), "the list from before stands")
-				n.Eventually(func() bool { return ready(n) })
+				n.Eventually(func() bool { return isReady(n) })
 				assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 5000, "").Status)
 				if name == "a fault in its last entry" && !pushed { // a bad line costs itself only
-					receive(t, watches).part(string(good) + "\n")
+					receive(t, watches).sendChunk(string(good) + "\n")
 				}
 				mended.Store(true)
 				n.Eventually(hasWorkers(n, 2))
@@ -188,7 +196,7 @@
 
 // A list of more endpoints than the bound is refused by its place, and the last good list stands.
 func TestAListOfTooManyEndpointsIsRefused(t *testing.T) {
-	d := newSilentDiscovery(t)
+	d := newFakeDiscovery(t)
 	w := standin.NewWorker(t, "s-1", nil)
 	n := standin.Start(t, nil, w)
 	limits := lists.DefaultLimits
@@ -196,11 +204,11 @@
 	n.On(func() { n.Front.SetListLimits(limits) })
 	reloadDiscovery(n, d.Addr().String())
 	text, good := largeList(t, 8, largeFleet, w), largeList(t, 9, 5000, w)
-	d.serve(t, func(c call) {
+	d.serve(t, func(c discoveryCall) {
 		if n.Logged("discovery: unusable answer") {
-			c.whole(good)
+			c.sendFullList(good)
 		} else {
-			c.withLength(text)
+			c.sendWithLength(text)
 		}
 	})
 	n.Eventually(func() bool { return n.Logged("list refused at endpoint 5001: the list over 5000 endpoints") })
--- a/internal/platform/pass_on.go
+++ b/internal/platform/pass_on.go
@@ -47,7 +47,7 @@
 			} else {
 				f.refuseUnknownCallback(a)
 			}
-			a.Release()
+			a.ReleaseBuffer()
 		})
 	}()
 	return true
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -30,16 +30,16 @@
 
 // take has a whole message in hand, or a fault in it.
 func (f *Front) handleMessage(a *clientConn, fault *http1.Error) {
-	a.Count++
+	a.MessageCount++
 	a.lastUsed, a.partialSince = f.loop.Now(), 0
-	if a.Ended || a.Reason != "" {
-		a.Release()
+	if a.Ended || a.CloseReason != "" {
+		a.ReleaseBuffer()
 		return
 	}
 	q := &a.request
 	if fault != nil {
 		f.rejectAndClose(a, link.BadInput, fault.Status, fault.Text)
-		a.Release()
+		a.ReleaseBuffer()
 		return
 	}
 	path := string(q.Path)
@@ -47,9 +47,9 @@
 	if !fixed && f.isTooLateForJobs() {
 		// Its job could not end before we do: the client tries again elsewhere. Refused at once, as the rule on
 		// given-up requests wants.
-		a.Reason = link.ShutDown
+		a.CloseReason = link.Shutdown
 		f.reply(a, 503, []byte("this process ends; try again\n"), false, "Retry-After", "0")
-		a.Release()
+		a.ReleaseBuffer()
 		return
 	}
 	if !fixed {
@@ -63,7 +63,7 @@
 	} else {
 		f.rejectRequest(a, 405, r.method)
 	}
-	a.Release()
+	a.ReleaseBuffer()
 }
 
 // endsSoon tells that a job that comes now could not end before we do: all that is open was answered already, or a
@@ -120,10 +120,10 @@
 // be writing, and reset under that it might not read the error. The request is not looked at: it may be
 // in OnRequest's hands.
 func (f *Front) rejectAndClose(a *clientConn, reason string, status int, text string, extra ...string) {
-	a.Reason = reason
-	a.Discard()
+	a.CloseReason = reason
+	a.DiscardInput()
 	message := http1.AppendResponse(nil, status, false, []byte(text), extra...)
-	a.Send(f.loop, link.Outgoing{Message: message, Last: true})
+	a.Send(f.loop, link.Outgoing{Message: message, CloseAfter: true})
 }
 
 // open turns a request into a transaction; what can't be one is answered and reaches no worker.
@@ -169,7 +169,7 @@
 	if a.inFlight == t {
 		a.inFlight = nil
 		a.lastUsed = a.front.loop.Now()
-		a.Release()
+		a.ReleaseBuffer()
 	}
 }
 
@@ -179,19 +179,19 @@
 	if a.Ended {
 		return
 	}
-	keepAlive = keepAlive && (f.stoppingSince == 0 || f.loop.Now() < f.stoppingSince+f.shutdownTimes.acceptUntil || a.isCallback) && a.Reason == "" &&
+	keepAlive = keepAlive && (f.stoppingSince == 0 || f.loop.Now() < f.stoppingSince+f.shutdownTimes.acceptUntil || a.isCallback) && a.CloseReason == "" &&
 		(f.drainingSince == 0 || a.isCallback)
 	if string(a.request.Method) == "HEAD" {
 		body = nil
 	}
 	if !keepAlive { // nothing behind this request is taken any more
-		if a.Reason == "" {
-			a.Reason = link.Answered
+		if a.CloseReason == "" {
+			a.CloseReason = link.Answered
 		}
-		a.Discard()
+		a.DiscardInput()
 	}
 	message := http1.AppendResponse(make([]byte, 0, 160+len(body)), status, keepAlive, body, extra...)
-	a.Send(f.loop, link.Outgoing{Message: message, Last: !keepAlive})
+	a.Send(f.loop, link.Outgoing{Message: message, CloseAfter: !keepAlive})
 }
 
 // gone has an accepted connection end: what it waited for is hung up.
@@ -199,7 +199,7 @@
 	if a.isCallback {
 		a.Party = "call-back"
 	}
-	if !a.Farewell(f.log, f.loop.Now()) {
+	if !a.MarkEnded(f.log, f.loop.Now()) {
 		return
 	}
 	f.acceptedConns.Add(-1)
@@ -207,5 +207,5 @@
 	if a.inFlight != nil {
 		f.core.ClientDisconnected(a.inFlight)
 	}
-	a.Release()
+	a.ReleaseBuffer()
 }
--- a/internal/platform/silence_test.go
+++ b/internal/platform/silence_test.go
@@ -20,58 +20,60 @@
 // counts as told all the same, by the clock of the test.
 
 // discovery takes calls and answers none by itself.
-type discovery struct {
+type fakeDiscovery struct {
 	net.Listener
-	calls chan call
+	calls chan discoveryCall
 }
 
-type call struct {
+type discoveryCall struct {
 	net.Conn
 	target string
 }
 
-func newSilentDiscovery(t *testing.T) *discovery { return newSilentDiscoveryAt(t, "127.0.0.1:0") }
+func newFakeDiscovery(t *testing.T) *fakeDiscovery { return newFakeDiscoveryAt(t, "127.0.0.1:0") }
 
-func newSilentDiscoveryAt(t *testing.T, address string) *discovery {
-	d := &discovery{calls: make(chan call, 64)}
+func newFakeDiscoveryAt(t *testing.T, address string) *fakeDiscovery {
+	d := &fakeDiscovery{calls: make(chan discoveryCall, 64)}
 	d.Listener = newScriptedWorkerAt(t, address, "", func(c net.Conn, r *bufio.Reader) {
 		for {
 			q, err := http.ReadRequest(r)
 			if err != nil {
 				return
 			}
-			d.calls <- call{c, q.URL.RequestURI()}
+			d.calls <- discoveryCall{c, q.URL.RequestURI()}
 		}
 	}).Listener
 	return d
 }
 
 // whole answers a call for the whole list, or begins a watch with it.
-func (c call) whole(list []byte) {
+func (c discoveryCall) sendFullList(list []byte) {
 	if c.target == "/api/targets" {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 		return
 	}
-	c.head()
-	c.part(string(list) + "\n")
+	c.sendHead()
+	c.sendChunk(string(list) + "\n")
 }
 
-func (c call) head() { io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") }
+func (c discoveryCall) sendHead() {
+	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+}
 
-func (c call) part(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
+func (c discoveryCall) sendChunk(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 
 // A process starts with the list that was known when it was set up. What its agent holds counts as told from the first
 // moment: it says that it is ready when it has that, and sends nothing to a worker that was leaving by then.
 func TestAStartWithAnOldListWaitsForTheAgent(t *testing.T) {
-	agent := newSilentDiscovery(t)
+	agent := newFakeDiscovery(t)
 	a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 	n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery = true, agent.Addr().String() }, a)
 	b.BackTo(n)
 	asked := receive(t, agent.calls)
 	require.Equal(t, "/api/targets", asked.target, "whole: a watch says nothing where nothing changed")
-	assert.False(t, ready(n), "the agent has not answered")
-	asked.whole(n.Farm.Tell(true, a.Entry("draining"), b.Entry("up")))
-	n.Eventually(func() bool { return ready(n) })
+	assert.False(t, isReady(n), "the agent has not answered")
+	asked.sendFullList(n.Farm.Tell(true, a.Entry("draining"), b.Entry("up")))
+	n.Eventually(func() bool { return isReady(n) })
 	for i := range 4 {
 		require.Equal(t, 200, n.Ask("board-view", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
 	}
@@ -80,14 +82,14 @@
 
 // Discovery may be down for seconds: a process is ready all the same, with the list that it was given.
 func TestASilentAgentDoesNotHoldReadinessUp(t *testing.T) {
-	agent := newSilentDiscovery(t)
+	agent := newFakeDiscovery(t)
 	a := standin.NewWorker(t, "s-1", nil)
 	n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery = true, agent.Addr().String() }, a)
-	n.Eventually(func() bool { return ready(n) })
+	n.Eventually(func() bool { return isReady(n) })
 	assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 5000, "").Status)
 }
 
-func ready(n *standin.Node) bool {
+func isReady(n *standin.Node) bool {
 	r, err := http.Get(n.URL("/-/ready"))
 	if err != nil {
 		return false
@@ -101,18 +103,18 @@
 // the worker that has left meanwhile once the new watch has told of it.
 func TestAWatchThatFallsSilentIsOpenedAnewInTime(t *testing.T) {
 	const head = "its head"
-	for silent, last := range map[string]func(c call, list []byte){
-		"the start":   func(call, []byte) {},
-		head:          func(c call, _ []byte) { c.head() },
-		"a list":      func(c call, list []byte) { c.whole(list) },
-		"half a line": func(c call, list []byte) { c.head(); c.part(string(list[:len(list)/2])) },
-		"half a list": func(c call, _ []byte) { c.head(); c.part("{\n  \"index\": 9,\n") },
-		"a reset":     func(c call, _ []byte) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
+	for silent, last := range map[string]func(c discoveryCall, list []byte){
+		"the start":   func(discoveryCall, []byte) {},
+		head:          func(c discoveryCall, _ []byte) { c.sendHead() },
+		"a list":      func(c discoveryCall, list []byte) { c.sendFullList(list) },
+		"half a line": func(c discoveryCall, list []byte) { c.sendHead(); c.sendChunk(string(list[:len(list)/2])) },
+		"half a list": func(c discoveryCall, _ []byte) { c.sendHead(); c.sendChunk("{\n  \"index\": 9,\n") },
+		"a reset":     func(c discoveryCall, _ []byte) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
 	} {
 		for _, pushed := range []bool{false, true} {
 			t.Run(fmt.Sprintf("after %s, pushed %v", silent, pushed), func(t *testing.T) {
 				t.Parallel()
-				d := newSilentDiscovery(t)
+				d := newFakeDiscovery(t)
 				a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 				n := standin.Start(t, func(c *config.Config) {
 					c.Pushed, c.Discovery, c.Settings.GroupSize = pushed, d.Addr().String(), 300
@@ -120,7 +122,7 @@
 				b.BackTo(n)
 				first := receive(t, d.calls)
 				if pushed { // the watch follows on the same connection
-					first.whole(n.Farm.Tell(true, a.Entry("up")))
+					first.sendFullList(n.Farm.Tell(true, a.Entry("up")))
 					first = receive(t, d.calls)
 				}
 				since := time.Now()
@@ -131,7 +133,7 @@
 					assert.Less(t, took, time.Duration(n.Conf.Settings.DrainGrace)*time.Microsecond)
 				}
 				assert.Less(t, took, 6*time.Second)
-				second.whole(n.Farm.Tell(true, a.Entry("draining"), b.Entry("up")))
+				second.sendFullList(n.Farm.Tell(true, a.Entry("draining"), b.Entry("up")))
 				n.Eventually(hasWorkers(n, 2))
 				for i := range 4 {
 					require.Equal(t, 200, n.Ask("board-view", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -11,13 +11,13 @@
 	"cobaltflow/rules"
 )
 
-type calls []core.Time
+type timeHeap []core.Time
 
-func (c calls) Len() int           { return len(c) }
-func (c calls) Less(i, j int) bool { return c[i] < c[j] }
-func (c calls) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
-func (c *calls) Push(x any)        { *c = append(*c, x.(core.Time)) }
-func (c *calls) Pop() any {
+func (c timeHeap) Len() int           { return len(c) }
+func (c timeHeap) Less(i, j int) bool { return c[i] < c[j] }
+func (c timeHeap) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
+func (c *timeHeap) Push(x any)        { *c = append(*c, x.(core.Time)) }
+func (c *timeHeap) Pop() any {
 	old := *c
 	x := old[len(old)-1]
 	*c = old[:len(old)-1]
@@ -30,7 +30,7 @@
 func TestSchedulersDoNotOverrunDiscoveryTogether(t *testing.T) {
 	for _, schedulers := range []int{1, 3, 80} {
 		rng := rand.New(rand.NewPCG(1, uint64(schedulers)))
-		var due calls
+		var due timeHeap
 		failed := map[core.Time][]int{} // by the time of the call: how often its callers failed before
 		call := func(now core.Time, before int) {
 			at := now + retryWait(schedulers, before, 0, rng.Float64())
@@ -64,25 +64,25 @@
 func TestASilentWatchIsHeardAgainInTime(t *testing.T) {
 	const told = 6 * core.Second
 	for _, schedulers := range []int{1, 5, 80, 300, 3000} {
-		wait := retryWait(schedulers, 0, watchSilence, 0.999999)
-		assert.Less(t, watchSilence+wait+watchDial, told, "%d schedulers: asked again", schedulers)
+		wait := retryWait(schedulers, 0, watchSilenceTimeout, 0.999999)
+		assert.Less(t, watchSilenceTimeout+wait+watchDialTimeout, told, "%d schedulers: asked again", schedulers)
 	}
 	// A call that fails began, or was last heard, so long before it is found to have: at once, as its dial is given up, as
 	// its answer does not begin, as a watch is silent, as the end of a list does not come.
-	for _, took := range []core.Time{0, watchDial, watchFirst, watchSilence, watchPart + sweepInterval} {
+	for _, took := range []core.Time{0, watchDialTimeout, watchAnswerTimeout, watchSilenceTimeout, watchStallTimeout + sweepInterval} {
 		for _, schedulers := range []int{1, 5, 80, 300, 3000} {
 			for failed := range 9 {
 				for _, drawn := range []float64{0, 0.3, 0.6, 0.999999} {
 					wait := retryWait(schedulers, failed, took, drawn)
-					assert.LessOrEqual(t, took+wait, watchPeriod, "%d schedulers, %d calls failed, the last after %d us", schedulers, failed, took)
+					assert.LessOrEqual(t, took+wait, maxCallInterval, "%d schedulers, %d calls failed, the last after %d us", schedulers, failed, took)
 				}
 			}
 		}
 	}
-	assert.LessOrEqual(t, watchPeriod+watchDial, told, "the next call is up")
+	assert.LessOrEqual(t, maxCallInterval+watchDialTimeout, told, "the next call is up")
 	for _, grace := range []core.Time{250, 300, 400, 500, 700, 1000, 2000, 10_000} {
 		grace *= core.Millisecond
-		assert.LessOrEqual(t, agentFirst(grace)+spreadOut(agentRetry(grace), 0.999999), grace/2, "an agent that was silent for one call")
+		assert.LessOrEqual(t, localAnswerTimeout(grace)+jitter(localRetryWait(grace), 0.999999), grace/2, "an agent that was silent for one call")
 	}
 }
 
