--- a/cmd/cobaltflow/check.go
+++ b/cmd/cobaltflow/check.go
@@ -11,7 +11,7 @@
 	"cobaltflow/internal/describe"
 )
 
-func checkCommand(load loader) *cobra.Command {
+func checkCommand(load configLoader) *cobra.Command {
 	return &cobra.Command{
 		Use: "check [FILE...]", Short: "Check the configuration, or the OpenAPI and AsyncAPI descriptions in files",
 		RunE: func(c *cobra.Command, files []string) error {
--- a/cmd/cobaltflow/scale.go
+++ b/cmd/cobaltflow/scale.go
@@ -41,7 +41,7 @@
 			o.Command, o.Log = strings.Join(os.Args[1:], " "), c.OutOrStdout()
 			file, err := scale.Run(ctx, o)
 			if out != "" && file != nil && len(file.Runs) > 0 {
-				err = errors.Join(err, storeScale(out, file, add))
+				err = errors.Join(err, storeResults(out, file, add))
 			}
 			return err
 		},
@@ -62,7 +62,7 @@
 }
 
 // storeScale writes the results, behind those that stand in the file where they are to be kept.
-func storeScale(path string, file *result.File, add bool) error {
+func storeResults(path string, file *result.File, add bool) error {
 	if add {
 		earlier, err := result.Read(path)
 		if err == nil {
@@ -75,7 +75,7 @@
 }
 
 // labelled is the value given for a label, as LABEL=VALUE.
-func labelled(flag, text string) (label, value string, err error) {
+func splitLabel(flag, text string) (label, value string, err error) {
 	label, value, found := strings.Cut(text, "=")
 	if !found || label == "" || value == "" {
 		return "", "", fmt.Errorf("--%s: %q is not LABEL=VALUE", flag, text)
@@ -86,7 +86,7 @@
 // scalePrograms gives the builds to measure, with the sections of their own files.
 func scalePrograms(programs, sections []string) (list []scale.Program, err error) {
 	for _, text := range programs {
-		label, path, err := labelled("program", text)
+		label, path, err := splitLabel("program", text)
 		if err != nil {
 			return nil, err
 		}
@@ -100,7 +100,7 @@
 		list = []scale.Program{{Label: selfLabel, Path: self}}
 	}
 	for _, text := range sections {
-		label, path, err := labelled("own", text)
+		label, path, err := splitLabel("own", text)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/cobaltflow/serve.go
+++ b/cmd/cobaltflow/serve.go
@@ -13,9 +13,9 @@
 	"cobaltflow/internal/log"
 )
 
-type loader func() (*config.Config, error)
+type configLoader func() (*config.Config, error)
 
-func serveCommand(load loader) *cobra.Command {
+func serveCommand(load configLoader) *cobra.Command {
 	return &cobra.Command{
 		Use: "serve", Short: "Run the gateway (the default)", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/internal/directive/directive.go
+++ b/internal/directive/directive.go
@@ -23,15 +23,15 @@
 const workerPrefix = "worker/"
 
 // WorkerOut is the directive that keeps a table worker out while it is on.
-func WorkerOut(worker string) Key { return Key(workerPrefix + worker) }
+func WorkerDisabled(worker string) Key { return Key(workerPrefix + worker) }
 
 // Worker gives the table worker of a key; ok is false where the key is no worker's.
 func (k Key) Worker() (worker string, ok bool) { return strings.CutPrefix(string(k), workerPrefix) }
 
 // Bounds of a set. A change over them is refused with ErrFull.
 const (
-	MostOn  = 4096       // directives that may be on at once
-	MostAll = 2 * MostOn // with those that were called back and have to be remembered
+	MaxOn      = 4096      // directives that may be on at once
+	MaxEntries = 2 * MaxOn // with those that were called back and have to be remembered
 )
 
 // ErrFull refuses a change that would take a set over its bounds.
@@ -46,7 +46,7 @@
 
 // newer tells whether e stands against old. Two processes that were called at once may give the same version: then on
 // stands, the side on which nothing is sent.
-func (e Entry) newer(old Entry) bool {
+func (e Entry) supersedes(old Entry) bool {
 	if e.Version != old.Version {
 		return e.Version > old.Version
 	}
@@ -57,7 +57,7 @@
 type Set struct {
 	entries map[Key]Entry
 	clock   uint64 // no version given so far is higher
-	on      int
+	onCount int
 }
 
 // Clock is the highest version that the set has seen.
@@ -70,7 +70,7 @@
 func (s *Set) Len() int { return len(s.entries) }
 
 // On tells whether a directive is in force.
-func (s *Set) On(key Key) bool { return s.entries[key].On }
+func (s *Set) IsOn(key Key) bool { return s.entries[key].On }
 
 // Entry gives a directive's state; the zero version says that it was never told.
 func (s *Set) Entry(key Key) Entry {
@@ -95,7 +95,7 @@
 func (s *Set) Merge(e Entry) bool {
 	s.Observe(e.Version)
 	old, known := s.entries[e.Key]
-	if !known && len(s.entries) >= MostAll || !e.newer(old) {
+	if !known && len(s.entries) >= MaxEntries || !e.supersedes(old) {
 		return false
 	}
 	s.put(old, e)
@@ -107,8 +107,8 @@
 // has seen, where that is higher. The error is ErrFull.
 func (s *Set) Change(key Key, on bool, at uint64) (Entry, error) {
 	old, known := s.entries[key]
-	full := on && !old.On && s.on >= MostOn
-	if full || !known && len(s.entries) >= MostAll {
+	full := on && !old.On && s.onCount >= MaxOn
+	if full || !known && len(s.entries) >= MaxEntries {
 		return old, ErrFull
 	}
 	s.clock = max(s.clock+1, at)
@@ -122,18 +122,18 @@
 		s.entries = map[Key]Entry{}
 	}
 	if old.On {
-		s.on--
+		s.onCount--
 	}
 	if e.On {
-		s.on++
+		s.onCount++
 	}
 	s.entries[e.Key] = e
 }
 
 // Holds tells whether the set knows an entry or one that stands against it.
-func (s *Set) Holds(e Entry) bool {
+func (s *Set) Covers(e Entry) bool {
 	mine, known := s.entries[e.Key]
-	return known && !e.newer(mine)
+	return known && !e.supersedes(mine)
 }
 
 // Prune forgets what was called back, and tells whether there was any. It may be called only while no other process,
--- a/internal/directive/directive_test.go
+++ b/internal/directive/directive_test.go
@@ -11,15 +11,15 @@
 
 func TestTheLastWordStandsWhicheverProcessHeardIt(t *testing.T) {
 	var a, b Set
-	out, err := a.Change(WorkerOut("s-1"), true, 0)
+	out, err := a.Change(WorkerDisabled("s-1"), true, 0)
 	require.NoError(t, err)
 	require.True(t, b.Merge(out))
-	back, err := b.Change(WorkerOut("s-1"), false, 0)
+	back, err := b.Change(WorkerDisabled("s-1"), false, 0)
 	require.NoError(t, err)
 	require.True(t, a.Merge(back))
-	assert.False(t, a.On(WorkerOut("s-1")))
+	assert.False(t, a.IsOn(WorkerDisabled("s-1")))
 	assert.False(t, a.Merge(out), "an older word came back")
-	assert.False(t, a.On(WorkerOut("s-1")))
+	assert.False(t, a.IsOn(WorkerDisabled("s-1")))
 }
 
 // Two processes that were called at the same moment come to the same state, on which nothing is sent.
@@ -30,8 +30,8 @@
 	require.Equal(t, out.Version, back.Version)
 	a.Merge(back)
 	b.Merge(out)
-	assert.True(t, a.On(Drain))
-	assert.True(t, b.On(Drain))
+	assert.True(t, a.IsOn(Drain))
+	assert.True(t, b.IsOn(Drain))
 }
 
 // In whatever order and however often entries of three processes are merged, all come to the same set.
@@ -42,7 +42,7 @@
 		for range 40 {
 			at := rng.IntN(len(sets))
 			if rng.IntN(2) == 0 {
-				_, err := sets[at].Change(WorkerOut(fmt.Sprint(rng.IntN(4))), rng.IntN(2) == 0, uint64(rng.IntN(60)))
+				_, err := sets[at].Change(WorkerDisabled(fmt.Sprint(rng.IntN(4))), rng.IntN(2) == 0, uint64(rng.IntN(60)))
 				require.NoError(t, err)
 				continue
 			}
@@ -64,27 +64,27 @@
 
 func TestBounds(t *testing.T) {
 	var s Set
-	for i := range MostOn {
-		_, err := s.Change(WorkerOut(fmt.Sprint(i)), true, 0)
+	for i := range MaxOn {
+		_, err := s.Change(WorkerDisabled(fmt.Sprint(i)), true, 0)
 		require.NoError(t, err)
 	}
-	_, err := s.Change(WorkerOut("one more"), true, 0)
+	_, err := s.Change(WorkerDisabled("one more"), true, 0)
 	assert.ErrorIs(t, err, ErrFull)
-	_, err = s.Change(WorkerOut("0"), true, 0)
+	_, err = s.Change(WorkerDisabled("0"), true, 0)
 	assert.NoError(t, err, "one that is on already")
-	for i := range MostOn {
-		_, err := s.Change(WorkerOut(fmt.Sprint(i)), false, 0)
+	for i := range MaxOn {
+		_, err := s.Change(WorkerDisabled(fmt.Sprint(i)), false, 0)
 		require.NoError(t, err)
 	}
-	for i := range MostOn {
-		_, err := s.Change(WorkerOut(fmt.Sprint("b", i)), true, 0)
+	for i := range MaxOn {
+		_, err := s.Change(WorkerDisabled(fmt.Sprint("b", i)), true, 0)
 		require.NoError(t, err)
 	}
-	assert.Equal(t, MostAll, s.Len())
-	assert.False(t, s.Merge(Entry{Key: WorkerOut("from elsewhere"), Version: 1 << 40, On: true}))
+	assert.Equal(t, MaxEntries, s.Len())
+	assert.False(t, s.Merge(Entry{Key: WorkerDisabled("from elsewhere"), Version: 1 << 40, On: true}))
 	assert.True(t, s.Prune())
-	assert.Equal(t, MostOn, s.Len())
-	e, err := s.Change(WorkerOut("0"), false, 0)
+	assert.Equal(t, MaxOn, s.Len())
+	e, err := s.Change(WorkerDisabled("0"), false, 0)
 	require.NoError(t, err)
 	assert.Greater(t, e.Version, uint64(1<<40), "a version goes on from the highest seen")
 }
--- a/internal/discovery/answer_test.go
+++ b/internal/discovery/answer_test.go
@@ -29,13 +29,13 @@
 
 // read gives all that an answer comes to in pieces, with what was not taken of one kept before the next, as a
 // connection's buffer does.
-func read(t require.TestingT, a *Answers, sent []byte, piece func() int) error {
+func read(t require.TestingT, a *ResponseReader, sent []byte, piece func() int) error {
 	var buf []byte
 	for len(sent) > 0 {
 		n := min(piece(), len(sent))
 		buf, sent = append(buf, sent[:n]...), sent[n:]
 		for len(buf) > 0 {
-			size, need, err := a.Take(buf)
+			size, need, err := a.Consume(buf)
 			if err != nil {
 				return err
 			}
@@ -79,7 +79,7 @@
 			rng := rand.New(rand.NewPCG(1, 2))
 			for _, most := range []int{4 << 10, 1 << 20, 8 << 20} {
 				var got []Line
-				a := NewAnswers(c.whole, format, DefaultLimits, func(l Line) { got = append(got, l) })
+				a := NewResponseReader(c.whole, format, DefaultLimits, func(l Line) { got = append(got, l) })
 				sent := c.sent
 				if c.whole {
 					sent = append(bytes.Clone(sent), chunkedHead...)
@@ -87,10 +87,10 @@
 				sent = append(bytes.Clone(sent), chunked(delta, 9, false)...)
 				require.NoError(t, read(t, a, sent, func() int { return 1 + rng.IntN(most) }))
 				same(t, []Line{{Update: want}, {Update: &Update{Version: 2}}}, got)
-				assert.False(t, a.Partial())
-				assert.Equal(t, uint64(endpoints), a.Decoded())
-				assert.True(t, a.Watching())
-				held := cap(a.lists.fields) + cap(a.lists.entry.held) + cap(a.lists.restart.held)
+				assert.False(t, a.IsPartial())
+				assert.Equal(t, uint64(endpoints), a.DecodedEndpoints())
+				assert.True(t, a.IsWatching())
+				held := cap(a.decoder.fields) + cap(a.decoder.entry.carried) + cap(a.decoder.nextList.carried)
 				assert.Less(t, held, DefaultLimits.FieldsBytes, "of the text no more is held than an entry")
 			}
 		})
@@ -102,10 +102,10 @@
 	sent := append([]byte(chunkedHead), chunked([]byte(`{"index":1,"endpoints":[]}`), 10, true)...)
 	whole := strings.Index(string(sent), "\r\n\r\n") + 4
 	for n := whole; n < len(sent); n++ {
-		a := NewAnswers(true, format, DefaultLimits, func(Line) {})
-		size, _, err := a.Take(sent[:n])
+		a := NewResponseReader(true, format, DefaultLimits, func(Line) {})
+		size, _, err := a.Consume(sent[:n])
 		require.NoError(t, err)
-		assert.True(t, n == whole || a.Partial() || size < n, "after %q", sent[:n])
+		assert.True(t, n == whole || a.IsPartial() || size < n, "after %q", sent[:n])
 	}
 }
 
@@ -122,14 +122,14 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n": "the watch was answered with a body that ends",
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" + chunkedHead + "0\r\n":                     "the watch was ended",
 	} {
-		a := NewAnswers(true, format, DefaultLimits, func(Line) {})
+		a := NewResponseReader(true, format, DefaultLimits, func(Line) {})
 		assert.EqualError(t, read(t, a, []byte(sent), func() int { return 11 }), text, "%q", sent)
 	}
 }
 
 // Past each bound a list is refused, and the error names the place and the bound.
 func TestALimitNamesItsPlace(t *testing.T) {
-	limits := Limits{Endpoints: 3, EntryBytes: 200, FieldsBytes: 100, ListBytes: 3 * (endpointBytes + 40)}
+	limits := Limits{Endpoints: 3, EntryBytes: 200, FieldsBytes: 100, ListBytes: 3 * (endpointOverheadBytes + 40)}
 	entry := func(name string) string { return fmt.Sprintf(`{"name":%q,"address":"x"}`, name) }
 	list := func(entries ...string) string {
 		return `{"index":1,"endpoints":[` + strings.Join(entries, ",") + "]}"
@@ -151,7 +151,7 @@
 					updates++
 				}
 			})
-			decoder.document = document
+			decoder.singleList = document
 			err := decoder.Decode([]byte(text + "\n"))
 			if want == "" {
 				require.NoError(t, err)
@@ -204,13 +204,13 @@
 	f.Add([]byte(chunkedHead+string(chunked([]byte(`{"index":1,"endpoints":[{"name":"a","address":"x"}]}`), 9, true))+chunkedHead+"1\r\n\n\r\n"), true, 5)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"index\":1}"), true, 1)
 	f.Fuzz(func(t *testing.T, sent []byte, whole bool, part int) {
-		take := func(part int) (lines []Line, a *Answers, err error) {
-			a = NewAnswers(whole, format, DefaultLimits, func(l Line) { lines = append(lines, l) })
+		take := func(part int) (lines []Line, a *ResponseReader, err error) {
+			a = NewResponseReader(whole, format, DefaultLimits, func(l Line) { lines = append(lines, l) })
 			var buf []byte
 			for rest := sent; len(rest) > 0; {
 				n := min(max(1, part), len(rest))
 				buf, rest = append(buf, rest[:n]...), rest[n:]
-				size, _, err := a.Take(buf)
+				size, _, err := a.Consume(buf)
 				if err != nil {
 					return lines, a, err
 				}
@@ -223,7 +223,7 @@
 		require.Equal(t, err, errOfParts)
 		same(t, once, parts)
 		if err == nil {
-			require.Equal(t, a.Partial(), b.Partial())
+			require.Equal(t, a.IsPartial(), b.IsPartial())
 		}
 	})
 }
--- a/internal/discovery/limits.go
+++ b/internal/discovery/limits.go
@@ -16,7 +16,7 @@
 
 // endpointBytes is what a decoded entry takes beside its name and address: core.FarmWorker, and the headers of its
 // strings, with the spare capacity of slices that grow.
-const endpointBytes = 256
+const endpointOverheadBytes = 256
 
 // LimitError is a list over one of the limits. What follows of it is of no use, so its connection has to be closed.
 type LimitError struct {
--- a/internal/discovery/lines_test.go
+++ b/internal/discovery/lines_test.go
@@ -16,7 +16,7 @@
 	"cobaltflow/internal/core"
 )
 
-var format = Format{
+var format = Mapping{
 	Names:    &config.Names{Zones: []string{"suva", "lautoka"}, Kinds: []string{"gen1", "gen2"}},
 	FromUnix: func(ms int64) core.Time { return ms * core.Millisecond },
 }
@@ -33,7 +33,7 @@
 		copy(piece, bytes.Repeat([]byte("#"), n)) // what has to outlive the piece was copied
 		rest = rest[n:]
 	}
-	return out, d.Partial(), nil
+	return out, d.IsPartial(), nil
 }
 
 // same compares what lines came to; of faults only that there is one, since a text read whole is told otherwise.
@@ -79,7 +79,7 @@
 			sent = sent[n:]
 		}
 		same(t, want, got)
-		assert.False(t, d.Partial())
+		assert.False(t, d.IsPartial())
 	})
 }
 
@@ -96,7 +96,7 @@
 			require.NotEmpty(t, lines, "%q", bad+behind)
 			last := lines[len(lines)-1].Update
 			if assert.NotNil(t, last, "%q", bad+behind) {
-				assert.Equal(t, Update{Version: 2, Whole: true}, *last)
+				assert.Equal(t, Update{Version: 2, IsSnapshot: true}, *last)
 			}
 			assert.False(t, partial)
 		}
@@ -178,7 +178,7 @@
 func FuzzLimits(f *testing.F) {
 	f.Add(listText(1, 4), 3)
 	f.Add([]byte("{\"index\":1,\"endpoints\":[\n{\"index\":2,\"endpoints\":[{\"name\":\"a\",\"address\":\"x\"},{\"name\":\"b\",\"address\":\"x\"}]}\n"), 5)
-	limits := Limits{Endpoints: 3, EntryBytes: 40, FieldsBytes: 60, ListBytes: 3 * endpointBytes}
+	limits := Limits{Endpoints: 3, EntryBytes: 40, FieldsBytes: 60, ListBytes: 3 * endpointOverheadBytes}
 	f.Fuzz(func(t *testing.T, text []byte, part int) {
 		whole, left, err := decode(t, text, len(text), limits)
 		parts, leftOfParts, errOfParts := decode(t, text, part, limits)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -15,11 +15,11 @@
 
 // Update is one list of discovery, or the known list: all endpoints, or those that have changed.
 type Update struct {
-	Version   int64
-	Whole     bool
-	Workers   []core.ListedWorker
-	Addresses []string // of the workers, in their order; empty: the worker has gone
-	SinceMS   []int64  // their starts as dates of discovery's clock, in Unix milliseconds; 0: long ago
+	Version       int64
+	IsSnapshot    bool
+	Workers       []core.ListedWorker
+	Addresses     []string // of the workers, in their order; empty: the worker has gone
+	StartedUnixMS []int64  // their starts as dates of discovery's clock, in Unix milliseconds; 0: long ago
 }
 
 // listFields are the fields of a list on the wire.
@@ -42,7 +42,7 @@
 }
 
 // Format turns the words of a list into what the decisions know. Its functions are called on the goroutine that decodes.
-type Format struct {
+type Mapping struct {
 	Names    *config.Names
 	FromUnix func(milliseconds int64) core.Time
 }
@@ -50,7 +50,7 @@
 var errNoIndex = errors.New("index is missing")
 
 // ParseList reads a text that is one list. A list with a fault is not taken at all.
-func ParseList(text []byte, format Format) (*Update, error) {
+func ParseList(text []byte, format Mapping) (*Update, error) {
 	var fields listFields
 	if err := json.Unmarshal(text, &fields); err != nil {
 		return nil, err
@@ -58,9 +58,9 @@
 	if fields.Index == nil {
 		return nil, errNoIndex
 	}
-	u := &Update{Version: *fields.Index, Whole: fields.Snapshot}
+	u := &Update{Version: *fields.Index, IsSnapshot: fields.Snapshot}
 	for i := range fields.Endpoints {
-		if err := u.add(&fields.Endpoints[i], format); err != nil {
+		if err := u.appendEndpoint(&fields.Endpoints[i], format); err != nil {
 			return nil, err
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 // add appends an endpoint, or tells why it is none.
-func (u *Update) add(e *endpoint, format Format) error {
+func (u *Update) appendEndpoint(e *endpoint, format Mapping) error {
 	if e.Name == "" {
 		return errors.New("an endpoint has no name")
 	}
@@ -97,6 +97,6 @@
 	}
 	u.Workers = append(u.Workers, w)
 	u.Addresses = append(u.Addresses, address)
-	u.SinceMS = append(u.SinceMS, max(0, e.SinceMS))
+	u.StartedUnixMS = append(u.StartedUnixMS, max(0, e.SinceMS))
 	return nil
 }
--- a/internal/discovery/reference_test.go
+++ b/internal/discovery/reference_test.go
@@ -8,7 +8,7 @@
 // The decoder is held to this: the text is put together, split into lists, and each is read whole by json.Unmarshal.
 
 // reference reads a text whole.
-func reference(text []byte, format Format) (out []Line) {
+func reference(text []byte, format Mapping) (out []Line) {
 	var l referenceLines
 	l.Take(text, func(line []byte) {
 		var read Line
--- a/internal/discovery/region.go
+++ b/internal/discovery/region.go
@@ -3,21 +3,21 @@
 // region is a part of a text that comes in pieces. As long as it lies within one piece it is a slice of that piece;
 // only one that goes on in the next is copied.
 type region struct {
-	open  bool
-	start int    // in the present piece
-	held  []byte // of the pieces before
+	open    bool
+	start   int    // in the present piece
+	carried []byte // of the pieces before
 }
 
 // begin opens the region at a place of the present piece.
-func (r *region) begin(at int) { r.open, r.start, r.held = true, at, r.held[:0] }
+func (r *region) begin(at int) { r.open, r.start, r.carried = true, at, r.carried[:0] }
 
 // size is the number of bytes up to a place of the present piece.
-func (r *region) size(at int) int { return len(r.held) + at - r.start }
+func (r *region) size(at int) int { return len(r.carried) + at - r.start }
 
 // carry keeps what lies in the present piece, of which no more is seen.
-func (r *region) carry(piece []byte) {
+func (r *region) retain(piece []byte) {
 	if r.open {
-		r.held, r.start = append(r.held, piece[r.start:]...), 0
+		r.carried, r.start = append(r.carried, piece[r.start:]...), 0
 	}
 }
 
@@ -25,9 +25,9 @@
 // and as long as the piece is.
 func (r *region) end(piece []byte, at int) []byte {
 	r.open = false
-	if len(r.held) == 0 {
+	if len(r.carried) == 0 {
 		return piece[r.start:at]
 	}
-	r.held = append(r.held, piece[r.start:at]...)
-	return r.held
+	r.carried = append(r.carried, piece[r.start:at]...)
+	return r.carried
 }
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -12,11 +12,11 @@
 
 // told is an update of one worker whose date reads as a time of the loop.
 func told(name string, sinceMS int64, reads core.Time) *Update {
-	return &Update{Workers: []core.ListedWorker{{Name: name, State: rules.Ready, StartedAt: reads}}, SinceMS: []int64{sinceMS}}
+	return &Update{Workers: []core.ListedWorker{{Name: name, State: rules.Ready, StartedAt: reads}}, StartedUnixMS: []int64{sinceMS}}
 }
 
-func settled(s *Starts, u *Update, now core.Time, first bool) core.Time {
-	s.Settle(u, now, first)
+func settled(s *StartTimes, u *Update, now core.Time, first bool) core.Time {
+	s.Resolve(u, now, first)
 	return u.Workers[0].StartedAt
 }
 
@@ -25,7 +25,7 @@
 	const hour, now = 3600 * core.Second, 1 << 42
 	for _, off := range []core.Time{-hour, -5 * core.Second, 0, 5 * core.Second, hour} {
 		t.Run(fmt.Sprint(off/core.Second), func(t *testing.T) {
-			s := &Starts{}
+			s := &StartTimes{}
 			before := settled(s, told("w", 1000, now-20*core.Second+off), now, true)
 			assert.LessOrEqual(t, before, core.Time(now), "no start lies ahead")
 			assert.Equal(t, before, settled(s, told("w", 1000, now-20*core.Second+off), now+core.Second, false), "the same date: no restart")
@@ -34,44 +34,44 @@
 			assert.Equal(t, core.Time(now+9*core.Second), settled(s, told("new", 1500, now+off), now+9*core.Second, false), "one not met before")
 		})
 	}
-	assert.Zero(t, settled(&Starts{}, told("w", 0, 0), now, false), "no date: long ago")
+	assert.Zero(t, settled(&StartTimes{}, told("w", 0, 0), now, false), "no date: long ago")
 }
 
 // A worker that leaves the list and comes back with the same date was not restarted.
 func TestAWorkerThatComesBackWasNotRestarted(t *testing.T) {
-	s := &Starts{}
+	s := &StartTimes{}
 	first := settled(s, told("w", 1000, 500), 1000, true)
 	gone := told("w", 1000, 500)
 	gone.Workers[0].State = rules.Gone
-	s.Settle(gone, 2000, false)
+	s.Resolve(gone, 2000, false)
 	assert.Equal(t, first, settled(s, told("w", 1000, 500), 3000, false))
-	for i := range mostDeparted + 10 {
+	for i := range maxDepartedWorkers + 10 {
 		u := told(fmt.Sprint("x", i), 1, 1)
 		u.Workers[0].State = rules.Gone
-		s.Settle(u, 4000, false)
+		s.Resolve(u, 4000, false)
 	}
-	assert.LessOrEqual(t, len(s.known), mostDeparted+1, "those that have gone are bounded")
+	assert.LessOrEqual(t, len(s.known), maxDepartedWorkers+1, "those that have gone are bounded")
 }
 
 // A worker that left once and is listed again is not forgotten, however many others leave; and those that a whole list does
 // not name are bounded like those that were said to have gone.
 func TestWhoIsListedIsRememberedAndWhoIsAbsentIsBounded(t *testing.T) {
-	s := &Starts{}
+	s := &StartTimes{}
 	first := settled(s, told("w", 1000, 500), 1000, true)
 	gone := told("w", 1000, 500)
 	gone.Workers[0].State = rules.Gone
-	s.Settle(gone, 2000, false)
-	s.Settle(told("w", 1000, 500), 3000, false)
-	for i := range 2 * mostDeparted {
+	s.Resolve(gone, 2000, false)
+	s.Resolve(told("w", 1000, 500), 3000, false)
+	for i := range 2 * maxDepartedWorkers {
 		u := told(fmt.Sprint("x", i), 1, 1)
 		u.Workers[0].State = rules.Gone
-		s.Settle(u, 4000, false)
+		s.Resolve(u, 4000, false)
 	}
 	assert.Equal(t, first, settled(s, told("w", 1000, 500), 5000, false))
-	for i := range 2 * mostDeparted {
+	for i := range 2 * maxDepartedWorkers {
 		u := told(fmt.Sprint("y", i), 1, 1)
-		u.Whole = true
-		s.Settle(u, 6000, false)
+		u.IsSnapshot = true
+		s.Resolve(u, 6000, false)
 	}
-	assert.LessOrEqual(t, len(s.known), mostDeparted+1)
+	assert.LessOrEqual(t, len(s.known), maxDepartedWorkers+1)
 }
--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -21,19 +21,19 @@
 const (
 	// MostCalls is how many connections may be open at once; over it the oldest that has brought no whole
 	// call is closed (over-budget), so callers who connect and say nothing take no place from one who asks.
-	MostCalls = 32
+	MaxConnections = 32
 	// CallTime is how long a connection has to bring its whole call; then it gets 408 and is closed.
-	CallTime = 900 * core.Millisecond
-	readTime = time.Second // netpoll's own bound on a read that has begun, behind CallTime
+	CallTimeout = 900 * core.Millisecond
+	readTimeout = time.Second // netpoll's own bound on a read that has begun, behind CallTime
 	// answerMargin of a connection's CallTime is left for the way of a call that could not be carried out in time.
 	answerMargin = 50 * core.Millisecond
 )
 
 // MostHeld bounds the table workers that may be out by hand at once; a disable over it is refused with 409.
-const MostHeld = directive.MostOn
+const MaxDisabledWorkers = directive.MaxOn
 
 // Clients is what the admin address drives of the clients' front.
-type Clients interface {
+type ClientFront interface {
 	Ready() bool
 	Drain()
 	Resume()
@@ -47,7 +47,7 @@
 	// force in, and kept by, every process of this scheduler.
 	Change(key directive.Key, on bool, within time.Duration, answer func(error))
 	// Known tells whether a table worker is listed, or out by hand.
-	Known(worker string) bool
+	IsKnownWorker(worker string) bool
 	// Failures counts how often the directives could not be read or written.
 	Failures() uint64
 }
@@ -57,7 +57,7 @@
 	loop       *core.Loop
 	core       *core.Core
 	conf       *config.Config
-	clients    Clients
+	clients    ClientFront
 	directives Directives
 	log        *slog.Logger
 
@@ -71,15 +71,15 @@
 	link.Link
 	ref      core.Ref
 	request  http1.Request
-	taken    bool // its whole call is in hand
+	received bool // its whole call is in hand
 	answered bool
-	limit    *core.Timer
+	timeout  *core.Timer
 }
 
 type callKey struct{}
 
 // New makes the front; Start opens it.
-func New(c *core.Core, conf *config.Config, clients Clients, directives Directives, log *slog.Logger) *Front {
+func New(c *core.Core, conf *config.Config, clients ClientFront, directives Directives, log *slog.Logger) *Front {
 	return &Front{loop: c.Loop, core: c, conf: conf, clients: clients, directives: directives, log: log}
 }
 
@@ -111,9 +111,9 @@
 func (f *Front) prepare(nc netpoll.Connection) context.Context {
 	k := &call{}
 	k.Init(nc, "operator", nc.RemoteAddr().String(), 0)
-	nc.SetReadTimeout(readTime)
+	nc.SetReadTimeout(readTimeout)
 	nc.AddCloseCallback(func(netpoll.Connection) error {
-		f.loop.Post(func() { f.gone(k) })
+		f.loop.Post(func() { f.onClose(k) })
 		return nil
 	})
 	f.loop.Post(func() {
@@ -122,24 +122,24 @@
 		}
 		k.Opened = f.loop.Now()
 		k.ref = f.calls.Add(k)
-		k.limit = f.loop.At(k.Opened+CallTime, func() {
+		k.timeout = f.loop.At(k.Opened+CallTimeout, func() {
 			switch {
 			case k.answered || k.ClosedLocally:
-			case k.taken:
+			case k.received:
 				f.answer(k, link.NoAnswer, 503, "in force here, but not confirmed in time; ask again\n")
 			default:
 				f.answer(k, link.SlowInput, 408, "no whole call came within 900 ms\n")
 			}
 		})
-		if f.calls.Len() > MostCalls {
-			f.shed(k)
+		if f.calls.Len() > MaxConnections {
+			f.closeOldest(k)
 		}
 	})
 	return context.WithValue(context.Background(), callKey{}, k)
 }
 
 // shed closes the oldest connection that has no whole call; where all have one, the newest.
-func (f *Front) shed(newest *call) {
+func (f *Front) closeOldest(newest *call) {
 	victim := newest
 	f.calls.Each(func(_ core.Ref, k *call) {
 		if !k.ClosedLocally && !k.answered && k.MessageCount == 0 && (victim == newest || k.Opened < victim.Opened) {
@@ -157,24 +157,24 @@
 		var need int
 		need, fault = http1.ParseRequest(buf, &k.request)
 		return k.request.Size, need, fault != nil
-	}, func() { f.take(k, fault) })
+	}, func() { f.handle(k, fault) })
 }
 
 // take has a whole call in hand, or a fault in it. The answer is put together at once, on the loop.
-func (f *Front) take(k *call, fault *http1.Error) {
+func (f *Front) handle(k *call, fault *http1.Error) {
 	defer k.ReleaseBuffer()
 	k.MessageCount++
-	if k.Ended || k.ClosedLocally || k.answered || k.taken {
+	if k.Ended || k.ClosedLocally || k.answered || k.received {
 		return
 	}
-	k.taken = true
+	k.received = true
 	if fault != nil {
 		f.answer(k, link.BadInput, fault.Status, fault.Text+"\n")
 		return
 	}
 	method, path := string(k.request.Method), string(k.request.Path)
-	if d, ok := f.directiveOf(method, path); ok {
-		f.tell(k, d)
+	if d, ok := f.parseCommand(method, path); ok {
+		f.applyCommand(k, d)
 		return
 	}
 	status, body := f.serve(method, path)
@@ -183,7 +183,7 @@
 		reason = link.BadInput
 	}
 	if status == 405 {
-		extra = []string{"Allow", wanted(path)}
+		extra = []string{"Allow", allowedMethod(path)}
 	}
 	if method == "HEAD" {
 		body = ""
@@ -194,17 +194,17 @@
 // answer writes the one answer of a connection, which is closed after it. The reason stands in its log line.
 func (f *Front) answer(k *call, reason string, status int, body string, extra ...string) {
 	k.answered = true
-	f.loop.CancelTimer(k.limit)
+	f.loop.CancelTimer(k.timeout)
 	k.CloseReason = reason
 	message := http1.AppendResponse(nil, status, false, []byte(body), append(extra, "Content-Type", "text/plain")...)
 	k.Send(f.loop, link.Outgoing{Message: message, CloseAfter: true})
 }
 
-func (f *Front) gone(k *call) {
+func (f *Front) onClose(k *call) {
 	if !k.MarkEnded(f.log, f.loop.Now()) {
 		return
 	}
-	f.loop.CancelTimer(k.limit)
+	f.loop.CancelTimer(k.timeout)
 	f.calls.Free(k.ref)
 	k.ReleaseBuffer()
 }
@@ -220,7 +220,7 @@
 
 // serve carries a call out and gives its status and body. 2xx is yes; 4xx names what was wrong.
 func (f *Front) serve(method, path string) (int, string) {
-	want := wanted(path)
+	want := allowedMethod(path)
 	known := path == PathReady || path == PathMetrics || path == PathDrain || path == PathResume ||
 		strings.HasPrefix(path, PathWorkers)
 	switch {
@@ -237,13 +237,13 @@
 		}
 		return 503, "not ready: starting, draining or ending\n"
 	case PathMetrics:
-		return 200, string(Figures(f.core, f.clients, f.directives, f.conf.Names.Classes))
+		return 200, string(Metrics(f.core, f.clients, f.directives, f.conf.Names.Classes))
 	}
 	return f.unknownWorker(strings.TrimPrefix(path, PathWorkers))
 }
 
 // wanted is the method of a call.
-func wanted(path string) string {
+func allowedMethod(path string) string {
 	if path == PathReady || path == PathMetrics {
 		return "GET"
 	}
--- a/internal/front/admin/admin_test.go
+++ b/internal/front/admin/admin_test.go
@@ -158,7 +158,7 @@
 func TestSilentCallersHoldUpNobody(t *testing.T) {
 	n := start(t, t.TempDir(), standin.NewWorker(t, "s-1", nil))
 	var mute []net.Conn
-	for i := range admin.MostCalls + 8 {
+	for i := range admin.MaxConnections + 8 {
 		c, err := net.Dial("tcp", n.Gateway.Admin.Address())
 		require.NoError(t, err)
 		if i%2 == 0 {
--- a/internal/front/admin/directives.go
+++ b/internal/front/admin/directives.go
@@ -12,35 +12,35 @@
 )
 
 // order is an operator's call that changes something.
-type order struct {
-	key  directive.Key
-	on   bool
-	done string // the answer when it is in force
+type command struct {
+	key    directive.Key
+	on     bool
+	okText string // the answer when it is in force
 }
 
 // directiveOf reads a call that changes something; ok is false for any other, and for one that names no known worker.
-func (f *Front) directiveOf(method, path string) (o order, ok bool) {
+func (f *Front) parseCommand(method, path string) (o command, ok bool) {
 	if method != "POST" {
-		return order{}, false
+		return command{}, false
 	}
 	switch path {
 	case PathDrain:
-		return order{directive.Drain, true, "draining: the clients are sent away\n"}, true
+		return command{directive.Drain, true, "draining: the clients are sent away\n"}, true
 	case PathResume:
-		return order{directive.Drain, false, "serving\n"}, true
+		return command{directive.Drain, false, "serving\n"}, true
 	}
 	rest, ok := strings.CutPrefix(path, PathWorkers)
 	worker, verb, whole := strings.Cut(rest, "/")
-	if !ok || !whole || worker == "" || !f.directives.Known(worker) {
-		return order{}, false
+	if !ok || !whole || worker == "" || !f.directives.IsKnownWorker(worker) {
+		return command{}, false
 	}
 	switch verb {
 	case "disable":
-		return order{directive.WorkerOut(worker), true, "out of rotation: " + worker + "\n"}, true
+		return command{directive.WorkerDisabled(worker), true, "out of rotation: " + worker + "\n"}, true
 	case "enable":
-		return order{directive.WorkerOut(worker), false, "in rotation: " + worker + "\n"}, true
+		return command{directive.WorkerDisabled(worker), false, "in rotation: " + worker + "\n"}, true
 	}
-	return order{}, false
+	return command{}, false
 }
 
 // unknownWorker is the answer to a call on table workers that directiveOf did not take.
@@ -54,8 +54,8 @@
 
 // tell has a directive put in force in every process of this scheduler, and answers then, or when the caller's time is
 // nearly over.
-func (f *Front) tell(k *call, o order) {
-	left := k.Opened + CallTime - answerMargin - f.loop.Now()
+func (f *Front) applyCommand(k *call, o command) {
+	left := k.Opened + CallTimeout - answerMargin - f.loop.Now()
 	f.directives.Change(o.key, o.on, time.Duration(left/core.Millisecond)*time.Millisecond, func(err error) {
 		age := f.loop.Now() - k.Opened
 		f.log.Info("admin: told", "key", string(o.key), "on", o.on, "out_of_rotation", f.core.WorkersOutOfRotation(), "after_ms",
@@ -65,9 +65,9 @@
 		}
 		switch {
 		case err == nil:
-			f.answer(k, link.Answered, 200, o.done)
+			f.answer(k, link.Answered, 200, o.okText)
 		case errors.Is(err, directive.ErrFull):
-			f.answer(k, link.BadInput, 409, "no more than "+strconv.Itoa(MostHeld)+" table workers may be out by hand at once\n")
+			f.answer(k, link.BadInput, 409, "no more than "+strconv.Itoa(MaxDisabledWorkers)+" table workers may be out by hand at once\n")
 		default:
 			f.answer(k, link.NoAnswer, 503, err.Error()+"; it goes on being tried\n")
 		}
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -38,21 +38,21 @@
 // openDirectives joins the scheduler's other processes. A folder that can't be used is told in the log and tried again.
 func openDirectives(conf *config.Config, c *core.Core, front *platform.Front, log *slog.Logger) *directives {
 	d := &directives{core: c, front: front, log: log, disabled: map[string]bool{}}
-	period := replica.WithCalls
+	period := replica.PollPeriodWithAdmin
 	if conf.Admin == "" {
-		period = replica.WithoutCalls
+		period = replica.PollPeriodWithoutAdmin
 	}
 	var err error
 	d.replica, err = replica.Open(replica.Options{
-		Folder: stateFilePath(conf, "directives"),
-		Period: period,
-		Log:    log,
-		Apply:  func(entries []directive.Entry) { c.Loop.Post(func() { d.apply(entries) }) },
-		Others: func(others replica.Others) { c.Loop.Post(func() { d.updateProcesses(others) }) },
+		Dir:                stateFilePath(conf, "directives"),
+		PollPeriod:         period,
+		Log:                log,
+		Apply:              func(entries []directive.Entry) { c.Loop.Post(func() { d.apply(entries) }) },
+		OnProcessesChanged: func(others replica.OtherProcesses) { c.Loop.Post(func() { d.updateProcesses(others) }) },
 	})
 	if err != nil {
 		log.Warn("directive: the folder can't be used, it is tried again", "error", err, "start_waits_at_most", maxFolderWait)
-		err = d.replica.Await(maxFolderWait)
+		err = d.replica.AwaitFirstScan(maxFolderWait)
 	}
 	if err == nil {
 		err = importDisabledWorkers(d.replica, stateFilePath(conf, "held"))
@@ -76,7 +76,7 @@
 	var keys []directive.Key
 	for _, name := range strings.Split(string(text), "\n") {
 		if name = strings.TrimSpace(name); name != "" {
-			keys = append(keys, directive.WorkerOut(name))
+			keys = append(keys, directive.WorkerDisabled(name))
 		}
 	}
 	if err := r.Import(keys); err != nil {
@@ -88,10 +88,10 @@
 // resume puts in force what was told before this process was started. It is called before the loop runs, when the core
 // has its first list.
 func (d *directives) applyInitial() {
-	for _, e := range d.replica.Set() {
+	for _, e := range d.replica.Active() {
 		d.log.Info("directive: in force from the start", "key", string(e.Key), "version", e.Version)
 	}
-	d.apply(d.replica.Set())
+	d.apply(d.replica.Active())
 }
 
 // apply puts entries in force in this process.
@@ -141,11 +141,11 @@
 
 // share has this process take its part of what the rules and the platform count for the scheduler: descriptors and memory
 // are divided among the processes that live, and the slow-start budgets are the latest one's.
-func (d *directives) updateProcesses(others replica.Others) {
-	d.log.Info("other processes of this scheduler", "alive", others.Alive, "successor", others.Successor)
+func (d *directives) updateProcesses(others replica.OtherProcesses) {
+	d.log.Info("other processes of this scheduler", "alive", others.Alive, "successor", others.HasSuccessor)
 	d.front.DivideLimits(1 + others.Alive)
 	ApplyLimits(d.front.Limits())
-	d.core.SetSlowStartElsewhere(others.Successor)
+	d.core.SetSlowStartElsewhere(others.HasSuccessor)
 }
 
 // Change implements admin.Directives. What keeps work away is in force in this process at once, whatever the folder
@@ -158,13 +158,15 @@
 }
 
 // Known implements admin.Directives: a worker that discovery lists, or that is out by hand.
-func (d *directives) Known(worker string) bool { return d.disabled[worker] || d.core.IsListed(worker) }
+func (d *directives) IsKnownWorker(worker string) bool {
+	return d.disabled[worker] || d.core.IsListed(worker)
+}
 
 // Failures implements admin.Directives.
 func (d *directives) Failures() uint64 { return d.replica.Failures() }
 
 // hasSuccessor tells whether a later process of this scheduler lives and listens. It reads files: not for the loop.
-func (d *directives) hasSuccessor() bool { return d.replica.Successor() }
+func (d *directives) hasSuccessor() bool { return d.replica.HasSuccessor() }
 
 // generation names this process in the log.
 func (d *directives) generation() string { return fmt.Sprintf("%08d", d.replica.Generation()) }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -96,7 +96,7 @@
 	if err := writePIDFile(g.Conf); err != nil {
 		g.log.Warn("a predecessor of an older version will not know of this process", "error", err)
 	}
-	g.directives.replica.Serving()
+	g.directives.replica.MarkServing()
 	g.directives.replica.Run()
 	return nil
 }
--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -32,7 +32,7 @@
 		n += f.conf.HTTP2.MaxConnections
 	}
 	if f.conf.Admin != "" {
-		n += admin.MostCalls
+		n += admin.MaxConnections
 	}
 	return n
 }
--- a/internal/platform/departed.go
+++ b/internal/platform/departed.go
@@ -32,7 +32,7 @@
 			w.lastListed, w.removedAt = p.listUpdates, 0
 		}
 	}
-	if !update.Whole {
+	if !update.IsSnapshot {
 		return
 	}
 	for _, w := range p.workers {
--- a/internal/platform/departed_test.go
+++ b/internal/platform/departed_test.go
@@ -14,7 +14,7 @@
 
 // listOf is an update with so many workers from the given number on, all in one state.
 func workerUpdate(whole bool, state rules.WorkerState, from, count int) *discovery.Update {
-	u := &discovery.Update{Whole: whole}
+	u := &discovery.Update{IsSnapshot: whole}
 	for i := from; i < from+count; i++ {
 		u.Workers = append(u.Workers, core.ListedWorker{Name: fmt.Sprint("w-", i), State: state})
 		u.Addresses = append(u.Addresses, "127.0.0.1:1")
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -75,9 +75,9 @@
 	watch         *discoveryWatch
 	shutdownTimes shutdownSchedule
 
-	listLimits      discovery.Limits // of what discovery sends
-	workerStarts    discovery.Starts // of the workers
-	hasReceivedList bool             // discovery has told what there was before we ran
+	listLimits      discovery.Limits     // of what discovery sends
+	workerStarts    discovery.StartTimes // of the workers
+	hasReceivedList bool                 // discovery has told what there was before we ran
 
 	peers *peers // nil: there are none to talk to
 
@@ -140,7 +140,7 @@
 		}
 		list = &discovery.Update{}
 	}
-	f.workerStarts.Settle(list, f.loop.Now(), true)
+	f.workerStarts.Resolve(list, f.loop.Now(), true)
 	f.pool.updateWorkers(list)
 	f.core.UpdateWorkerList(f, rules.ListCached, list.Workers)
 	f.watch = newDiscoveryWatch(f, f.conf.Discovery, list.Version)
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -12,7 +12,7 @@
 type discoveryStream struct {
 	watch      *discoveryWatch
 	link       *link.Link
-	answers    *discovery.Answers
+	answers    *discovery.ResponseReader
 	lines      []discovery.Line // of the present read
 	watchBegun bool             // the answer to the watch has begun, as the watch was told
 }
@@ -27,26 +27,26 @@
 
 func newDiscoveryStream(w *discoveryWatch, l *link.Link) *discoveryStream {
 	s := &discoveryStream{watch: w, link: l}
-	s.answers = discovery.NewAnswers(w.needsFullList, w.f.listFormat(), w.f.listLimits, func(line discovery.Line) {
+	s.answers = discovery.NewResponseReader(w.needsFullList, w.f.listFormat(), w.f.listLimits, func(line discovery.Line) {
 		s.lines = append(s.lines, line)
 	})
 	return s
 }
 
 // listFormat tells how the words of discovery's lists are read.
-func (f *Front) listFormat() discovery.Format {
-	return discovery.Format{Names: &f.conf.Names, FromUnix: f.loop.FromUnixMilli}
+func (f *Front) listFormat() discovery.Mapping {
+	return discovery.Mapping{Names: &f.conf.Names, FromUnix: f.loop.FromUnixMilli}
 }
 
 // read runs on a goroutine of netpoll's. The next read waits until the loop has taken what this one came to.
 func (s *discoveryStream) read() error {
 	var r readResult
 	return s.link.Read(s.watch.f.loop, func(buf []byte) (size, need int, fault bool) {
-		size, need, r.err = s.answers.Take(buf)
+		size, need, r.err = s.answers.Consume(buf)
 		r.lines, s.lines = s.lines, nil
-		r.isPartial = s.answers.Partial()
-		r.watchBegun = s.answers.Watching() && !s.watchBegun
-		s.watchBegun = s.answers.Watching()
+		r.isPartial = s.answers.IsPartial()
+		r.watchBegun = s.answers.IsWatching() && !s.watchBegun
+		s.watchBegun = s.answers.IsWatching()
 		return size, need, r.err != nil
 	}, func() { s.handleResult(&r) })
 }
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -202,7 +202,7 @@
 	l.Send(w.f.loop, link.Outgoing{Message: http1.AppendRequest(nil, "GET", target, w.address, -1, nil)})
 	w.answerBegun = false
 	w.callCount++
-	w.awaitAnswer(l, w.callCount, w.stream.answers.Decoded())
+	w.awaitAnswer(l, w.callCount, w.stream.answers.DecodedEndpoints())
 }
 
 // awaitAnswer ends a call whose answer has not begun in time. That of the whole list has when the list has come; as long
@@ -212,7 +212,7 @@
 		if l != w.link || call != w.callCount || w.answerBegun {
 			return
 		}
-		if now := w.stream.answers.Decoded(); now > decoded {
+		if now := w.stream.answers.DecodedEndpoints(); now > decoded {
 			w.awaitAnswer(l, call, now)
 			return
 		}
@@ -263,8 +263,8 @@
 	l, now := w.link, w.f.loop.Now()
 	switch {
 	case l == nil || l.ClosedLocally || l.Ended:
-	case w.stream.answers.Decoded() != w.decodedEndpoints: // a list goes on
-		w.decodedEndpoints, w.lastDecoded, w.stalledSince = w.stream.answers.Decoded(), now, 0
+	case w.stream.answers.DecodedEndpoints() != w.decodedEndpoints: // a list goes on
+		w.decodedEndpoints, w.lastDecoded, w.stalledSince = w.stream.answers.DecodedEndpoints(), now, 0
 	case !w.hasPartialLine && l.Conn.Reader().Len() == 0:
 		w.stalledSince = 0
 	case w.stalledSince == 0:
@@ -315,7 +315,7 @@
 	if update == nil && err == nil {
 		return false
 	}
-	if err == nil && w.needsFullList && !update.Whole {
+	if err == nil && w.needsFullList && !update.IsSnapshot {
 		err = errors.New("not the whole list, which was asked for")
 	}
 	if err != nil {
@@ -323,11 +323,11 @@
 		return false
 	}
 	w.version, w.needsFullList = update.Version, false
-	w.f.workerStarts.Settle(update, w.f.loop.Now(), !w.f.hasReceivedList)
+	w.f.workerStarts.Resolve(update, w.f.loop.Now(), !w.f.hasReceivedList)
 	w.f.hasReceivedList = true
 	w.f.pool.updateWorkers(update)
 	form := rules.ListDelta
-	if update.Whole {
+	if update.IsSnapshot {
 		form = rules.ListFull
 	}
 	w.f.core.UpdateWorkerList(w.f, form, update.Workers)
--- a/internal/replica/files.go
+++ b/internal/replica/files.go
@@ -12,9 +12,9 @@
 )
 
 // Files is what a Replica asks of the file system. Errors are the system's; a missing file is fs.ErrNotExist.
-type Files interface {
+type FileSystem interface {
 	// MakeFolder makes a folder, not those above it; one that is there is no error.
-	MakeFolder(path string) error
+	Mkdir(path string) error
 	// List gives the names in a folder.
 	List(path string) ([]string, error)
 	Read(path string) ([]byte, error)
@@ -28,23 +28,23 @@
 	// Lock makes a file that was not there (else fs.ErrExist) and locks it until Unlock or the end of the process.
 	Lock(path string) (Lock, error)
 	// Locked tells whether a process that lives holds the lock of a file.
-	Locked(path string) (bool, error)
+	IsLocked(path string) (bool, error)
 }
 
 // Lock is a lock that this process holds.
 type Lock interface{ Unlock() }
 
 const (
-	folderMode = 0o700
-	fileMode   = 0o600
+	dirMode  = 0o700
+	fileMode = 0o600
 )
 
 // System is the file system of the machine.
-type System struct{}
+type OSFileSystem struct{}
 
 // MakeFolder implements Files.
-func (System) MakeFolder(path string) error {
-	err := os.Mkdir(path, folderMode)
+func (OSFileSystem) Mkdir(path string) error {
+	err := os.Mkdir(path, dirMode)
 	if errors.Is(err, fs.ErrExist) {
 		return nil
 	}
@@ -52,7 +52,7 @@
 }
 
 // List implements Files.
-func (System) List(path string) ([]string, error) {
+func (OSFileSystem) List(path string) ([]string, error) {
 	folder, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -62,10 +62,10 @@
 }
 
 // Read implements Files.
-func (System) Read(path string) ([]byte, error) { return os.ReadFile(path) }
+func (OSFileSystem) Read(path string) ([]byte, error) { return os.ReadFile(path) }
 
 // Replace implements Files by a temporary file beside path, which is synced and renamed.
-func (System) Replace(path string, text []byte) error {
+func (OSFileSystem) Replace(path string, text []byte) error {
 	temporary := strings.TrimSuffix(path, filepath.Ext(path)) + temporaryExtension
 	if err := writeSynced(temporary, text); err != nil {
 		return err
@@ -98,7 +98,7 @@
 }
 
 // Remove implements Files.
-func (System) Remove(path string) error {
+func (OSFileSystem) Remove(path string) error {
 	err := os.Remove(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -113,7 +113,7 @@
 
 // Lock implements Files by flock: the kernel lets it go with the process, however that ends. The file holds the
 // process's id for systems that know no flock.
-func (System) Lock(path string) (Lock, error) {
+func (OSFileSystem) Lock(path string) (Lock, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_EXCL, fileMode)
 	if err != nil {
 		return nil, err
@@ -151,7 +151,7 @@
 }
 
 // Locked implements Files. Where the system knows no flock the process's id in the file tells.
-func (System) Locked(path string) (bool, error) {
+func (OSFileSystem) IsLocked(path string) (bool, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return false, err
@@ -163,11 +163,11 @@
 	case errors.Is(err, unix.EWOULDBLOCK):
 		return true, nil
 	}
-	return ownerLives(path), nil
+	return isOwnerAlive(path), nil
 }
 
 // RemoveUnlocked implements Files. The lock is held meanwhile, so that nobody else can come to hold it.
-func (s System) RemoveUnlocked(lock string, others ...string) error {
+func (s OSFileSystem) RemoveUnlocked(lock string, others ...string) error {
 	file, err := os.Open(lock)
 	if err == nil {
 		defer file.Close()
@@ -176,7 +176,7 @@
 	switch {
 	case errors.Is(err, unix.EWOULDBLOCK):
 		return nil
-	case err != nil && !errors.Is(err, fs.ErrNotExist) && ownerLives(lock):
+	case err != nil && !errors.Is(err, fs.ErrNotExist) && isOwnerAlive(lock):
 		return nil
 	}
 	for _, path := range append(others, lock) {
@@ -187,7 +187,7 @@
 	return nil
 }
 
-func ownerLives(path string) bool {
+func isOwnerAlive(path string) bool {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return false
--- a/internal/replica/format.go
+++ b/internal/replica/format.go
@@ -23,16 +23,16 @@
 // spoilt later, is known and left out; the others stand.
 const magic = "cobaltflow-directives 1"
 
-var errOtherFormat = errors.New("not a file of directives in a form known here")
+var errUnknownFormat = errors.New("not a file of directives in a form known here")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // snapshot is what a process's file says.
 type snapshot struct {
-	serving bool // it listens at the scheduler's addresses
-	set     directive.Set
-	bad     int  // lines that were spoilt, or entries over the bound, and left out
-	whole   bool // the file came to its end
+	serving  bool // it listens at the scheduler's addresses
+	set      directive.Set
+	badLines int  // lines that were spoilt, or entries over the bound, and left out
+	complete bool // the file came to its end
 }
 
 func encode(serving bool, set *directive.Set) []byte {
@@ -64,19 +64,19 @@
 func decode(text []byte) (*snapshot, error) {
 	head, rest, _ := strings.Cut(string(text), "\n")
 	if head != magic {
-		return nil, errOtherFormat
+		return nil, errUnknownFormat
 	}
 	s := &snapshot{}
 	for line := range strings.Lines(rest) {
-		if !s.take(strings.TrimSuffix(line, "\n")) {
-			s.bad++
+		if !s.parseLine(strings.TrimSuffix(line, "\n")) {
+			s.badLines++
 		}
 	}
 	return s, nil
 }
 
 // take reads one line and tells whether it was good.
-func (s *snapshot) take(line string) bool {
+func (s *snapshot) parseLine(line string) bool {
 	sum, text, _ := strings.Cut(line, " ")
 	if want, err := strconv.ParseUint(sum, 16, 32); err != nil || len(sum) != 8 || uint32(want) != crc32.Checksum([]byte(text), castagnoli) {
 		return false
@@ -91,15 +91,15 @@
 		s.set.Observe(clock)
 		return err == nil
 	case "entry":
-		return s.takeEntry(value)
+		return s.parseEntry(value)
 	case "end":
-		s.whole = value == strconv.Itoa(s.set.Len())
-		return s.whole
+		s.complete = value == strconv.Itoa(s.set.Len())
+		return s.complete
 	}
 	return false
 }
 
-func (s *snapshot) takeEntry(value string) bool {
+func (s *snapshot) parseEntry(value string) bool {
 	fields := strings.SplitN(value, " ", 3)
 	if len(fields) != 3 {
 		return false
--- a/internal/replica/names.go
+++ b/internal/replica/names.go
@@ -22,7 +22,7 @@
 )
 
 func (r *Replica) path(generation int, extension string) string {
-	return filepath.Join(r.Folder, fmt.Sprintf("%08d%s", generation, extension))
+	return filepath.Join(r.Dir, fmt.Sprintf("%08d%s", generation, extension))
 }
 
 // generations finds whose files are in the folder. Other names are let be.
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -26,23 +26,23 @@
 const (
 	// WithCalls is the period of a process that takes operators' calls: a change told to one process is in force in the
 	// other after it at the latest, and is not answered before.
-	WithCalls = 50 * time.Millisecond
+	PollPeriodWithAdmin = 50 * time.Millisecond
 	// WithoutCalls is the period of a process that has no operators' address.
-	WithoutCalls = 250 * time.Millisecond
+	PollPeriodWithoutAdmin = 250 * time.Millisecond
 
-	whileWaiting = 5 * time.Millisecond // while a change waits for its files
+	pollPeriodWhilePending = 5 * time.Millisecond // while a change waits for its files
 	// quietFailures is how long failures of the folder go on before the next line of the log tells of them.
-	quietFailures = 10 * time.Second
-	awaitLook     = 20 * time.Millisecond // between the looks of Await
-	joinTries     = 64                    // generations and looks tried at the start
-	mostChanges   = 256                   // changes that may wait; over it one is refused with ErrBusy
+	failureLogPeriod  = 10 * time.Second
+	awaitPollPeriod   = 20 * time.Millisecond // between the looks of Await
+	maxJoinAttempts   = 64                    // generations and looks tried at the start
+	maxPendingChanges = 256                   // changes that may wait; over it one is refused with ErrBusy
 )
 
 // Errors of a change. Except for ErrBusy and directive.ErrFull the change is in force in this process all the same, and
 // goes on being written.
 var (
 	// ErrNotKept: the file could not be written in time. A kill of this process would lose the change.
-	ErrNotKept = errors.New("in force, but not yet kept across a restart")
+	ErrNotPersisted = errors.New("in force, but not yet kept across a restart")
 	// ErrNotConfirmed: another process of this scheduler lives and has not taken the change over in time.
 	ErrNotConfirmed = errors.New("in force and kept, but not yet confirmed by the scheduler's other process")
 	ErrBusy         = errors.New("too many changes are waiting")
@@ -50,22 +50,22 @@
 
 // Options of a Replica.
 type Options struct {
-	Folder string        // made if it is missing; what stands above it is not
-	Period time.Duration // of the look at the folder; 0: WithCalls
-	Files  Files         // nil: the machine's
-	Log    *slog.Logger
+	Dir        string        // made if it is missing; what stands above it is not
+	PollPeriod time.Duration // of the look at the folder; 0: WithCalls
+	FileSystem FileSystem    // nil: the machine's
+	Log        *slog.Logger
 	// Apply takes over directives that were changed here or elsewhere. It is called from the replica's goroutine, before
 	// the change is written or answered, and must not block.
 	Apply func([]directive.Entry)
 	// Others is called from the replica's goroutine when other processes of the scheduler have come or gone; nil: nobody
 	// wants to know.
-	Others func(Others)
+	OnProcessesChanged func(OtherProcesses)
 }
 
 // Others are the scheduler's other processes that live.
-type Others struct {
-	Alive     int
-	Successor bool // one of them was started later, and listens
+type OtherProcesses struct {
+	Alive        int
+	HasSuccessor bool // one of them was started later, and listens
 }
 
 // Replica is this process's copy of the directives. Its methods may be called from any goroutine.
@@ -78,45 +78,45 @@
 	failures atomic.Uint64
 
 	// What follows is the goroutine's, and Open's before it.
-	generation int
-	lock       Lock
-	set        directive.Set
-	peers      map[int]*peer
-	others     Others
-	informed   bool                   // a look has succeeded
-	unseen     map[directive.Key]bool // what was told here before that, the last state of each
-	alone      bool                   // the last look found no other generation
-	dirty      bool                   // the file lacks something of the set
-	wasServing bool                   // as the file says
-	waiting    []*change
-	failing    bool
-	failingAt  time.Duration // the first of the failures at hand, or when they were last logged
-	strange    map[int]bool
+	generation        int
+	lock              Lock
+	set               directive.Set
+	peers             map[int]*peer
+	reportedProcesses OtherProcesses
+	hasScanned        bool                   // a look has succeeded
+	changedBeforeScan map[directive.Key]bool // what was told here before that, the last state of each
+	alone             bool                   // the last look found no other generation
+	dirty             bool                   // the file lacks something of the set
+	writtenServing    bool                   // as the file says
+	pending           []*change
+	isFailing         bool
+	failureLoggedAt   time.Duration // the first of the failures at hand, or when they were last logged
+	invalidLogged     map[int]bool
 }
 
 // change is a directive that is being told.
 type change struct {
-	key    directive.Key
-	on     bool
-	entry  directive.Entry
-	taken  bool
-	kept   bool
-	at     uint64        // when it was told, by the machine's clock
-	until  time.Duration // by the monotonic clock; 0: it was refused
-	answer func(error)
+	key       directive.Key
+	on        bool
+	entry     directive.Entry
+	applied   bool
+	persisted bool
+	changedAt uint64        // when it was told, by the machine's clock
+	deadline  time.Duration // by the monotonic clock; 0: it was refused
+	done      func(error)
 }
 
 // Open joins the processes of a folder and takes over what they hold. A folder that can't be used is no reason not to
 // start: the error is for the log, and the replica goes on trying.
 func Open(o Options) (*Replica, error) {
-	if o.Files == nil {
-		o.Files = System{}
+	if o.FileSystem == nil {
+		o.FileSystem = OSFileSystem{}
 	}
-	if o.Period == 0 {
-		o.Period = WithCalls
+	if o.PollPeriod == 0 {
+		o.PollPeriod = PollPeriodWithAdmin
 	}
-	r := &Replica{Options: o, changes: make(chan *change, mostChanges), stop: make(chan struct{}), dirty: true,
-		peers: map[int]*peer{}, unseen: map[directive.Key]bool{}, strange: map[int]bool{}}
+	r := &Replica{Options: o, changes: make(chan *change, maxPendingChanges), stop: make(chan struct{}), dirty: true,
+		peers: map[int]*peer{}, changedBeforeScan: map[directive.Key]bool{}, invalidLogged: map[int]bool{}}
 	err := r.join()
 	if err == nil {
 		err = r.write()
@@ -127,8 +127,8 @@
 // join takes a generation of its own (list does) and then reads the others', in this order: a process that changes something from
 // then on finds us and waits for us, and what was changed before is found by us.
 func (r *Replica) join() error {
-	for range joinTries {
-		_, vanished, err := r.look()
+	for range maxJoinAttempts {
+		_, vanished, err := r.scan()
 		if err != nil || !vanished {
 			return err
 		}
@@ -138,9 +138,9 @@
 
 // Await tries on to take over what the other processes hold, where Open could not, and gives the last error when that did
 // not come about within the time. It is for the time between Open and Run.
-func (r *Replica) Await(within time.Duration) error {
+func (r *Replica) AwaitFirstScan(within time.Duration) error {
 	until := clock.Monotonic() + within
-	for !r.informed {
+	for !r.hasScanned {
 		err := r.join()
 		if err == nil {
 			return r.write()
@@ -148,7 +148,7 @@
 		if clock.Monotonic() >= until {
 			return err
 		}
-		time.Sleep(awaitLook)
+		time.Sleep(awaitPollPeriod)
 	}
 	return nil
 }
@@ -160,16 +160,16 @@
 		r.lock = nil
 	}
 	var err error
-	for range joinTries {
+	for range maxJoinAttempts {
 		var names []string
-		if names, err = r.Files.List(r.Folder); err != nil {
+		if names, err = r.FileSystem.List(r.Dir); err != nil {
 			return err
 		}
 		next := max(r.generation, 1)
 		for generation := range generations(names) {
 			next = max(next, generation+1)
 		}
-		if r.lock, err = r.Files.Lock(r.path(next, lockExtension)); err == nil {
+		if r.lock, err = r.FileSystem.Lock(r.path(next, lockExtension)); err == nil {
 			r.generation, r.dirty = next, true
 			return nil
 		}
@@ -178,7 +178,7 @@
 }
 
 // Set gives the directives that are on; it is for the time between Open and Run.
-func (r *Replica) Set() (on []directive.Entry) {
+func (r *Replica) Active() (on []directive.Entry) {
 	for _, e := range r.set.Entries() {
 		if e.On {
 			on = append(on, e)
@@ -205,7 +205,7 @@
 func (r *Replica) Generation() int { return r.generation }
 
 // Serving notes that this process listens at the scheduler's addresses: from now on it is a successor to those before.
-func (r *Replica) Serving() { r.serving.Store(true) }
+func (r *Replica) MarkServing() { r.serving.Store(true) }
 
 // Failures counts the looks and writes that failed.
 func (r *Replica) Failures() uint64 { return r.failures.Load() }
@@ -217,7 +217,7 @@
 // kept by, every process of the scheduler, or with the reason why that is not known within the time. It is not called
 // after Close.
 func (r *Replica) Change(key directive.Key, on bool, within time.Duration, answer func(error)) {
-	c := &change{key: key, on: on, at: clock.MachineMicros(), until: clock.Monotonic() + within, answer: answer}
+	c := &change{key: key, on: on, changedAt: clock.MachineMicros(), deadline: clock.Monotonic() + within, done: answer}
 	select {
 	case r.changes <- c:
 	default:
@@ -229,16 +229,16 @@
 func (r *Replica) Close() {
 	close(r.stop)
 	r.stopped.Wait()
-	mayGo := r.mayGo()
+	mayGo := r.canRemoveFiles()
 	if r.lock != nil {
 		r.lock.Unlock()
 	}
 	if !mayGo {
 		return
 	}
-	r.remove(r.generation)
+	r.removeFiles(r.generation)
 	if r.alone {
-		r.Files.Remove(r.Folder)
+		r.FileSystem.Remove(r.Dir)
 	}
 }
 
@@ -250,14 +250,14 @@
 		case <-r.stop:
 			return
 		case c := <-r.changes:
-			r.waiting = append(r.waiting, c)
+			r.pending = append(r.pending, c)
 		case <-timer.C:
 		}
 		r.step()
-		if len(r.waiting) > 0 {
-			timer.Reset(whileWaiting)
+		if len(r.pending) > 0 {
+			timer.Reset(pollPeriodWhilePending)
 		} else {
-			timer.Reset(r.Period)
+			timer.Reset(r.PollPeriod)
 		}
 	}
 }
@@ -265,68 +265,68 @@
 // step looks at the folder, makes the changes that wait, writes, and answers.
 func (r *Replica) step() {
 	for len(r.changes) > 0 {
-		r.waiting = append(r.waiting, <-r.changes)
+		r.pending = append(r.pending, <-r.changes)
 	}
-	news, _, err := r.look()
+	news, _, err := r.scan()
 	looked := err == nil
-	news = append(news, r.makeChanges()...)
+	news = append(news, r.applyChanges()...)
 	if len(news) > 0 {
 		r.Apply(news)
 	}
-	if looked && r.alone && len(r.waiting) == 0 && r.set.Prune() {
+	if looked && r.alone && len(r.pending) == 0 && r.set.Prune() {
 		r.dirty = true
 	}
-	if r.dirty || r.wasServing != r.serving.Load() {
+	if r.dirty || r.writtenServing != r.serving.Load() {
 		err = errors.Join(err, r.write())
 	}
 	if looked && !r.dirty {
 		r.removeDead()
 	}
 	if looked {
-		r.tellOthers()
+		r.reportProcesses()
 	}
-	r.note(err)
-	r.answerChanges(looked)
+	r.recordResult(err)
+	r.completeChanges(looked)
 }
 
 // tellOthers tells of the other processes when that has changed.
-func (r *Replica) tellOthers() {
-	var now Others
+func (r *Replica) reportProcesses() {
+	var now OtherProcesses
 	for generation, p := range r.peers {
 		if p.alive {
 			now.Alive++
-			now.Successor = now.Successor || generation > r.generation && p.snap != nil && p.snap.serving
+			now.HasSuccessor = now.HasSuccessor || generation > r.generation && p.snap != nil && p.snap.serving
 		}
 	}
-	if now != r.others && r.Others != nil {
-		r.Others(now)
+	if now != r.reportedProcesses && r.OnProcessesChanged != nil {
+		r.OnProcessesChanged(now)
 	}
-	r.others = now
+	r.reportedProcesses = now
 }
 
 // makeChanges gives a version to the changes that have none yet. After a look that is over all that was told at another
 // process before. Where the look failed, the time of the call has to do that: a process that has never seen the folder
 // would count from 1, below what was told long before.
-func (r *Replica) makeChanges() (news []directive.Entry) {
-	for _, c := range r.waiting {
-		if c.taken {
+func (r *Replica) applyChanges() (news []directive.Entry) {
+	for _, c := range r.pending {
+		if c.applied {
 			continue
 		}
-		c.taken = true
-		entry, err := r.set.Change(c.key, c.on, c.at)
+		c.applied = true
+		entry, err := r.set.Change(c.key, c.on, c.changedAt)
 		news = append(news, entry) // after an error: what stood before stands
 		if err != nil {
-			c.answer(err)
-			c.until = 0
+			c.done(err)
+			c.deadline = 0
 			continue
 		}
 		c.entry, r.dirty = entry, true
-		if !r.informed {
-			r.unseen[c.key] = c.on
+		if !r.hasScanned {
+			r.changedBeforeScan[c.key] = c.on
 		}
 		r.Log.Info("directive: changed", "key", string(c.key), "on", c.on, "version", entry.Version, "generation", r.generation)
 	}
-	r.waiting = slices.DeleteFunc(r.waiting, func(c *change) bool { return c.until == 0 })
+	r.pending = slices.DeleteFunc(r.pending, func(c *change) bool { return c.deadline == 0 })
 	return news
 }
 
@@ -336,29 +336,29 @@
 		return fs.ErrNotExist
 	}
 	serving := r.serving.Load()
-	if err := r.Files.Replace(r.path(r.generation, setExtension), encode(serving, &r.set)); err != nil {
+	if err := r.FileSystem.Replace(r.path(r.generation, setExtension), encode(serving, &r.set)); err != nil {
 		return err
 	}
-	r.dirty, r.wasServing = false, serving
-	for _, c := range r.waiting {
-		c.kept = c.kept || c.taken
+	r.dirty, r.writtenServing = false, serving
+	for _, c := range r.pending {
+		c.persisted = c.persisted || c.applied
 	}
 	return nil
 }
 
 // answerChanges answers the changes that all processes have, and those whose time is over.
-func (r *Replica) answerChanges(looked bool) {
+func (r *Replica) completeChanges(looked bool) {
 	now := clock.Monotonic()
-	r.waiting = slices.DeleteFunc(r.waiting, func(c *change) bool {
+	r.pending = slices.DeleteFunc(r.pending, func(c *change) bool {
 		switch {
-		case looked && c.kept && r.confirmed(c.entry):
-			c.answer(nil)
-		case now < c.until:
+		case looked && c.persisted && r.isConfirmed(c.entry):
+			c.done(nil)
+		case now < c.deadline:
 			return false
-		case !c.kept:
-			c.answer(ErrNotKept)
+		case !c.persisted:
+			c.done(ErrNotPersisted)
 		default:
-			c.answer(ErrNotConfirmed)
+			c.done(ErrNotConfirmed)
 		}
 		return true
 	})
@@ -366,12 +366,12 @@
 
 // mayGo tells whether nobody would miss our files at the end: nothing is in force, or another process that lives holds
 // all of it.
-func (r *Replica) mayGo() bool {
-	if _, _, err := r.look(); err != nil {
+func (r *Replica) canRemoveFiles() bool {
+	if _, _, err := r.scan(); err != nil {
 		return false
 	}
 	for _, e := range r.set.Entries() {
-		if (e.On || !r.alone) && !r.heldElsewhere(e) {
+		if (e.On || !r.alone) && !r.isHeldByPeer(e) {
 			return false
 		}
 	}
@@ -379,16 +379,16 @@
 }
 
 // note counts a failure of the folder, and logs the first and then one each quietFailures; and the end of them.
-func (r *Replica) note(err error) {
+func (r *Replica) recordResult(err error) {
 	switch {
-	case err == nil && r.failing:
+	case err == nil && r.isFailing:
 		r.Log.Info("directive: the folder can be used again", "failures", r.failures.Load())
-		r.failing = false
+		r.isFailing = false
 	case err != nil:
 		n := r.failures.Add(1)
-		if now := clock.Monotonic(); !r.failing || now-r.failingAt > quietFailures {
+		if now := clock.Monotonic(); !r.isFailing || now-r.failureLoggedAt > failureLogPeriod {
 			r.Log.Warn("directive: the folder can't be used, it is tried again", "error", err, "failures", n)
-			r.failing, r.failingAt = true, now
+			r.isFailing, r.failureLoggedAt = true, now
 		}
 	}
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -22,7 +22,7 @@
 
 const patience = 10 * time.Second
 
-var workerA, workerB = directive.WorkerOut("s-a"), directive.WorkerOut("s-b")
+var workerA, workerB = directive.WorkerDisabled("s-a"), directive.WorkerDisabled("s-b")
 
 // process is a replica as a process of a scheduler has it, with what it was told to go by.
 type process struct {
@@ -31,10 +31,10 @@
 	mu    sync.Mutex
 	log   bytes.Buffer
 	force map[directive.Key]bool
-	seen  Others
+	seen  OtherProcesses
 }
 
-func (p *process) sees(o Others) bool {
+func (p *process) sees(o OtherProcesses) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.seen == o
@@ -58,17 +58,17 @@
 	return p.force[key]
 }
 
-func open(t *testing.T, folder string, files Files) *process {
+func open(t *testing.T, folder string, files FileSystem) *process {
 	p := &process{t: t, force: map[directive.Key]bool{}}
 	var err error
-	p.Replica, err = Open(Options{Folder: folder, Files: files, Log: slog.New(slog.NewTextHandler(p, nil)),
+	p.Replica, err = Open(Options{Dir: folder, FileSystem: files, Log: slog.New(slog.NewTextHandler(p, nil)),
 		Apply: func(entries []directive.Entry) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			for _, e := range entries {
 				p.force[e.Key] = e.On
 			}
-		}, Others: func(o Others) {
+		}, OnProcessesChanged: func(o OtherProcesses) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.seen = o
@@ -76,14 +76,14 @@
 	if files == nil {
 		require.NoError(t, err)
 	}
-	for _, e := range p.Set() {
+	for _, e := range p.Active() {
 		p.force[e.Key] = true
 	}
 	return p
 }
 
 // start opens a process's replica and runs it until the test ends.
-func start(t *testing.T, folder string, files Files) *process {
+func start(t *testing.T, folder string, files FileSystem) *process {
 	p := open(t, folder, files)
 	p.Run()
 	t.Cleanup(func() {
@@ -126,7 +126,7 @@
 	folder := folderOf(t)
 	all := []*process{start(t, folder, nil), start(t, folder, nil), start(t, folder, nil)}
 	for i := range 12 {
-		key, on := directive.WorkerOut(strconv.Itoa(i%2)), i/2%2 == 0
+		key, on := directive.WorkerDisabled(strconv.Itoa(i%2)), i/2%2 == 0
 		require.NoError(t, all[i%3].change(key, on, patience))
 		for n, p := range all {
 			assert.Equal(t, on, p.inForce(key), "process %d after change %d", n, i)
@@ -178,7 +178,7 @@
 
 // faultyFiles has calls fail as long as a fault is set, and counts all calls by name.
 type faultyFiles struct {
-	System
+	OSFileSystem
 	mu     sync.Mutex
 	faults map[string]error
 	half   bool // a write that fails leaves half of its text in the temporary file
@@ -207,25 +207,25 @@
 	return maps.Clone(f.counts)
 }
 
-func (f *faultyFiles) MakeFolder(path string) error {
+func (f *faultyFiles) Mkdir(path string) error {
 	if err := f.called("mkdir"); err != nil {
 		return err
 	}
-	return f.System.MakeFolder(path)
+	return f.OSFileSystem.Mkdir(path)
 }
 
 func (f *faultyFiles) List(path string) ([]string, error) {
 	if err := f.called("list"); err != nil {
 		return nil, err
 	}
-	return f.System.List(path)
+	return f.OSFileSystem.List(path)
 }
 
 func (f *faultyFiles) Read(path string) ([]byte, error) {
 	if err := f.called("read"); err != nil {
 		return nil, err
 	}
-	return f.System.Read(path)
+	return f.OSFileSystem.Read(path)
 }
 
 func (f *faultyFiles) Replace(path string, text []byte) error {
@@ -235,14 +235,14 @@
 		}
 		return err
 	}
-	return f.System.Replace(path, text)
+	return f.OSFileSystem.Replace(path, text)
 }
 
 func (f *faultyFiles) Lock(path string) (Lock, error) {
 	if err := f.called("lock"); err != nil {
 		return nil, err
 	}
-	return f.System.Lock(path)
+	return f.OSFileSystem.Lock(path)
 }
 
 // A write that fails is tried again, counted and logged; the caller has no yes before it has come through.
@@ -252,7 +252,7 @@
 			folder, files := folderOf(t), &faultyFiles{}
 			p := start(t, folder, files)
 			files.set(map[string]error{"replace": fault})
-			assert.ErrorIs(t, p.change(workerA, true, 30*time.Millisecond), ErrNotKept)
+			assert.ErrorIs(t, p.change(workerA, true, 30*time.Millisecond), ErrNotPersisted)
 			assert.True(t, p.inForce(workerA))
 			assert.Positive(t, p.Failures())
 			assert.True(t, p.logged(fault.Error()))
@@ -277,7 +277,7 @@
 		t.Run(call+" from the start", func(t *testing.T) {
 			files := &faultyFiles{faults: map[string]error{call: syscall.EIO}}
 			p := start(t, folderOf(t), files)
-			assert.ErrorIs(t, p.change(workerA, true, 30*time.Millisecond), ErrNotKept)
+			assert.ErrorIs(t, p.change(workerA, true, 30*time.Millisecond), ErrNotPersisted)
 			assert.True(t, p.inForce(workerA))
 			files.set(nil)
 			assert.NoError(t, p.change(workerA, true, patience))
@@ -315,9 +315,9 @@
 func TestAwaitEndsWithTheFoldersReturn(t *testing.T) {
 	files := &faultyFiles{faults: map[string]error{"list": syscall.EIO}}
 	p := open(t, folderOf(t), files)
-	assert.ErrorIs(t, p.Await(30*time.Millisecond), syscall.EIO)
+	assert.ErrorIs(t, p.AwaitFirstScan(30*time.Millisecond), syscall.EIO)
 	time.AfterFunc(30*time.Millisecond, func() { files.set(nil) })
-	assert.NoError(t, p.Await(patience))
+	assert.NoError(t, p.AwaitFirstScan(patience))
 	assert.Positive(t, p.Generation())
 	p.lock.Unlock()
 }
@@ -326,10 +326,10 @@
 func TestAFolderThatIsAwayForAWhile(t *testing.T) {
 	above := t.TempDir()
 	state := filepath.Join(above, "state")
-	require.NoError(t, os.Mkdir(state, folderMode))
+	require.NoError(t, os.Mkdir(state, dirMode))
 	p := start(t, filepath.Join(state, "directives"), nil)
 	require.NoError(t, os.Rename(state, filepath.Join(above, "away")))
-	assert.ErrorIs(t, p.change(workerA, true, 30*time.Millisecond), ErrNotKept)
+	assert.ErrorIs(t, p.change(workerA, true, 30*time.Millisecond), ErrNotPersisted)
 	require.NoError(t, os.Rename(filepath.Join(above, "away"), state))
 	require.NoError(t, p.change(workerB, true, patience))
 	p.kill()
@@ -353,7 +353,7 @@
 			t.Run(fmt.Sprintf("out last %v, at the new process %v", outLast, freshLast), func(t *testing.T) {
 				above := t.TempDir()
 				state, away := filepath.Join(above, "state"), filepath.Join(above, "away")
-				require.NoError(t, os.Mkdir(state, folderMode))
+				require.NoError(t, os.Mkdir(state, dirMode))
 				folder := filepath.Join(state, "directives")
 				old := start(t, folder, nil)
 				for range 5 {
@@ -366,8 +366,8 @@
 				if !freshLast {
 					earlier, later = fresh, old
 				}
-				assert.ErrorIs(t, earlier.change(workerA, !outLast, 30*time.Millisecond), ErrNotKept)
-				assert.ErrorIs(t, later.change(workerA, outLast, 30*time.Millisecond), ErrNotKept)
+				assert.ErrorIs(t, earlier.change(workerA, !outLast, 30*time.Millisecond), ErrNotPersisted)
+				assert.ErrorIs(t, later.change(workerA, outLast, 30*time.Millisecond), ErrNotPersisted)
 				require.NoError(t, os.Rename(away, state))
 				require.NoError(t, old.change(workerB, false, patience))
 				require.NoError(t, fresh.change(workerB, true, patience))
@@ -386,10 +386,10 @@
 		var set directive.Set
 		_, err := set.Change(workerA, !out, 1<<62)
 		require.NoError(t, err)
-		require.NoError(t, os.Mkdir(folder, folderMode))
+		require.NoError(t, os.Mkdir(folder, dirMode))
 		require.NoError(t, os.WriteFile(filepath.Join(folder, "00000007.set"), encode(true, &set), fileMode))
 		p := start(t, folder, files)
-		require.ErrorIs(t, p.change(workerA, out, 30*time.Millisecond), ErrNotKept)
+		require.ErrorIs(t, p.change(workerA, out, 30*time.Millisecond), ErrNotPersisted)
 		files.set(nil)
 		require.NoError(t, p.change(workerB, true, patience))
 		assert.Equal(t, out, p.inForce(workerA))
@@ -419,7 +419,7 @@
 	p := start(t, folder, files)
 	require.NoError(t, p.change(workerA, true, patience))
 	files.set(map[string]error{"replace": syscall.ENOSPC})
-	require.ErrorIs(t, p.change(workerB, true, 20*time.Millisecond), ErrNotKept)
+	require.ErrorIs(t, p.change(workerB, true, 20*time.Millisecond), ErrNotPersisted)
 	p.kill()
 	after := start(t, folder, nil)
 	assert.True(t, after.inForce(workerA))
@@ -436,16 +436,16 @@
 	set.Change(workerA, true, 0)
 	set.Change(directive.Drain, true, 0)
 	set.Change(workerA, false, 0)
-	set.Change(directive.WorkerOut("a \"name\"\nof two lines"), true, 0)
+	set.Change(directive.WorkerDisabled("a \"name\"\nof two lines"), true, 0)
 	text := encode(true, &set)
 	whole, err := decode(text)
 	require.NoError(t, err)
 	assert.Equal(t, set.Entries(), whole.set.Entries())
-	assert.True(t, whole.whole && whole.serving && whole.bad == 0)
+	assert.True(t, whole.complete && whole.serving && whole.badLines == 0)
 	for cut := range len(text) {
 		if s, err := decode(text[:cut]); err == nil && cut < len(text)-1 {
-			assert.False(t, s.whole, "cut at %d", cut)
-			assert.LessOrEqual(t, s.bad, 1)
+			assert.False(t, s.complete, "cut at %d", cut)
+			assert.LessOrEqual(t, s.badLines, 1)
 			for _, e := range s.set.Entries() {
 				assert.Equal(t, set.Entry(e.Key), e, "cut at %d", cut)
 			}
@@ -513,7 +513,7 @@
 // A file in a form of another version of the program stays as it is.
 func TestAFileOfAnotherFormIsLetBe(t *testing.T) {
 	folder := folderOf(t)
-	require.NoError(t, os.Mkdir(folder, folderMode))
+	require.NoError(t, os.Mkdir(folder, dirMode))
 	path := filepath.Join(folder, "00000041.set")
 	require.NoError(t, os.WriteFile(path, []byte("cobaltflow-directives 2\nwhatever\n"), fileMode))
 	p := start(t, folder, nil)
@@ -527,8 +527,8 @@
 	folder := folderOf(t)
 	p := open(t, folder, nil)
 	var keys []directive.Key
-	for i := range directive.MostOn {
-		keys = append(keys, directive.WorkerOut(fmt.Sprintf("s-%08x", i)))
+	for i := range directive.MaxOn {
+		keys = append(keys, directive.WorkerDisabled(fmt.Sprintf("s-%08x", i)))
 	}
 	require.NoError(t, p.Import(keys))
 	p.Run()
@@ -536,7 +536,7 @@
 	assert.False(t, p.inForce(workerA))
 	p.kill()
 	after := start(t, folder, nil)
-	assert.Len(t, after.Set(), directive.MostOn)
+	assert.Len(t, after.Active(), directive.MaxOn)
 	require.NoError(t, after.change(keys[0], false, patience))
 	require.NoError(t, after.change(workerA, true, patience))
 }
@@ -544,35 +544,37 @@
 func TestSuccessorIsALaterProcessThatLivesAndListens(t *testing.T) {
 	folder := folderOf(t)
 	old := start(t, folder, nil)
-	old.Serving()
-	assert.False(t, old.Successor(), "no other process")
+	old.MarkServing()
+	assert.False(t, old.HasSuccessor(), "no other process")
 	fresh := start(t, folder, nil)
-	assert.False(t, old.Successor(), "it does not listen yet")
-	fresh.Serving()
-	eventually(t, old.Successor)
-	assert.False(t, fresh.Successor(), "the older one is no successor")
+	assert.False(t, old.HasSuccessor(), "it does not listen yet")
+	fresh.MarkServing()
+	eventually(t, old.HasSuccessor)
+	assert.False(t, fresh.HasSuccessor(), "the older one is no successor")
 	fresh.kill()
-	assert.False(t, old.Successor(), "it has ended")
+	assert.False(t, old.HasSuccessor(), "it has ended")
 	third := start(t, folder, nil)
-	third.Serving()
-	eventually(t, old.Successor)
+	third.MarkServing()
+	eventually(t, old.HasSuccessor)
 	third.Close()
-	assert.False(t, old.Successor())
+	assert.False(t, old.HasSuccessor())
 }
 
 // Each process is told who else there is, by the lock that the kernel lets go with a process.
 func TestProcessesSeeOneAnotherComeAndGo(t *testing.T) {
 	folder := folderOf(t)
 	old, fresh := start(t, folder, nil), start(t, folder, nil)
-	eventually(t, func() bool { return old.sees(Others{Alive: 1}) && fresh.sees(Others{Alive: 1}) })
-	fresh.Serving()
-	eventually(t, func() bool { return old.sees(Others{Alive: 1, Successor: true}) })
+	eventually(t, func() bool { return old.sees(OtherProcesses{Alive: 1}) && fresh.sees(OtherProcesses{Alive: 1}) })
+	fresh.MarkServing()
+	eventually(t, func() bool { return old.sees(OtherProcesses{Alive: 1, HasSuccessor: true}) })
 	third := start(t, folder, nil)
-	eventually(t, func() bool { return old.sees(Others{Alive: 2, Successor: true}) && fresh.sees(Others{Alive: 2}) })
+	eventually(t, func() bool {
+		return old.sees(OtherProcesses{Alive: 2, HasSuccessor: true}) && fresh.sees(OtherProcesses{Alive: 2})
+	})
 	fresh.kill()
-	eventually(t, func() bool { return old.sees(Others{Alive: 1}) && third.sees(Others{Alive: 1}) })
+	eventually(t, func() bool { return old.sees(OtherProcesses{Alive: 1}) && third.sees(OtherProcesses{Alive: 1}) })
 	third.kill()
-	eventually(t, func() bool { return old.sees(Others{}) })
+	eventually(t, func() bool { return old.sees(OtherProcesses{}) })
 }
 
 // At the end nothing is left where nothing is in force; what is in force stays.
@@ -609,7 +611,7 @@
 func TestWhatIsAboveTheFolderIsNotMade(t *testing.T) {
 	above := filepath.Join(t.TempDir(), "missing")
 	p := start(t, filepath.Join(above, "directives"), &faultyFiles{})
-	assert.ErrorIs(t, p.change(workerA, true, 20*time.Millisecond), ErrNotKept)
+	assert.ErrorIs(t, p.change(workerA, true, 20*time.Millisecond), ErrNotPersisted)
 	_, err := os.Stat(above)
 	assert.ErrorIs(t, err, fs.ErrNotExist)
 }
--- a/internal/scale/process/process.go
+++ b/internal/scale/process/process.go
@@ -186,7 +186,7 @@
 		return 0, err
 	}
 	for line := range strings.Lines(text) {
-		rest, found := strings.CutPrefix(line, admin.Prefix+"registry_entries:")
+		rest, found := strings.CutPrefix(line, admin.MetricPrefix+"registry_entries:")
 		if !found {
 			continue
 		}
