--- a/internal/link/accept.go
+++ b/internal/link/accept.go
@@ -10,20 +10,20 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// acceptPause is how long a poller waits after an accept that failed for want of descriptors or memory. The connection
-// stays in the kernel's queue and would be tried again at once, at full speed; its other connections wait no longer than
-// this.
+// exhaustedAcceptPause is how long a poller waits after an accept that failed for lack of descriptors or memory. The
+// pending connection stays in the kernel's queue, so that an immediate retry would spin. The poller's other connections
+// are delayed by no more than this.
 const exhaustedAcceptPause = time.Millisecond
 
-// acceptFailures counts the accepts of all listeners that failed.
+// acceptFailures counts the failed accepts of all listeners.
 var acceptFailures atomic.Uint64
 
-// AcceptFailures is how many accepts have failed since the start, at any listener.
+// AcceptFailures returns how many accepts have failed since the process started, at all listeners together.
 func AcceptFailures() uint64 { return acceptFailures.Load() }
 
-// tolerant is a listener whose accepts may fail for a while. netpoll stops listening for up to a second where descriptors
-// are short, and asks again at full speed after other failures; here each failure but the listener's own end is that of
-// one connection, or passes.
+// tolerantListener survives failing accepts. netpoll stops listening for up to a second when descriptors run out, and
+// retries at full speed after other failures. Here every failure except the closing of the listener itself is taken to
+// concern one connection, or to be temporary.
 type tolerantListener struct {
 	netpoll.Listener
 	accept func() (net.Conn, error)
@@ -31,7 +31,7 @@
 
 func newTolerantListener(l netpoll.Listener) tolerantListener { return tolerantListener{l, l.Accept} }
 
-// Accept gives the next connection; neither one nor an error says that there is none now.
+// Accept returns the next connection. A nil connection with a nil error means that there is none at the moment.
 func (l tolerantListener) Accept() (net.Conn, error) {
 	c, err := l.accept()
 	if err == nil || isListenerClosed(err) {
@@ -44,20 +44,20 @@
 	return nil, nil
 }
 
-// ended tells of the errors of a listener that is closed, or was none.
+// isListenerClosed reports whether an accept failed because the listener is closed or is not a listening socket.
 func isListenerClosed(err error) bool {
-	for _, end := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP} {
-		if errors.Is(err, end) {
+	for _, target := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP} {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
 	return false
 }
 
-// exhausted tells of the errors that stay until somebody gives something back.
+// isResourceExhausted reports whether an accept failed for lack of a resource, which lasts until some is released.
 func isResourceExhausted(err error) bool {
-	for _, want := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, want) {
+	for _, target := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
--- a/internal/link/accept_test.go
+++ b/internal/link/accept_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Whatever accept fails with for a while, connections are served as soon as it succeeds, and the listener goes on.
-func TestAcceptsThatFailForAWhile(t *testing.T) {
+// A listener whose accepts fail temporarily must serve connections as soon as an accept succeeds.
+func TestListenerSurvivesTemporaryAcceptFailures(t *testing.T) {
 	const failures = 20
 	for _, fault := range []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EPROTO, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.EPERM, syscall.ENOPROTOOPT} {
@@ -24,12 +24,12 @@
 			require.NoError(t, err)
 			faulty := ln.(tolerantListener)
 			var mu sync.Mutex
-			left, before := failures, AcceptFailures()
+			remaining, before := failures, AcceptFailures()
 			faulty.accept = func() (net.Conn, error) {
 				mu.Lock()
 				defer mu.Unlock()
-				if left > 0 {
-					left--
+				if remaining > 0 {
+					remaining--
 					return nil, fault
 				}
 				return ln.(tolerantListener).Listener.Accept()
@@ -67,11 +67,11 @@
 	return nil
 }
 
-// The end of a listener is no failure that passes.
-func TestTheEndOfAListenerIsTold(t *testing.T) {
-	for _, end := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL} {
-		l := tolerantListener{accept: func() (net.Conn, error) { return nil, end }}
+// The closing of the listener itself must be reported, unlike a temporary failure.
+func TestAcceptReportsClosedListener(t *testing.T) {
+	for _, closedErr := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL} {
+		l := tolerantListener{accept: func() (net.Conn, error) { return nil, closedErr }}
 		_, err := l.Accept()
-		assert.ErrorIs(t, err, end)
+		assert.ErrorIs(t, err, closedErr)
 	}
 }
--- a/internal/link/backlog.go
+++ b/internal/link/backlog.go
@@ -2,29 +2,29 @@
 
 import "sync/atomic"
 
-// Backlog bounds what a connection has handed to the loop and the loop has not handled, for a front that takes
-// messages in batches. The reading goroutine adds and waits, the loop takes off and ends.
+// Backlog bounds the messages that a connection has posted to the loop and the loop has not handled yet, for a front
+// that reads messages in batches. The reading goroutine calls Add and Wait, the loop calls Done and Close.
 type Backlog struct {
 	pendingCost atomic.Int64
-	spaceFreed  chan struct{}
+	spaceFreed  chan struct{} // signals Wait that Done was called
 	closed      chan struct{}
 }
 
-// Costs of messages.
+// Costs of messages, in bytes.
 const (
-	MaxBacklogBytes = 256 << 10 // of a connection, before it is read on
-	MinMessageCost  = 512       // of a message, however short: it takes its part of a turn
+	MaxBacklogBytes = 256 << 10 // unhandled on one connection; above it nothing more is read from the connection
+	MinMessageCost  = 512       // charged for a short message: each takes its part of a turn of the loop
 )
 
-// NewBacklog makes an empty one.
+// NewBacklog returns an empty backlog.
 func NewBacklog() *Backlog {
 	return &Backlog{spaceFreed: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
-// Add counts messages that are about to be posted.
+// Add charges messages that are about to be posted; cost is in bytes.
 func (b *Backlog) Add(cost int) { b.pendingCost.Add(int64(cost)) }
 
-// Wait waits until the loop has caught up. It gives false where the connection ended meanwhile.
+// Wait blocks while the backlog exceeds MaxBacklogBytes. It returns false if the backlog was closed meanwhile.
 func (b *Backlog) Wait() bool {
 	for b.pendingCost.Load() > MaxBacklogBytes {
 		select {
@@ -36,7 +36,7 @@
 	return true
 }
 
-// Done takes off what the loop has handled.
+// Done credits messages that the loop has handled; cost is what was charged for them with Add.
 func (b *Backlog) Done(cost int) {
 	b.pendingCost.Add(-int64(cost))
 	select {
@@ -45,5 +45,5 @@
 	}
 }
 
-// End lets a reader that waits go. It is called once, when the connection has ended.
+// Close unblocks a waiting reader. It must be called once, when the connection has ended.
 func (b *Backlog) Close() { close(b.closed) }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,12 +1,13 @@
-// Package link is one connection on netpoll, accepted or dialed, as both fronts and the pool use it.
+// Package link owns one netpoll connection, accepted or dialed: its writer, its buffer, its end and its log line. The
+// fronts, the pool of connections to the workers and the discovery watch call it.
 //
-// # Who holds a buffer
+// # Ownership of the read buffer
 //
-// netpoll calls OnRequest on a goroutine of its own, again and again while input is unread, and the
-// slices it hands out die on Release. Here OnRequest waits until one whole message is there (Read), posts
-// it to the loop and then waits itself. From the post on the loop holds the buffer, until it calls
-// Release, once; only then does OnRequest skip the message and give its slices back. So a connection
-// has one message in hand at a time, and a request is held, uncopied, for as long as it is open in the core.
+// netpoll calls OnRequest on one of its goroutines as long as input is unread, and the slices that it returns are
+// invalid after Release. Here OnRequest (see Link.Read) waits for one complete message, posts it to the loop and
+// blocks. From then on the loop owns the buffer until it calls ReleaseBuffer, exactly once; only then does OnRequest
+// skip the message and release its slices. So a connection has at most one message in processing, and a request is kept
+// without a copy for as long as it is open in the core.
 package link
 
 import (
@@ -24,72 +25,74 @@
 	"cobaltflow/internal/core"
 )
 
-// Reasons for which a connection ends, as they stand in its log line.
+// Reasons for which a connection ends, as written to its log line.
 const (
-	PeerClosed       = "peer-closed" // the other side ended it
-	Answered         = "answered"    // ended after an answer that said so
-	BadInput         = "bad-input"   // what came could not be taken
-	SlowInput        = "slow-input"  // a message did not come to its end in time
-	NotReading       = "not-reading" // the peer did not take what was written
-	Flooding         = "flooding"    // more came than a peer may send ahead
-	IdleTimeout      = "idle"        // stood idle
-	AttemptCancelled = "given-up"    // an attempt was withdrawn before it was accepted
-	NoAnswer         = "no-answer"   // a call went unanswered for its time
-	OverBudget       = "over-budget" // more connections than the budget of its party
-	ConnectFailed    = "refused"     // never came up
+	PeerClosed       = "peer-closed" // the peer closed the connection
+	Answered         = "answered"    // closed after an answer that announced it
+	BadInput         = "bad-input"   // the input was invalid
+	SlowInput        = "slow-input"  // a message was not complete in time
+	NotReading       = "not-reading" // the peer did not read what was written
+	Flooding         = "flooding"    // the peer sent more than may be read ahead
+	IdleTimeout      = "idle"        // the connection was idle for too long
+	AttemptCancelled = "given-up"    // an attempt was cancelled before the worker accepted it
+	NoAnswer         = "no-answer"   // a call was not answered in time
+	OverBudget       = "over-budget" // too many connections of its party (clients, workers)
+	ConnectFailed    = "refused"     // the connection was never established
 	AddressChanged   = "moved"       // the peer has another address now
-	Shutdown         = "shut-down"   // the program ends
+	Shutdown         = "shut-down"   // the process ends
 )
 
 // Limits of a connection.
 const (
-	readTimeout       = 10 * time.Second // for a message to come to its end, once begun
-	writeTimeout      = 2 * time.Second  // for a peer to take what is written
-	MaxReadAheadBytes = 64 << 10         // bytes that may wait unread behind a message
+	readTimeout  = 10 * time.Second // for an incomplete message to be completed
+	writeTimeout = 2 * time.Second  // for the peer to accept written data
+	// MaxReadAheadBytes bounds the input that may wait unread behind a message in processing.
+	MaxReadAheadBytes = 64 << 10
 
-	lingerTimeout  = 300 * core.Millisecond // for a peer to read the end, and end its side
-	maxLingerBytes = 128 << 10              // bytes of it that are read over meanwhile
+	lingerTimeout  = 300 * core.Millisecond // for the peer to close its side after CloseWrite
+	maxLingerBytes = 128 << 10              // discarded input above which the connection is closed as flooding
 )
 
-// Link is one connection, accepted or dialed, with its writer. Fields are the loop's but for the
-// outbox.
+// Link is one connection with its writer. The fields belong to the loop goroutine, except for the outbox, which mu
+// guards, and those that are marked as OnRequest's.
 type Link struct {
-	Conn          netpoll.Connection
-	Party         string
-	Peer          string
+	Conn          netpoll.Connection // the underlying connection
+	Party         string             // kind of peer, for the log line
+	Peer          string             // the peer's address
 	Opened        core.Time
-	MessageCount  int // messages taken
-	Ended         bool
-	ClosedLocally bool   // by us; the end is still to come
-	CloseReason   string // why we ended it; empty: the peer did
-	OnClose       func() // called by Close before the buffer is given back: what is made of it must not be used on
+	MessageCount  int    // messages received or, on a connection to a worker, calls started
+	Ended         bool   // the connection has ended and its log line is written, see MarkEnded
+	ClosedLocally bool   // Close was called; the end event may still be pending
+	CloseReason   string // why this side closes the connection; empty: the peer closed it
+	OnClose       func() // called by Close before the buffer is released: slices of it are invalid from then on
 
-	released          chan struct{} // OnRequest waits here while the loop holds its buffer
-	hasPendingMessage atomic.Bool   // a message has come whole, and its buffer was not given back yet
-	discardsInput     atomic.Bool   // what comes from now on is read over
-	discardedBytes    int           // bytes that were; OnRequest's
-	isWriteClosed     bool          // our side has ended; the peer's may go on for a moment
+	released          chan struct{} // OnRequest waits here while the loop owns its buffer
+	hasPendingMessage atomic.Bool   // a message is complete and its buffer not released yet
+	discardsInput     atomic.Bool   // input is skipped from now on
+	discardedBytes    int           // bytes skipped so far; used by OnRequest alone
+	isWriteClosed     bool          // the writing side is closed; the peer's may stay open for a moment
 
 	mu          sync.Mutex
 	outbox      []Outgoing
 	isWriting   bool
-	isFDClosed  bool         // the descriptor is being given back: its number may soon be another's
-	queuedBytes atomic.Int64 // bytes that the peer has not taken yet
+	isFDClosed  bool         // the descriptor is being closed: its number may soon be reused
+	queuedBytes atomic.Int64 // bytes that the peer has not accepted yet
 }
 
-// Outgoing is a message to be written.
+// Outgoing is a message to write.
 type Outgoing struct {
-	Message    []byte      // not touched again by the sender: it may be written after the turn
-	Done       func(error) // posted to the loop when all is written, or could not be
-	CloseAfter bool        // our side of the connection ends with it, see Shut
+	Message    []byte      // must not be modified after Send: it may be written after the turn
+	Done       func(error) // posted to the loop when the message is written or has failed; may be nil
+	CloseAfter bool        // the writing side is closed behind this message, see Link.CloseWrite
 }
 
-// Init readies a link for a connection; it is called before anything is read.
+// Init prepares a link for a connection. It must be called before anything is read from the connection. party and peer
+// stand in its log line: party is the kind of peer, peer its address.
 func (l *Link) Init(nc netpoll.Connection, party, peer string, now core.Time) {
 	l.Conn, l.Party, l.Peer, l.Opened, l.released = nc, party, peer, now, make(chan struct{}, 1)
 	nc.SetReadTimeout(readTimeout)
 	nc.SetWriteTimeout(writeTimeout)
-	nc.AddCloseCallback(func(netpoll.Connection) error { // called before netpoll's own, which gives the descriptor back
+	nc.AddCloseCallback(func(netpoll.Connection) error { // runs before netpoll's own callback, which closes the descriptor
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.isFDClosed = true
@@ -97,7 +100,8 @@
 	})
 }
 
-// Release gives the buffer back to OnRequest.
+// ReleaseBuffer returns the buffer to OnRequest and never blocks. One call is due for each message: a second one would
+// release the next message too early.
 func (l *Link) ReleaseBuffer() {
 	select {
 	case l.released <- struct{}{}:
@@ -105,8 +109,8 @@
 	}
 }
 
-// Send queues a message. It never blocks: a goroutine writes, and where the peer does not take it
-// within the write time the connection is closed.
+// Send queues a message and never blocks: a goroutine writes it. The connection is closed when the peer does not accept
+// the message within writeTimeout.
 func (l *Link) Send(loop *core.Loop, o Outgoing) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,7 +118,7 @@
 	l.queuedBytes.Add(int64(len(o.Message)))
 	if !l.isWriting {
 		l.isWriting = true
-		// From a pool, as netpoll's own: a new goroutine's stack would have to grow for each message.
+		// A pooled goroutine, as netpoll uses them: the stack of a new one would have to grow for each message.
 		gopool.Go(func() { l.write(loop) })
 	}
 }
@@ -130,8 +134,8 @@
 		o := l.outbox[0]
 		l.outbox = l.outbox[1:]
 		l.mu.Unlock()
-		// Write, not Writer: a connection that ends gives its buffers back at once, and only Write takes
-		// netpoll's lock against that. Through Writer a message for a peer that had just gone crashed us.
+		// Write instead of Writer: a connection that ends releases its buffers at once, and only Write takes the lock
+		// with which netpoll guards them. Writer caused a crash on a message to a peer that had just disconnected.
 		err := errConnEnded
 		if l.Conn.IsActive() {
 			_, err = l.Conn.Write(o.Message)
@@ -148,26 +152,28 @@
 	}
 }
 
-var errConnEnded = errors.New("the connection had ended")
+var errConnEnded = errors.New("connection already ended")
 
-// Unwritten tells of a write that failed in the call itself, so that the last byte surely never left.
-// A write that was still waiting when the connection went may have been completed by the poller.
+// NeverSent reports whether a write failed in the call itself, so that the last byte certainly did not leave. A write
+// that was still waiting when the connection ended may have been completed by the poller.
 func NeverSent(err error) bool {
 	return errors.Is(err, errConnEnded) || errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ENOTCONN)
 }
 
-// Discard has all that comes from now on read over, unparsed, up to a bound: the peer is to read why, not
-// to be read.
+// DiscardInput skips all further input without parsing it, up to maxLingerBytes. The connection stays open so that the
+// peer can read the reason for its end.
 func (l *Link) DiscardInput() { l.discardsInput.Store(true) }
 
-// InHand tells that a message has come whole and waits for the loop, or is held by it.
+// HasPendingMessage reports whether a complete message waits for the loop or is being processed by it.
 func (l *Link) HasPendingMessage() bool { return l.hasPendingMessage.Load() }
 
-// Shut ends our side of the connection, behind all that was written, which must be with the system by now. What the
-// peer sends from then on is read over and never taken: the peer reads the end, and sends elsewhere what has crossed
-// it. So nothing lies unread at the close: a close over unread bytes resets the connection, and an answer that the peer
-// has not read yet may go with it. The connection is closed when the peer ends its side too, or lingerTime later. The
-// first reason stands.
+// CloseWrite closes the writing side of the connection (TCP FIN) behind all that was written, which must already have
+// been passed to the system. Further input is skipped and never processed: the peer reads the end and may send
+// elsewhere any request that was under way.
+//
+// Input is skipped because a close with unread input resets the connection, and the reset may destroy an answer that
+// the peer has not read yet. The connection is closed when the peer closes its side, or after lingerTimeout. The first
+// reason given is kept.
 func (l *Link) CloseWrite(loop *core.Loop, reason string) {
 	if l.isWriteClosed || l.ClosedLocally || l.Ended {
 		return
@@ -175,7 +181,7 @@
 	l.isWriteClosed = true
 	l.mu.Lock()
 	if conn, ok := l.Conn.(netpoll.Conn); ok && !l.isFDClosed {
-		// An error tells that the peer has gone already, of which we hear by itself.
+		// An error means that the peer has already disconnected, which the close callback reports.
 		_ = syscall.Shutdown(conn.Fd(), syscall.SHUT_WR)
 	}
 	l.mu.Unlock()
@@ -190,10 +196,10 @@
 	})
 }
 
-// IsShut tells that our side has ended.
+// IsWriteClosed reports whether CloseWrite has closed the writing side.
 func (l *Link) IsWriteClosed() bool { return l.isWriteClosed }
 
-// Close ends the connection from our side; the first reason stands.
+// Close closes the connection from this side. The first reason given is kept.
 func (l *Link) Close(reason string) {
 	if l.CloseReason == "" {
 		l.CloseReason = reason
@@ -206,19 +212,20 @@
 	l.Conn.Close()
 }
 
-// Abort ends the connection from our side with a reset: what the peer has not acknowledged is dropped. After Close the
-// system goes on sending it, for minutes where the network is cut, and the peer may act on it when nobody waits any more.
+// Abort closes the connection with a reset (TCP RST), which drops the data that the peer has not acknowledged. After
+// Close the system would go on sending that data, for minutes on a broken network path, and the peer might act on it
+// after the caller has given up.
 func (l *Link) Abort(reason string) {
 	l.mu.Lock()
 	if conn, ok := l.Conn.(netpoll.Conn); ok && !l.isFDClosed {
-		// An error tells that the peer has gone already.
+		// An error means that the peer has already disconnected.
 		_ = unix.SetsockoptLinger(conn.Fd(), unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 	l.mu.Unlock()
 	l.Close(reason)
 }
 
-// Farewell writes the log line of an ended connection, once.
+// MarkEnded records the end of the connection and writes its log line. It returns false if that was done before.
 func (l *Link) MarkEnded(log *slog.Logger, now core.Time) (first bool) {
 	if l.Ended {
 		return false
@@ -232,26 +239,27 @@
 	return true
 }
 
-// LogEnd writes the log line of an ended connection; more are further keys and values.
-func LogEnd(log *slog.Logger, party, peer, reason string, messages int, age core.Time, more ...any) {
+// LogEnd writes the log line of an ended connection. attrs are further keys and values.
+func LogEnd(log *slog.Logger, party, peer, reason string, messages int, age core.Time, attrs ...any) {
 	log.Info("conn end", append([]any{"party", party, "peer", peer, "reason", reason, "messages", messages,
-		"age_ms", age / core.Millisecond}, more...)...)
+		"age_ms", age / core.Millisecond}, attrs...)...)
 }
 
-// Queued is the number of bytes that wait for the peer to take them.
+// QueuedBytes returns the number of bytes that the peer has not accepted yet.
 func (l *Link) QueuedBytes() int64 { return l.queuedBytes.Load() }
 
-// IdleWriter tells that nothing waits to be written.
+// IsWriterIdle reports whether nothing waits to be written.
 func (l *Link) IsWriterIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.isWriting
 }
 
-// Read is the body of an OnRequest. parse is given all that has come of a message and says how much of
-// it the message took, or how much is needed at the least; take is posted to the loop with the parser's
-// fault, if any, and has to see to it that Release is called. Small waits between parts are netpoll's.
-func (l *Link) Read(loop *core.Loop, parse func(buf []byte) (size, need int, fault bool), take func()) error {
+// Read is the body of an OnRequest handler. parse receives all that has arrived of a message and returns either the
+// size of the complete message or the least number of bytes needed; invalid reports a syntax error. handle is posted to
+// the loop for a complete or invalid message and must arrange for one call of ReleaseBuffer. netpoll waits for the
+// missing parts of a message.
+func (l *Link) Read(loop *core.Loop, parse func(buf []byte) (size, need int, invalid bool), handle func()) error {
 	r := l.Conn.Reader()
 	if l.discardsInput.Load() {
 		n := r.Len()
@@ -271,19 +279,19 @@
 			}
 			loop.Post(func() { l.Close(reason) })
 			r.Skip(r.Len())
-			l.Conn.Close() // or netpoll would call again for the bytes of a message that never ended
+			l.Conn.Close() // otherwise netpoll calls again for the bytes of the incomplete message
 			return nil
 		}
-		size, more, fault := parse(buf)
-		if !fault && more > 0 {
-			need = max(more, len(buf)+1)
+		size, required, invalid := parse(buf)
+		if !invalid && required > 0 {
+			need = max(required, len(buf)+1)
 			continue
 		}
 		l.hasPendingMessage.Store(true)
-		loop.Post(take)
+		loop.Post(handle)
 		<-l.released
 		l.hasPendingMessage.Store(false)
-		if fault {
+		if invalid {
 			size = r.Len()
 		}
 		r.Skip(size)
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -16,8 +16,9 @@
 	"cobaltflow/internal/core"
 )
 
-// dialed gives a link to a peer, with the peer's side of it.
-func dialed(t *testing.T) (*Link, net.Conn, *core.Loop, chan struct{}) {
+// newTestLink returns a link over a TCP connection, the peer's side of it, the loop and a channel that is closed when the
+// link's side ends.
+func newTestLink(t *testing.T) (*Link, net.Conn, *core.Loop, chan struct{}) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -27,35 +28,36 @@
 	require.NoError(t, err)
 	loop := core.NewLoop()
 	go loop.Run()
-	l, gone := &Link{}, make(chan struct{})
+	l, ended := &Link{}, make(chan struct{})
 	l.Init(nc, "test", "peer", 0)
 	require.NoError(t, nc.SetOnRequest(func(context.Context, netpoll.Connection) error { return nil }))
-	nc.AddCloseCallback(func(netpoll.Connection) error { close(gone); return nil })
+	nc.AddCloseCallback(func(netpoll.Connection) error { close(ended); return nil })
 	t.Cleanup(func() { peer.Close(); nc.Close(); loop.Post(loop.Stop) })
-	return l, peer, loop, gone
+	return l, peer, loop, ended
 }
 
-// A peer that has gone crashed the writer once: netpoll had given its buffer back.
-func TestSendToAPeerThatHasGone(t *testing.T) {
-	l, peer, loop, gone := dialed(t)
+// Guards against a crash: netpoll had released the connection's buffer by the time the writer used it.
+func TestSendAfterPeerDisconnected(t *testing.T) {
+	l, peer, loop, ended := newTestLink(t)
 	peer.Close()
-	<-gone
+	<-ended
 	done := make(chan error, 1)
 	l.Send(loop, Outgoing{Message: []byte("x"), Done: func(err error) { done <- err }})
 	err := <-done
 	require.Error(t, err)
-	assert.True(t, NeverSent(err), "nothing has left")
+	assert.True(t, NeverSent(err), "no byte was sent")
 }
 
-func TestPeerThatDoesNotReadIsClosedAndHoldsUpNobody(t *testing.T) {
-	l, _, loop, gone := dialed(t)
+// A peer that does not read is closed after the write timeout, without blocking the sender.
+func TestWriteTimeoutClosesConnection(t *testing.T) {
+	l, _, loop, ended := newTestLink(t)
 	l.Conn.SetWriteTimeout(50 * time.Millisecond)
 	done := make(chan error, 1)
 	l.Send(loop, Outgoing{Message: make([]byte, 64<<20), Done: func(err error) { done <- err }})
 	err := <-done
 	require.Error(t, err)
-	assert.False(t, NeverSent(err), "part of it has left")
-	<-gone
+	assert.False(t, NeverSent(err), "part of it was sent")
+	<-ended
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
 	assert.True(t, l.MarkEnded(log, 0))
@@ -63,28 +65,29 @@
 	for _, field := range []string{"party=", "peer=", "messages=", "age_ms="} {
 		assert.Contains(t, out.String(), field)
 	}
-	assert.False(t, l.MarkEnded(log, 0), "one line a connection")
+	assert.False(t, l.MarkEnded(log, 0), "one log line for a connection")
 }
 
-// What a peer sends behind our last answer, before it has read it, neither resets the connection nor takes the answer
-// with it: the peer reads the answer whole, and then the end. It is closed when the peer ends its side.
-func TestWhatComesBehindTheLastAnswerDoesNotResetIt(t *testing.T) {
-	l, peer, loop, gone := dialed(t)
+// Input that arrives after the last answer was written must not reset the connection, which would destroy an answer that
+// the peer has not read yet. The peer reads the complete answer and the end of the stream; the connection is closed when
+// the peer closes its side.
+func TestInputAfterLastAnswerDoesNotReset(t *testing.T) {
+	l, peer, loop, ended := newTestLink(t)
 	require.NoError(t, l.Conn.SetOnRequest(func(context.Context, netpoll.Connection) error {
-		return l.Read(loop, func([]byte) (int, int, bool) { t.Error("looked at"); return 1, 0, false }, func() {})
+		return l.Read(loop, func([]byte) (int, int, bool) { t.Error("input was parsed"); return 1, 0, false }, func() {})
 	}))
 	answer := bytes.Repeat([]byte("answer "), 1000)
 	sent := make(chan error, 1)
-	shut := func() (yes bool) {
+	isWriteClosed := func() (closed bool) {
 		done := make(chan struct{})
-		loop.Post(func() { yes = l.IsWriteClosed(); close(done) })
+		loop.Post(func() { closed = l.IsWriteClosed(); close(done) })
 		<-done
-		return yes
+		return closed
 	}
 	l.Send(loop, Outgoing{Message: answer, CloseAfter: true, Done: func(err error) { sent <- err }})
 	require.NoError(t, <-sent)
-	require.Eventually(t, shut, 5*time.Second, time.Millisecond)
-	for range 3 { // a reset would come with the first, and be met by the next
+	require.Eventually(t, isWriteClosed, 5*time.Second, time.Millisecond)
+	for range 3 { // a reset would answer the first write and fail the next
 		_, err := peer.Write(bytes.Repeat([]byte("late "), 1000))
 		require.NoError(t, err)
 	}
@@ -94,15 +97,15 @@
 	assert.Equal(t, answer, got)
 	closed := make(chan bool, 1)
 	loop.Post(func() { closed <- l.ClosedLocally })
-	assert.False(t, <-closed, "the end was read, and the connection is open to what comes")
+	assert.False(t, <-closed, "the peer has read the end, and the connection still accepts input")
 	require.NoError(t, peer.Close())
-	<-gone
+	<-ended
 }
 
-// A peer that does not end its side is closed all the same.
-func TestAPeerThatStaysIsClosedInTheEnd(t *testing.T) {
-	l, _, loop, gone := dialed(t)
+// A peer that keeps its side open is closed after the linger timeout.
+func TestCloseWriteClosesAfterLingerTimeout(t *testing.T) {
+	l, _, loop, ended := newTestLink(t)
 	loop.Post(func() { l.CloseWrite(loop, IdleTimeout) })
-	<-gone
+	<-ended
 	assert.Equal(t, IdleTimeout, l.CloseReason)
 }
--- a/internal/link/listen.go
+++ b/internal/link/listen.go
@@ -10,9 +10,9 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// shared lets a second process of ours bind the same address while the first still serves: at an upgrade
-// the new version listens beside the old one, and the kernel spreads new connections over both until the
-// old one closes its socket. Without it the new process could not start at all.
+// sharedListenConfig lets a second process of the same user bind an address that the first still serves. During an
+// upgrade the new version listens beside the old one, and the kernel spreads new connections over both until the old
+// one closes its socket. Without it the new process could not start.
 var sharedListenConfig = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	var err error
 	if cerr := c.Control(func(fd uintptr) {
@@ -26,8 +26,8 @@
 	return err
 }}
 
-// Listen opens a TCP listener at address (host:port) for netpoll, shared with other processes of the same
-// user that listen there too. The error is the system's, for the caller to name its key.
+// Listen opens a TCP listener for netpoll at address (host:port). Other processes of the same user may listen at the
+// same address. The error is the system's; the caller adds the settings key.
 func Listen(address string) (netpoll.Listener, error) {
 	ln, err := sharedListenConfig.Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -40,8 +40,8 @@
 	return newTolerantListener(converted), nil
 }
 
-// ListenUDP opens a UDP socket at address (host:port), shared in the same way: datagrams are spread over
-// the processes that hold it, which the peers bear as loss.
+// ListenUDP opens a UDP socket at address (host:port), which other processes of the same user may share as well. Each
+// datagram reaches one of the sockets; to the others it is lost, which the peer protocol tolerates.
 func ListenUDP(address string) (*net.UDPConn, error) {
 	pc, err := sharedListenConfig.ListenPacket(context.Background(), "udp4", address)
 	if err != nil {
--- a/internal/link/listen_test.go
+++ b/internal/link/listen_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A second listener at the same address must be had while the first is open, as at an upgrade.
-func TestListenTwiceAtOneAddress(t *testing.T) {
+// During an upgrade the new process listens at the address while the old one still has it open.
+func TestTwoListenersShareAnAddress(t *testing.T) {
 	first, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 		t.Fatalf("a second UDP socket at %s: %v", udp.LocalAddr(), err)
 	}
 	again.Close()
-	// The plain way fails there: this is what the test guards.
+	// A plain listener must fail at that address: otherwise the checks above hold without SO_REUSEPORT.
 	if plain, err := net.Listen("tcp", first.Addr().String()); err == nil {
 		plain.Close()
 		t.Fatal("a listener without SO_REUSEPORT could share the address; the test proves nothing")
