--- a/internal/platform/idle.go
+++ b/internal/platform/idle.go
@@ -10,24 +10,29 @@
 )
 
 const (
-	staleBreakWindow  = 20 * core.Millisecond // a connection that breaks so soon after its use had been closed before
-	earlyCloseTTL     = 60 * core.Second      // for so long what was seen of it is believed
-	minKeepAlive      = 5 * core.Millisecond
-	idleKeptForProbes = 2
-	minEarlyClosers   = 2 // workers that close early before all others are taken to
+	// A connection that breaks within staleBreakWindow of its use had been closed by the worker while it was idle.
+	staleBreakWindow = 20 * core.Millisecond
+	// earlyCloseTTL is how long a keep-alive estimate is used after the last observation.
+	earlyCloseTTL = 60 * core.Second
+	// minKeepAlive is the least keep-alive estimate.
+	minKeepAlive = 5 * core.Millisecond
+	// maxProbeIdleConns is how many idle connections too old for jobs a worker may have: probes can still use them.
+	maxProbeIdleConns = 2
+	// minEarlyClosers is how many workers must close connections early before all are assumed to.
+	minEarlyClosers = 2
 )
 
-// idleLinks are the connections of all workers that no call uses. Each stands in its worker's own stack too.
+// idleLinks holds the connections without a call, of all workers. Each is also in the idle stack of its worker.
 type idleLinks struct {
-	order   list.List   // of *workerLink, the one that has been idle longest first
-	surplus surplusHeap // the workers with more idle connections than probes can try
-	scanned uint64      // connections that evict and retire have looked at
+	order   list.List   // of *workerLink, the longest idle first
+	surplus surplusHeap // workers with more idle connections than maxProbeIdleConns
+	scanned uint64      // connections and workers examined by evict and closeExpiredIdle
 
-	earlyClosers          list.List // of *workerLinks that have closed kept connections before their time, the last seen last
-	longestEarlyKeepAlive core.Time // the longest of what they still keep one for
+	earlyClosers          list.List // of *poolWorker: those with a keep-alive estimate, the last observed last
+	longestEarlyKeepAlive core.Time // the longest of their estimates
 }
 
-// crowdedHeap orders workers by when their oldest idle connection may carry no job any more.
+// surplusHeap orders workers by surplusDue, when their oldest idle connection becomes too old for jobs.
 type surplusHeap []*poolWorker
 
 func (h surplusHeap) Len() int           { return len(h) }
@@ -54,24 +59,24 @@
 	return w
 }
 
-// addIdle puts a connection with the idle ones, by the time since which it has been so: as a rule the last. One that
-// was taken for a call that may not begin any more goes back among those that have been idle for less.
+// addIdle adds a connection to the idle ones, ordered by the time since which it has been idle. That is usually the
+// last place; a connection that was taken for a call that could not begin returns to its earlier place.
 func (p *connPool) addIdle(l *workerLink) {
 	w := l.worker
 	w.idle = append(w.idle, l)
-	before := p.idle.order.Back()
-	for before != nil && before.Value.(*workerLink).stateSince > l.stateSince {
-		before = before.Prev()
+	prev := p.idle.order.Back()
+	for prev != nil && prev.Value.(*workerLink).stateSince > l.stateSince {
+		prev = prev.Prev()
 	}
-	if before == nil {
+	if prev == nil {
 		l.idleElem = p.idle.order.PushFront(l)
 	} else {
-		l.idleElem = p.idle.order.InsertAfter(l, before)
+		l.idleElem = p.idle.order.InsertAfter(l, prev)
 	}
 	p.updateSurplus(w)
 }
 
-// removeIdle takes a connection from the idle ones, where it is one of them.
+// removeIdle removes a connection from the idle ones, if it is one of them.
 func (p *connPool) removeIdle(l *workerLink) {
 	if l.idleElem == nil {
 		return
@@ -93,29 +98,29 @@
 	p.updateSurplus(w)
 }
 
-// closeIdle takes a connection from the idle ones and closes it.
+// closeIdle removes a connection from the idle ones and closes it.
 func (p *connPool) closeIdle(l *workerLink, reason string) {
 	p.removeIdle(l)
 	l.Close(reason)
 }
 
-// review has a worker stand at its place among the crowded ones, or not at all.
+// updateSurplus adds a worker to the surplus heap, moves it there or removes it, according to its idle connections.
 func (p *connPool) updateSurplus(w *poolWorker) {
-	crowded := len(w.idle) > idleKeptForProbes
-	if crowded {
+	hasSurplus := len(w.idle) > maxProbeIdleConns
+	if hasSurplus {
 		w.surplusDue = w.idle[0].stateSince + p.keepAliveOf(w)
 	}
 	switch {
-	case crowded && w.surplusIndex == 0:
+	case hasSurplus && w.surplusIndex == 0:
 		heap.Push(&p.idle.surplus, w)
-	case crowded:
+	case hasSurplus:
 		heap.Fix(&p.idle.surplus, w.surplusIndex-1)
 	case w.surplusIndex > 0:
 		heap.Remove(&p.idle.surplus, w.surplusIndex-1)
 	}
 }
 
-// evict closes the connection that has been idle longest, of any worker.
+// evict closes the connection that has been idle longest, of any worker. It returns false if none is idle.
 func (p *connPool) evict() bool {
 	oldest := p.idle.order.Front()
 	if oldest == nil {
@@ -126,10 +131,10 @@
 	return true
 }
 
-// retire closes connections that have stood idle for long, and of those that no job may have any more all
-// but the few that probes can still try.
+// closeExpiredIdle closes the connections that have been idle for idleTimeout, and those too old for jobs, of which
+// each worker keeps maxProbeIdleConns for probes.
 func (p *connPool) closeExpiredIdle() {
-	now := p.f.loop.Now()
+	now := p.front.loop.Now()
 	for first := p.idle.earlyClosers.Front(); first != nil; first = p.idle.earlyClosers.Front() {
 		w := first.Value.(*poolWorker)
 		if now-w.keepAliveSeenAt <= earlyCloseTTL {
@@ -155,11 +160,11 @@
 	}
 }
 
-// closedEarly learns from a kept connection that the worker ended, idle or at its next use, for how long
-// the worker keeps one. A request that crosses such a close is a reset and may have run: one that must not
-// run twice is lost with it.
+// recordEarlyClose estimates how long a worker keeps idle connections open, from one that the worker closed while it
+// was idle or at its next use: 60 % of its idle time, at least minKeepAlive. A request sent at the moment of such a
+// close ends in a reset and may have run; if it must not run twice, it is lost.
 func (p *connPool) recordEarlyClose(l *workerLink) {
-	now := p.f.loop.Now()
+	now := p.front.loop.Now()
 	idle := now - l.stateSince
 	if l.call != nil {
 		if idle > staleBreakWindow || l.MessageCount < 2 {
@@ -168,38 +173,39 @@
 		idle = l.idleBeforeUse
 	}
 	w := l.worker
-	keep := max(minKeepAlive, idle*6/10)
-	if keep >= p.currentKeepAlive(w) {
+	keepAlive := max(minKeepAlive, idle*6/10)
+	if keepAlive >= p.currentKeepAlive(w) {
 		return
 	}
-	common := p.commonKeepAlive()
+	oldCommon := p.commonKeepAlive()
 	if w.earlyCloserElem == nil {
 		w.earlyCloserElem = p.idle.earlyClosers.PushBack(w)
 	} else {
 		p.idle.earlyClosers.MoveToBack(w.earlyCloserElem)
 	}
-	w.keepAlive, w.keepAliveSeenAt = keep, now
-	p.idle.longestEarlyKeepAlive = max(p.idle.longestEarlyKeepAlive, keep)
-	p.reorderSurplus(w, common)
+	w.keepAlive, w.keepAliveSeenAt = keepAlive, now
+	p.idle.longestEarlyKeepAlive = max(p.idle.longestEarlyKeepAlive, keepAlive)
+	p.reorderSurplus(w, oldCommon)
 }
 
-// forget has a worker count as one that keeps connections for their time.
+// forgetKeepAlive drops the keep-alive estimate of a worker.
 func (p *connPool) forgetKeepAlive(w *poolWorker) {
 	if w.earlyCloserElem == nil {
 		return
 	}
-	common := p.commonKeepAlive()
+	oldCommon := p.commonKeepAlive()
 	p.idle.earlyClosers.Remove(w.earlyCloserElem)
 	w.earlyCloserElem, w.keepAlive = nil, 0
 	if p.idle.earlyClosers.Len() == 0 {
 		p.idle.longestEarlyKeepAlive = 0
 	}
-	p.reorderSurplus(w, common)
+	p.reorderSurplus(w, oldCommon)
 }
 
-// keepChanged follows a change of how long a worker keeps connections; common is what it was for all others.
-func (p *connPool) reorderSurplus(w *poolWorker, common core.Time) {
-	if common == p.commonKeepAlive() {
+// reorderSurplus updates the surplus heap after the keep-alive estimate of a worker has changed. oldCommon is
+// commonKeepAlive before the change.
+func (p *connPool) reorderSurplus(w *poolWorker, oldCommon core.Time) {
+	if oldCommon == p.commonKeepAlive() {
 		p.updateSurplus(w)
 		return
 	}
@@ -209,15 +215,16 @@
 	heap.Init(&p.idle.surplus)
 }
 
-// keepsFor is how long a connection may have been idle for a call that must not be sent twice.
+// currentKeepAlive returns how long a connection to a worker may have been idle for a call that must not be sent twice.
+// An outdated estimate is dropped first.
 func (p *connPool) currentKeepAlive(w *poolWorker) core.Time {
-	if p.f.loop.Now()-w.keepAliveSeenAt > earlyCloseTTL {
+	if p.front.loop.Now()-w.keepAliveSeenAt > earlyCloseTTL {
 		p.forgetKeepAlive(w)
 	}
 	return p.keepAliveOf(w)
 }
 
-// keep is how long a worker keeps a connection, by what is believed of it.
+// keepAliveOf returns how long a worker is assumed to keep idle connections open.
 func (p *connPool) keepAliveOf(w *poolWorker) core.Time {
 	if w.keepAlive > 0 {
 		return w.keepAlive
@@ -225,7 +232,8 @@
 	return p.commonKeepAlive()
 }
 
-// commonKeep is how long a worker keeps a connection of which nothing else is known.
+// commonKeepAlive returns the assumption for workers without an estimate: idleTimeout or, when several workers close
+// early, the longest of their estimates.
 func (p *connPool) commonKeepAlive() core.Time {
 	if p.idle.earlyClosers.Len() >= minEarlyClosers {
 		return min(p.idleTimeout, p.idle.longestEarlyKeepAlive)
--- a/internal/platform/idle_test.go
+++ b/internal/platform/idle_test.go
@@ -14,13 +14,13 @@
 	"cobaltflow/internal/link"
 )
 
-// quietConnection is a connection that is up, and on which nothing happens.
+// inertConn is an active connection on which nothing happens.
 type inertConn struct{ netpoll.Connection }
 
 func (inertConn) Close() error   { return nil }
 func (inertConn) IsActive() bool { return true }
 
-// newIdlePool is a pool that knows so many workers and has no connection.
+// newIdlePool returns a pool that knows the given number of workers and has no connection, and the workers.
 func newIdlePool(workers int) (*connPool, []*poolWorker) {
 	f := &Front{loop: core.NewLoop(), log: slog.New(slog.DiscardHandler), conf: &config.Config{Names: config.Names{ConnIdle: 60_000_000}}}
 	f.pool = newConnPool(f)
@@ -33,60 +33,61 @@
 	return &f.pool, all
 }
 
+// newInertLink adds a connection to the pool on which nothing happens.
 func newInertLink(p *connPool, w *poolWorker) *workerLink {
-	l := &workerLink{Link: link.Link{Conn: inertConn{}, Peer: w.address}, f: p.f, worker: w}
+	l := &workerLink{Link: link.Link{Conn: inertConn{}, Peer: w.address}, front: p.front, worker: w}
 	l.ref = p.links.Add(l)
 	return l
 }
 
-// retiredOf is what retire has to close, found by looking at every connection: those idle for longer than any may be,
-// and where a worker has more than probes can try, those that no job may have any more.
+// expectedClosed returns the connections that closeExpiredIdle must close, by examining all of them: those idle for
+// longer than idleTimeout and, of workers with more than maxProbeIdleConns, those too old for jobs.
 func expectedClosed(p *connPool) map[*workerLink]bool {
-	out, now := map[*workerLink]bool{}, p.f.loop.Now()
+	expected, now := map[*workerLink]bool{}, p.front.loop.Now()
 	for _, w := range p.workers {
-		p.currentKeepAlive(w) // what was seen too long ago is forgotten first, whoever it was
+		p.currentKeepAlive(w) // drops outdated estimates first, of any worker
 	}
 	for _, w := range p.workers {
-		old := now - p.currentKeepAlive(w)
+		minIdleSince := now - p.currentKeepAlive(w)
 		for i, l := range w.idle {
-			if l.stateSince >= now-p.idleTimeout && (len(w.idle)-i <= idleKeptForProbes || l.stateSince >= old) {
+			if l.stateSince >= now-p.idleTimeout && (len(w.idle)-i <= maxProbeIdleConns || l.stateSince >= minIdleSince) {
 				break
 			}
-			out[l] = true
+			expected[l] = true
 		}
 	}
-	return out
+	return expected
 }
 
-// What retire closes, and which connection evict does, is found without looking at every worker, and is the same:
-// whatever has been learned of the workers, and forgotten again.
-func TestRetireAndEvictCloseWhatALookAtAllWould(t *testing.T) {
+// closeExpiredIdle and evict find their connections without a scan of all workers. They must choose the same ones as a
+// full scan, whatever keep-alive estimates were made and dropped before.
+func TestIdleConnectionsCloseAsInFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, workers := newIdlePool(6)
-		now := p.f.loop.Now()
+		now := p.front.loop.Now()
 		var open []*workerLink
 		since := now - 100*core.Second
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			w := rapid.SampledFrom(workers).Draw(t, "worker")
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
-			case 0: // a kept connection of it ends early
+			case 0: // the worker closes an idle connection early
 				l := newInertLink(p, w)
 				l.MessageCount, l.stateSince = 2, now-rapid.Int64Range(0, 20_000_000).Draw(t, "idle")
 				p.recordEarlyClose(l)
-			case 1: // what was seen of it is old
+			case 1: // its estimate becomes outdated
 				if w.earlyCloserElem != nil {
 					w.keepAliveSeenAt = now - 2*earlyCloseTTL
 					p.idle.earlyClosers.MoveToFront(w.earlyCloserElem)
 				}
 			case 2:
 				p.forgetKeepAlive(w)
-			case 3: // the last used is used again, and may not begin: it has been idle as before
+			case 3: // the last used one is taken for a call that may not begin, and stays idle as before
 				if n := len(w.idle); n > 0 {
 					l := w.idle[n-1]
 					p.removeIdle(l)
 					l.startCall(&call{mayBegin: func() bool { return false }})
 				}
-			case 4: // one ends
+			case 4: // a connection ends
 				if len(w.idle) > 0 {
 					p.removeIdle(rapid.SampledFrom(w.idle).Draw(t, "ended"))
 				}
@@ -122,11 +123,11 @@
 	})
 }
 
-// At 33,000 workers an eviction and a sweep look at no more connections than at 1,000.
-func TestIdleConnectionsAreFoundWithoutALookAtAllWorkers(t *testing.T) {
+// evict and closeExpiredIdle must scan no more connections with 33,000 workers than with 1,000.
+func TestIdleScanIsIndependentOfWorkerCount(t *testing.T) {
 	for _, workers := range fleetSizes {
 		p, all := newIdlePool(workers)
-		now := p.f.loop.Now()
+		now := p.front.loop.Now()
 		const idle, due, evicted = 4000, 10, 100
 		for i := range idle {
 			since := now
@@ -137,7 +138,7 @@
 		}
 		p.closeExpiredIdle()
 		assert.Equal(t, idle-due, p.idle.order.Len())
-		assert.LessOrEqual(t, p.idle.scanned, uint64(due+2), "those that are due, and the next of each order")
+		assert.LessOrEqual(t, p.idle.scanned, uint64(due+2), "the expired ones and the next one of each order")
 		p.idle.scanned = 0
 		for range evicted {
 			assert.True(t, p.evict())
@@ -146,8 +147,8 @@
 	}
 }
 
-// Connections in use are counted as calls begin and end.
-func TestConnectionsInUseAreCounted(t *testing.T) {
+// inUse must follow the calls that begin and end, and connections that end during a call.
+func TestInUseCountsConnectionsWithCalls(t *testing.T) {
 	p, workers := newIdlePool(1)
 	a, b := newInertLink(p, workers[0]), newInertLink(p, workers[0])
 	a.setCall(&call{})
@@ -161,9 +162,10 @@
 	assert.Zero(t, p.inUse)
 }
 
+// fleetSizes are the numbers of workers that are compared.
 var fleetSizes = []int{1000, 33_000}
 
-// The oldest idle connection is closed, and another becomes idle.
+// BenchmarkEvict closes the longest idle connection while another one becomes idle.
 func BenchmarkEvict(b *testing.B) {
 	for _, workers := range fleetSizes {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
@@ -184,7 +186,8 @@
 	}
 }
 
-// A sweep finds none of 4,000 idle connections due, while 4,000 others are in use.
+// BenchmarkSweepOfIdleConnections runs closeExpiredIdle with 4,000 idle connections, none of them expired, and 4,000 in
+// use.
 func BenchmarkSweepOfIdleConnections(b *testing.B) {
 	for _, workers := range fleetSizes {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
--- a/internal/platform/list_test.go
+++ b/internal/platform/list_test.go
@@ -16,12 +16,12 @@
 	"cobaltflow/internal/standin"
 )
 
-// Lists of the largest fleet that is planned for, on real sockets.
+// Tests with worker lists of the largest planned fleet, on real sockets.
 
-const largeFleet = 33_000
+const largeFleet = 33_000 // workers
 
-// largeList is a whole list of so many endpoints, of which the last are the given ones and up. The others drain, so
-// that a job goes to one that answers.
+// largeList returns a full list with the given number of endpoints. The last ones are the workers in up, with status
+// up; the others are draining, so that a job goes to a worker that answers.
 func largeList(t *testing.T, version, endpoints int, up ...*standin.Worker) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"index":%d,"snapshot":true,"endpoints":[`, version)
@@ -41,7 +41,7 @@
 	return b.Bytes()
 }
 
-// inChunks writes a text in chunks of a size, as the body of an answer that goes on.
+// sendInChunks sends text as chunks of the given size, without the end of the body.
 func (c discoveryCall) sendInChunks(text []byte, size int) {
 	var b bytes.Buffer
 	for len(text) > 0 {
@@ -52,34 +52,35 @@
 	c.Write(b.Bytes())
 }
 
+// sendWithLength sends a complete answer with a Content-Length.
 func (c discoveryCall) sendWithLength(text []byte) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(text))
 	c.Write(text)
 }
 
-// serve has each call from now on answered: one whose answer did not begin in time, on a busy machine, is made again.
-// Those that have waited may be closed by now.
+// serve answers all further calls in the background. On a busy machine a call may be repeated because its answer did
+// not begin in time; the connection of the earlier one may be closed by then.
 func (d *fakeDiscovery) serve(t *testing.T, answer func(discoveryCall)) {
-	ended, left := make(chan struct{}), make(chan struct{})
-	t.Cleanup(func() { close(ended); <-left })
+	stop, stopped := make(chan struct{}), make(chan struct{})
+	t.Cleanup(func() { close(stop); <-stopped })
 	go func() {
-		defer close(left)
+		defer close(stopped)
 		for {
 			select {
 			case c := <-d.calls:
 				answer(c)
-			case <-ended:
+			case <-stop:
 				return
 			}
 		}
 	}()
 }
 
-// A scheduler that knows no worker at its start gets ready and serves, in whatever form the list comes, and follows the
-// changes behind it.
-func TestAStartWithoutAListServesWithTheLargestOne(t *testing.T) {
+// A scheduler that starts without a known list must become ready and serve with the largest list, in whatever form it
+// arrives, and follow the changes after it.
+func TestStartWithLargestList(t *testing.T) {
 	for name, form := range map[string]struct {
-		pushed bool // the whole list is asked for first; else the watch begins with it
+		pushed bool // the full list is requested first; otherwise the watch begins with it
 		answer func(c discoveryCall, list []byte)
 	}{
 		"an answer with a length": {true, func(c discoveryCall, list []byte) { c.sendWithLength(list) }},
@@ -118,7 +119,7 @@
 					form.answer(c, list)
 				}
 				watches <- c.target
-				go func() { // each watch tells of the change, since an earlier one may have been given up
+				go func() { // each watch sends the change, since an earlier one may have been closed
 					<-changed
 					c.sendChunk(string(change) + "\n")
 				}()
@@ -129,30 +130,30 @@
 			assert.Len(t, w.Jobs(), 1)
 
 			watch := receive(t, watches)
-			assert.Equal(t, form.pushed, watch == "/api/targets?watch=1&after=7", "it goes on from the list")
+			assert.Equal(t, form.pushed, watch == "/api/targets?watch=1&after=7", "the watch continues from the version of the list")
 			close(changed)
 			eventuallyOnLoop(n, func() bool { return n.Core.WorkerCount() == largeFleet && n.Front.KnowsWorker("s-2") })
 			assert.Equal(t, 200, n.Ask("board-view", "k", "id-2", 5000, "").Status)
 			assert.Len(t, later.Jobs(), 1)
-			assert.False(t, n.Logged("discovery:"), "nothing was refused")
+			assert.False(t, n.Logged("discovery:"), "no list was refused")
 		})
 	}
 }
 
-// A list that breaks off, is broken in its last entry, or is over a limit changes nothing: the last good one stands, and
-// discovery is asked again.
-func TestABrokenLargeListChangesNothing(t *testing.T) {
-	endless := []byte(`{"index":8,"snapshot":true,"endpoints":[`)
-	for name, c := range map[string]struct {
+// A list that is truncated, has an invalid last entry or exceeds a limit must change nothing: the last valid list stays
+// in force and discovery is called again.
+func TestInvalidLargeListIsIgnored(t *testing.T) {
+	prefix := []byte(`{"index":8,"snapshot":true,"endpoints":[`)
+	for name, list := range map[string]struct {
 		text   []byte
 		logged string
 	}{
-		"broken off": {largeList(t, 8, largeFleet)[:3<<20], "reason=no-answer"},
-		"a fault in its last entry": {append(bytes.TrimSuffix(largeList(t, 8, largeFleet), []byte(",]}")),
+		"truncated": {largeList(t, 8, largeFleet)[:3<<20], "reason=no-answer"},
+		"invalid last entry": {append(bytes.TrimSuffix(largeList(t, 8, largeFleet), []byte(",]}")),
 			[]byte(`,{"name":"w-last"}]}`)...), "endpoint w-last has no address"},
-		"a long entry": {append(bytes.Clone(endless), `{"name":"`+string(bytes.Repeat([]byte("x"), 17<<10))+`","address":"x"}]}`...),
+		"long entry": {append(bytes.Clone(prefix), `{"name":"`+string(bytes.Repeat([]byte("x"), 17<<10))+`","address":"x"}]}`...),
 			"list refused at endpoint 1: an entry over 16384 bytes"},
-		"a long text": {append([]byte(`{"index":8,"note":"`), bytes.Repeat([]byte("x"), 65<<10)...),
+		"long text": {append([]byte(`{"index":8,"note":"`), bytes.Repeat([]byte("x"), 65<<10)...),
 			"list refused outside its endpoints: its text over 65536 bytes"},
 	} {
 		for _, pushed := range []bool{false, true} {
@@ -161,41 +162,42 @@
 				d := newFakeDiscovery(t)
 				w := standin.NewWorker(t, "s-1", nil)
 				n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery = pushed, d.Addr().String() }, w)
-				var mended atomic.Bool
-				good := n.Farm.Tell(true, w.Entry("up"), standin.Entry("s-2", "127.0.0.1:9", "draining"))
+				var isRepaired atomic.Bool
+				valid := n.Farm.Tell(true, w.Entry("up"), standin.Entry("s-2", "127.0.0.1:9", "draining"))
 				watches := make(chan discoveryCall, 64)
-				d.serve(t, func(asked discoveryCall) {
+				d.serve(t, func(c discoveryCall) {
 					switch {
-					case mended.Load():
-						asked.sendFullList(good)
-					case asked.target == "/api/targets":
-						asked.sendWithLength(c.text)
+					case isRepaired.Load():
+						c.sendFullList(valid)
+					case c.target == "/api/targets":
+						c.sendWithLength(list.text)
 					default:
-						asked.sendHead()
-						asked.sendInChunks(append(bytes.Clone(c.text), '\n'), 16<<10)
-						watches <- asked
+						c.sendHead()
+						c.sendInChunks(append(bytes.Clone(list.text), '\n'), 16<<10)
+						watches <- c
 					}
 				})
-				if name == "broken off" && pushed { // the body's length is right, the list's end is missing
+				if name == "truncated" && pushed { // the Content-Length is right, the end of the list is missing
 					n.Eventually(func() bool { return n.Logged("bad line kept out") })
 				} else {
-					n.Eventually(func() bool { return n.Logged(c.logged) })
+					n.Eventually(func() bool { return n.Logged(list.logged) })
 				}
-				assert.True(t, hasWorkers(n, 1)(), "the list from before stands")
+				assert.True(t, hasWorkers(n, 1)(), "the previous list stays in force")
 				n.Eventually(func() bool { return isReady(n) })
 				assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 5000, "").Status)
-				if name == "a fault in its last entry" && !pushed { // a bad line costs itself only
-					receive(t, watches).sendChunk(string(good) + "\n")
+				if name == "invalid last entry" && !pushed { // an invalid line does not end the watch
+					receive(t, watches).sendChunk(string(valid) + "\n")
 				}
-				mended.Store(true)
+				isRepaired.Store(true)
 				n.Eventually(hasWorkers(n, 2))
 			})
 		}
 	}
 }
 
-// A list of more endpoints than the bound is refused by its place, and the last good list stands.
-func TestAListOfTooManyEndpointsIsRefused(t *testing.T) {
+// A list with more endpoints than the limit must be refused, with the position of the first one too many in the log, and
+// the last valid list stays in force.
+func TestListWithTooManyEndpointsIsRefused(t *testing.T) {
 	d := newFakeDiscovery(t)
 	w := standin.NewWorker(t, "s-1", nil)
 	n := standin.Start(t, nil, w)
@@ -203,12 +205,12 @@
 	limits.Endpoints = 5000
 	n.On(func() { n.Front.SetListLimits(limits) })
 	reloadDiscovery(n, d.Addr().String())
-	text, good := largeList(t, 8, largeFleet, w), largeList(t, 9, 5000, w)
+	tooLong, valid := largeList(t, 8, largeFleet, w), largeList(t, 9, 5000, w)
 	d.serve(t, func(c discoveryCall) {
 		if n.Logged("discovery: unusable answer") {
-			c.sendFullList(good)
+			c.sendFullList(valid)
 		} else {
-			c.sendWithLength(text)
+			c.sendWithLength(tooLong)
 		}
 	})
 	n.Eventually(func() bool { return n.Logged("list refused at endpoint 5001: the list over 5000 endpoints") })
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	maxUnsentPeerMessages    = 64  // messages that wait for the socket; past it one is dropped, as the network may drop one
-	maxUnhandledPeerMessages = 512 // messages that wait for the loop; past it one is dropped
+	maxUnsentPeerMessages    = 64  // queued for the socket; further ones are dropped, as the network may drop them
+	maxUnhandledPeerMessages = 512 // posted to the loop; further ones are dropped
 )
 
-// peers carries the messages between schedulers: datagrams, which may be lost. netpoll knows no UDP, so that the
-// socket is the standard library's, with a goroutine for each direction; the loop waits for neither.
+// peers exchanges messages with the other schedulers as UDP datagrams, which may be lost. netpoll does not support UDP,
+// so the socket is the standard library's, with one goroutine for each direction; the loop never waits for them.
 type peers struct {
-	f         *Front
+	front     *Front
 	socket    *net.UDPConn
-	ranks     map[netip.AddrPort]int
-	out       chan []byte
-	unhandled atomic.Int64 // messages heard that the loop has not taken yet
-	dropped   atomic.Int64 // in either direction
+	ranks     map[netip.AddrPort]int // rank of each peer by its address
+	outbox    chan []byte
+	unhandled atomic.Int64 // messages received that the loop has not processed yet
+	dropped   atomic.Int64 // messages dropped in either direction
 }
 
-// PeerAddress is where other schedulers' messages arrive; without peers it is not valid.
+// PeerAddress returns the address at which messages of other schedulers arrive. It is invalid without peers.
 func (f *Front) PeerAddress() netip.AddrPort {
 	if f.peers == nil {
 		return netip.AddrPort{}
@@ -34,7 +34,8 @@
 	return f.peers.socket.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// listenToPeers opens the socket. Without peers nothing is opened.
+// openPeerSocket opens the socket and starts its goroutines. Without configured peers it does nothing. An error is a
+// *config.Error that names the key peer_listen.
 func (f *Front) openPeerSocket() error {
 	conf := &f.conf.Peers
 	if conf.Listen == "" {
@@ -44,7 +45,7 @@
 	if err != nil {
 		return &config.Error{Key: "peer_listen", Text: err.Error()}
 	}
-	p := &peers{f: f, socket: socket, ranks: make(map[netip.AddrPort]int, len(conf.Each)), out: make(chan []byte, maxUnsentPeerMessages)}
+	p := &peers{front: f, socket: socket, ranks: make(map[netip.AddrPort]int, len(conf.Each)), outbox: make(chan []byte, maxUnsentPeerMessages)}
 	for rank, a := range conf.Each {
 		p.ranks[a] = rank
 	}
@@ -55,24 +56,27 @@
 	return nil
 }
 
-// tell never waits: a message that finds the queue full is lost, which the decisions bear.
+// broadcast queues a message for all peers and never blocks. A message that finds the queue full is dropped; the
+// protocol tolerates losses.
 func (p *peers) broadcast(data []byte) {
 	select {
-	case p.out <- append([]byte(nil), data...):
+	case p.outbox <- append([]byte(nil), data...):
 	default:
 		p.dropped.Add(1)
 	}
 }
 
+// sendLoop writes queued messages until the queue is closed.
 func (p *peers) sendLoop(all netip.AddrPort) {
-	for data := range p.out {
+	for data := range p.outbox {
 		if _, err := p.socket.WriteToUDPAddrPort(data, all); err != nil {
 			p.dropped.Add(1)
 		}
 	}
 }
 
-// read hears until the socket is closed. A message of nobody known, or one that is too long, is let pass.
+// receiveLoop reads until the socket is closed. Messages from unknown addresses and messages that are too long are
+// ignored.
 func (p *peers) receiveLoop() {
 	buf := make([]byte, core.MaxPeerMessageBytes+1)
 	for {
@@ -90,19 +94,19 @@
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
-		p.f.loop.Post(func() {
+		p.front.loop.Post(func() {
 			p.unhandled.Add(-1)
-			p.f.core.PeerMessage(rank, data)
+			p.front.core.PeerMessage(rank, data)
 		})
 	}
 }
 
-// close ends both directions; nothing is told any more.
+// close ends both directions; nothing is broadcast any more.
 func (p *peers) close() {
-	p.f.core.Broadcast = nil
-	close(p.out)
+	p.front.core.Broadcast = nil
+	close(p.outbox)
 	p.socket.Close()
 	if n := p.dropped.Load(); n > 0 {
-		p.f.log.Info("peers: messages dropped", "messages", n)
+		p.front.log.Info("peers: messages dropped", "messages", n)
 	}
 }
--- a/internal/platform/pool.go
+++ b/internal/platform/pool.go
@@ -14,94 +14,99 @@
 	"cobaltflow/rules"
 )
 
-// pool holds the connections to the workers. Each carries one request at a time and is kept.
+const defaultConnectTimeout = 150 * core.Millisecond // without a connect timeout in the settings
+
+// connPool holds the connections to the workers. A connection carries one call at a time and is kept open between
+// calls.
 type connPool struct {
-	f              *Front
+	front          *Front
 	workers        map[string]*poolWorker
 	links          core.SlotMap[*workerLink]
-	pendingDials   int
+	pendingDials   int // connections that are being established
 	dial           dialFunc
-	idleTimeout    core.Time
+	idleTimeout    core.Time // after which an idle connection is closed
 	connectTimeout core.Time
 	idle           idleLinks
 	inUse          int // connections with a call on them
 
-	listUpdates      uint64    // of the list, so far
-	removals         []removal // workers off the list, in the order in which they left it
-	removedRetention core.Time // so long they stay known
+	listUpdates      uint64    // updates of the worker list so far
+	removals         []removal // workers removed from the list, in the order of their removal
+	removedRetention core.Time // how long a removed worker is remembered
 }
 
+// poolWorker is a worker that the pool knows, with its idle connections.
 type poolWorker struct {
 	name, address string
-	idle          []*workerLink // the last used is last
+	idle          []*workerLink // the most recently used one last
 
-	keepAlive       core.Time     // it closes connections that have been idle for little more; 0: not seen to
-	keepAliveSeenAt core.Time     // when that was last seen
-	earlyCloserElem *list.Element // its place among the workers that do; nil: it has none
-	startedAt       core.Time     // its process's
+	keepAlive       core.Time     // estimate of how long it keeps idle connections open; 0: none, see connPool.keepAliveOf
+	keepAliveSeenAt core.Time     // when that was last observed
+	earlyCloserElem *list.Element // its element of idleLinks.earlyClosers; nil: it is not among them
+	startedAt       core.Time     // start of the worker's process
 
-	lastListed uint64    // the last update of the list that held it
-	removedAt  core.Time // when it left the list; 0: it has not
+	lastListed uint64    // number of the last list update that contained it
+	removedAt  core.Time // when it was removed from the list; 0: it is listed
 
-	surplusDue   core.Time // where it is crowded: when its oldest idle connection may carry no job any more
-	surplusIndex int       // its place in the heap of crowded workers, from 1; 0: it is not
+	surplusDue   core.Time // with surplus idle connections: when the oldest one becomes too old for jobs
+	surplusIndex int       // its position in idleLinks.surplus, from 1; 0: it is not in it
 }
 
-// call is one request on a connection: a pass, a probe, or the withdrawal of a pass.
+// call is one request on a connection to a worker: an attempt, a probe, or the cancellation of an attempt.
 type call struct {
 	message           []byte
-	onBegin           func(l *workerLink)                   // a connection was found, the message is being written
-	onWritten         func(err error)                       // it has been written, or could not be
-	onResponse        func(r *http1.Response)               // the answer came
-	onRefused         func(load rules.Load)                 // the answer was that it is not begun; nil: got is told that too
-	onFailed          func(reason string, mayHaveRead bool) // there will be none
+	onBegin           func(l *workerLink)                   // a connection was found; the message is about to be written
+	onWritten         func(err error)                       // the message was written or the write failed; may be nil
+	onResponse        func(r *http1.Response)               // the response has arrived
+	onRefused         func(load rules.Load)                 // the response proves that the request was not begun; nil: onResponse is called instead
+	onFailed          func(reason string, mayHaveRead bool) // no response will arrive
 	timeout           *core.Timer
-	isIdempotent      bool        // it may be sent twice
-	needsNewConn      bool        // only a new connection will do
-	isWanted          func() bool // whether it is wanted yet; nil: it is
-	mayBegin          func() bool // whether it may begin now, asked as its first byte is about to leave; nil: it may
-	onDial            func()      // it waits for a new connection, nothing of it has left
-	isAnswerAmbiguous bool        // its answer may be a second one to the request before
-	isWritten         bool
-	connEnded         bool // the connection went while the writer was still at it
+	isIdempotent      bool        // the message may be sent twice
+	needsNewConn      bool        // idle connections must not be used
+	isWanted          func() bool // whether the call is still needed; nil: it is
+	mayBegin          func() bool // whether the call may still begin, checked just before its first byte is sent; nil: it may
+	onAcquire         func()      // a connection is being acquired and nothing of the message has been sent; may be nil
+	isAnswerAmbiguous bool        // the response may be a duplicate answer to the previous call
+	isWritten         bool        // the last byte of the message was written
+	connEnded         bool        // the connection ended before the writer was done
 }
 
 func newConnPool(f *Front) connPool {
-	// A worker may close a connection at the end of its idle time, and a request that crosses the close
-	// is a reset that may have run: ours are retired well before.
+	// A worker may close a connection at the end of the configured idle time. A request that is sent at that moment ends
+	// in a reset and may have run, so the pool closes its idle connections earlier: by a fifth of the time or by 2 s (by
+	// half of the time if that is less), whichever is more.
 	idle := f.conf.Names.ConnIdle
 	connect := f.conf.Settings.ConnectTimeout
 	if connect <= 0 {
-		connect = 150 * core.Millisecond
+		connect = defaultConnectTimeout
 	}
-	return connPool{f: f, workers: map[string]*poolWorker{}, dial: dialTCP, connectTimeout: connect,
+	return connPool{front: f, workers: map[string]*poolWorker{}, dial: dialTCP, connectTimeout: connect,
 		idleTimeout: idle - max(idle/5, min(idle/2, 2*core.Second)), removedRetention: removedRetentionFor(f.conf.Settings.Classes)}
 }
 
-// dialer opens a connection, and blocks meanwhile.
-type dialFunc func(address string, within time.Duration) (netpoll.Connection, error)
+// dialFunc opens a connection and blocks until that has succeeded, failed or timed out.
+type dialFunc func(address string, timeout time.Duration) (netpoll.Connection, error)
 
-func dialTCP(address string, within time.Duration) (netpoll.Connection, error) {
-	return netpoll.DialConnection("tcp", address, within)
+func dialTCP(address string, timeout time.Duration) (netpoll.Connection, error) {
+	return netpoll.DialConnection("tcp", address, timeout)
 }
 
-// addresses takes the addresses of a list. Of a process that has gone or was started anew nothing is
-// believed any more: its connections ended with it.
+// updateWorkers takes over the addresses of a worker list update. The keep-alive estimate of a process that has ended
+// or restarted is dropped, since its connections ended with it.
 func (p *connPool) updateWorkers(update *discovery.Update) {
 	for i := range update.Workers {
-		m, address := &update.Workers[i], update.Addresses[i]
-		w := p.workers[m.Name]
+		entry, address := &update.Workers[i], update.Addresses[i]
+		w := p.workers[entry.Name]
 		if w == nil {
-			if m.State != rules.Gone {
-				p.workers[m.Name] = &poolWorker{name: m.Name, address: address, startedAt: m.StartedAt}
+			if entry.State != rules.Gone {
+				p.workers[entry.Name] = &poolWorker{name: entry.Name, address: address, startedAt: entry.StartedAt}
 			}
 			continue
 		}
-		if m.State == rules.Gone || m.StartedAt != w.startedAt {
-			w.startedAt = m.StartedAt
+		if entry.State == rules.Gone || entry.StartedAt != w.startedAt {
+			w.startedAt = entry.StartedAt
 			p.forgetKeepAlive(w)
 		}
-		if m.State != rules.Gone && w.address != address {
+		if entry.State != rules.Gone && w.address != address {
 			w.address = address
 			for len(w.idle) > 0 {
 				p.closeIdle(w.idle[0], link.AddressChanged)
@@ -111,71 +116,74 @@
 	p.recordRemovals(update)
 }
 
-// wanted finds a connection for the call: an idle one, the last used first, or a new one. A call that must
-// not be sent twice gets none that has been idle for longer than the worker is known to keep one.
-func (k *call) acquireConn(f *Front, w *poolWorker) {
+// acquireConn starts the call on an idle connection to the worker, the most recently used first, or dials a new one. A
+// call that must not be sent twice never gets a connection that has been idle for longer than the worker is known to
+// keep one open.
+func (c *call) acquireConn(f *Front, w *poolWorker) {
 	p := &f.pool
-	oldest := f.loop.Now() - p.currentKeepAlive(w)
-	if k.onDial != nil {
-		k.onDial()
+	minIdleSince := f.loop.Now() - p.currentKeepAlive(w)
+	if c.onAcquire != nil {
+		c.onAcquire()
 	}
-	for n := len(w.idle); n > 0 && !k.needsNewConn; n = len(w.idle) {
+	for n := len(w.idle); n > 0 && !c.needsNewConn; n = len(w.idle) {
 		l := w.idle[n-1]
-		if !k.isIdempotent && l.stateSince < oldest {
+		if !c.isIdempotent && l.stateSince < minIdleSince {
 			break
 		}
 		p.removeIdle(l)
 		if l.Ended || l.CloseReason != "" || !l.Conn.IsActive() {
 			continue
 		}
-		l.startCall(k)
+		l.startCall(c)
 		return
 	}
 	if p.links.Len()+p.pendingDials >= f.budget.workers && !p.evict() {
-		f.log.Warn("no descriptor left for a worker", "worker", w.name)
-		f.loop.Post(func() { k.onFailed(link.OverBudget, false) })
+		f.log.Warn("worker connection limit reached, call not sent", "worker", w.name)
+		f.loop.Post(func() { c.onFailed(link.OverBudget, false) })
 		return
 	}
 	p.pendingDials++
-	address, began, dial := w.address, f.loop.Now(), p.dial
-	go func() { // a dial blocks, so it is run outside the loop
+	address, start, dial := w.address, f.loop.Now(), p.dial
+	go func() { // a dial blocks and must not run on the loop
 		nc, err := dial(address, time.Duration(p.connectTimeout)*time.Microsecond)
 		f.loop.Post(func() {
 			p.pendingDials--
 			if err != nil {
-				f.recordDialFailure("worker", address, f.loop.Now()-began)
-				if k.isWanted == nil || k.isWanted() {
-					k.onFailed(link.ConnectFailed, false)
+				f.recordDialFailure("worker", address, f.loop.Now()-start)
+				if c.isWanted == nil || c.isWanted() {
+					c.onFailed(link.ConnectFailed, false)
 				}
 				return
 			}
 			f.recordDialSuccess(address)
 			l := p.addLink(nc, w, address)
-			if address != w.address { // the worker has moved since
+			if address != w.address { // the worker's address has changed meanwhile
 				l.Close(link.AddressChanged)
-				k.onFailed(link.AddressChanged, false)
+				c.onFailed(link.AddressChanged, false)
 				return
 			}
-			l.startCall(k)
+			l.startCall(c)
 		})
 	}()
 }
 
+// addLink adds an established connection to the pool. It is neither idle nor in use yet.
 func (p *connPool) addLink(nc netpoll.Connection, w *poolWorker, address string) *workerLink {
-	l := &workerLink{f: p.f, worker: w, stateSince: p.f.loop.Now()}
-	l.Init(nc, "worker", address, p.f.loop.Now())
+	l := &workerLink{front: p.front, worker: w, stateSince: p.front.loop.Now()}
+	l.Init(nc, "worker", address, p.front.loop.Now())
 	l.ref = p.links.Add(l)
 	nc.SetOnRequest(func(context.Context, netpoll.Connection) error { return l.readResponse() })
 	nc.AddCloseCallback(func(netpoll.Connection) error {
-		p.f.loop.Post(l.onEnded)
+		p.front.loop.Post(l.onEnded)
 		return nil
 	})
-	if !nc.IsActive() { // it ended before the callback was there
-		p.f.loop.Post(l.onEnded)
+	if !nc.IsActive() { // the connection ended before the callback was registered
+		p.front.loop.Post(l.onEnded)
 	}
 	return l
 }
 
+// close closes all connections.
 func (p *connPool) close() {
 	p.links.Each(func(_ core.Ref, l *workerLink) { l.Close(link.Shutdown) })
 }
--- a/internal/platform/pool_test.go
+++ b/internal/platform/pool_test.go
@@ -17,9 +17,9 @@
 	"cobaltflow/rules"
 )
 
-// On stale days workers end kept connections after a fraction of a second, some only as the next request
-// comes. A job that must not run twice is lost to such a close, so it gets no connection idle for as long.
-func TestKeptConnectionsAreNotTrustedPastWhatAWorkerKeeps(t *testing.T) {
+// Some workers close idle connections after a fraction of a second, some of them only when the next request arrives. A
+// job that must not run twice is lost by such a close, so it must not get a connection that was idle for as long.
+func TestJobsAvoidConnectionsPastKeepAlive(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -30,23 +30,23 @@
 	address := ln.Addr().String()
 	a, b, c := &poolWorker{name: "a", address: address}, &poolWorker{name: "b"}, &poolWorker{name: "c"}
 	p.workers["a"] = a
-	ended := func(w *poolWorker, messages int, idle, used core.Time, busy bool) {
-		l := &workerLink{Link: link.Link{MessageCount: messages}, f: f, worker: w, stateSince: now - idle}
+	recordEnd := func(w *poolWorker, messages int, idle, used core.Time, busy bool) {
+		l := &workerLink{Link: link.Link{MessageCount: messages}, front: f, worker: w, stateSince: now - idle}
 		if busy {
 			l.call, l.idleBeforeUse, l.stateSince = &call{}, idle, now-used
 		}
 		p.recordEarlyClose(l)
 	}
-	ended(a, 2, 700*core.Millisecond, core.Second, true)
-	assert.Equal(t, p.idleTimeout, p.currentKeepAlive(a), "it broke long after the request: no stale one")
-	ended(a, 1, 700*core.Millisecond, 0, true)
-	assert.Equal(t, p.idleTimeout, p.currentKeepAlive(a), "it was new")
-	ended(a, 1, 500*core.Millisecond, 0, false)
-	ended(a, 2, 200*core.Millisecond, core.Millisecond, true)
+	recordEnd(a, 2, 700*core.Millisecond, core.Second, true)
+	assert.Equal(t, p.idleTimeout, p.currentKeepAlive(a), "broke long after the request: not stale")
+	recordEnd(a, 1, 700*core.Millisecond, 0, true)
+	assert.Equal(t, p.idleTimeout, p.currentKeepAlive(a), "broke at its first call: not stale")
+	recordEnd(a, 1, 500*core.Millisecond, 0, false)
+	recordEnd(a, 2, 200*core.Millisecond, core.Millisecond, true)
 	assert.Equal(t, 120*core.Millisecond, p.currentKeepAlive(a))
-	assert.Equal(t, p.idleTimeout, p.currentKeepAlive(c), "one worker does not speak for all")
-	ended(b, 1, 100*core.Millisecond, 0, false)
-	assert.Equal(t, 300*core.Millisecond, p.currentKeepAlive(c), "two do, by the longer of what they showed")
+	assert.Equal(t, p.idleTimeout, p.currentKeepAlive(c), "one early closer does not count for all workers")
+	recordEnd(b, 1, 100*core.Millisecond, 0, false)
+	assert.Equal(t, 300*core.Millisecond, p.currentKeepAlive(c), "two do, by the longer of their estimates")
 
 	nc, err := netpoll.DialConnection("tcp", address, time.Second)
 	require.NoError(t, err)
@@ -54,10 +54,10 @@
 	l.becomeIdleSince(now - 130*core.Millisecond)
 	k := &call{onBegin: func(*workerLink) {}}
 	k.acquireConn(f, a)
-	assert.Equal(t, 1, p.pendingDials, "a pass gets a new one")
+	assert.Equal(t, 1, p.pendingDials, "an attempt gets a new connection")
 	k = &call{isIdempotent: true, onBegin: func(*workerLink) {}}
 	k.acquireConn(f, a)
-	assert.Same(t, k, l.call, "a probe may try the kept one")
+	assert.Same(t, k, l.call, "a probe may use the idle connection")
 
 	for range 4 {
 		more, err := netpoll.DialConnection("tcp", address, time.Second)
@@ -66,8 +66,8 @@
 		old.becomeIdleSince(now - 130*core.Millisecond)
 	}
 	p.closeExpiredIdle()
-	assert.Len(t, a.idle, idleKeptForProbes, "the others would pile up unused")
+	assert.Len(t, a.idle, maxProbeIdleConns, "the others would accumulate unused")
 
 	p.updateWorkers(&discovery.Update{Workers: []core.ListedWorker{{Name: "a", State: rules.Ready, StartedAt: 7}}, Addresses: []string{address}})
-	assert.Equal(t, p.idleTimeout, p.currentKeepAlive(a), "a process started anew has shown nothing yet")
+	assert.Equal(t, p.idleTimeout, p.currentKeepAlive(a), "nothing is known of a restarted process")
 }
--- a/internal/platform/departed_test.go
+++ b/internal/platform/removed_test.go
@@ -12,9 +12,9 @@
 	"cobaltflow/rules"
 )
 
-// listOf is an update with so many workers from the given number on, all in one state.
-func workerUpdate(whole bool, state rules.WorkerState, from, count int) *discovery.Update {
-	u := &discovery.Update{IsSnapshot: whole}
+// workerUpdate returns a list update with count workers in one state, numbered from the given one on.
+func workerUpdate(isSnapshot bool, state rules.WorkerState, from, count int) *discovery.Update {
+	u := &discovery.Update{IsSnapshot: isSnapshot}
 	for i := from; i < from+count; i++ {
 		u.Workers = append(u.Workers, core.ListedWorker{Name: fmt.Sprint("w-", i), State: state})
 		u.Addresses = append(u.Addresses, "127.0.0.1:1")
@@ -22,34 +22,34 @@
 	return u
 }
 
-// Workers that are replaced come back under new names: what is kept of the old ones must not grow for ever.
-func TestWorkersOffTheListAreForgotten(t *testing.T) {
+// Replaced workers return under new names: the memory for the old ones must not grow without bound.
+func TestRemovedWorkersAreForgotten(t *testing.T) {
 	const workers = 100
 	p, _ := newIdlePool(0)
 	for round := range 50 {
-		whole := round%2 == 0
-		if round > 0 && !whole {
+		isSnapshot := round%2 == 0
+		if round > 0 && !isSnapshot {
 			p.updateWorkers(workerUpdate(false, rules.Gone, (round-1)*workers, workers))
 		}
-		p.updateWorkers(workerUpdate(whole, rules.Ready, round*workers, workers))
+		p.updateWorkers(workerUpdate(isSnapshot, rules.Ready, round*workers, workers))
 		p.removedRetention = core.Second
 		p.forgetRemoved()
 		assert.LessOrEqual(t, len(p.workers), (round+1)*workers)
-		p.removedRetention = 0 // their time has come
+		p.removedRetention = 0 // all retentions have expired
 		p.forgetRemoved()
 		require.Len(t, p.workers, workers)
 		require.Empty(t, p.removals)
 	}
 }
 
-// One that comes back in time stays, whatever was noted of its departure.
-func TestAWorkerThatComesBackStaysKnown(t *testing.T) {
+// A worker that is listed again before its retention has expired must be kept.
+func TestRelistedWorkerIsKept(t *testing.T) {
 	p, _ := newIdlePool(0)
 	p.updateWorkers(workerUpdate(true, rules.Ready, 0, 3))
 	kept := p.workers["w-1"]
 	p.updateWorkers(workerUpdate(false, rules.Gone, 1, 1))
 	p.updateWorkers(workerUpdate(false, rules.Gone, 1, 1))
-	require.Len(t, p.removals, 1, "it left once")
+	require.Len(t, p.removals, 1, "one removal is recorded")
 	p.updateWorkers(workerUpdate(false, rules.Draining, 1, 1))
 	p.removedRetention = 0
 	p.forgetRemoved()
@@ -57,8 +57,8 @@
 	require.Same(t, kept, p.workers["w-1"])
 }
 
-// A worker stays known until every attempt there is past its deadline.
-func TestDepartedWorkersStayKnownForTheLongestDeadline(t *testing.T) {
+// A removed worker is kept until all its attempts are past their deadlines.
+func TestRetentionCoversLongestDeadline(t *testing.T) {
 	assert.Equal(t, minRemovedRetention, removedRetentionFor([]rules.Class{{Deadline: core.Second}}))
 	assert.Equal(t, 600*core.Second, removedRetentionFor([]rules.Class{{Deadline: core.Second}, {Deadline: 600 * core.Second}}))
 }
--- a/internal/platform/silence_test.go
+++ b/internal/platform/silence_test.go
@@ -16,15 +16,16 @@
 	"cobaltflow/internal/standin"
 )
 
-// Discovery that falls silent, at each instant of a watch, and a start with a list that is old: what it would have told
-// counts as told all the same, by the clock of the test.
+// Tests with a discovery server that falls silent, at each stage of a watch, and with an outdated list at the start. A
+// scheduler counts as informed of a change after a fixed time, whether the change has reached it or not.
 
-// discovery takes calls and answers none by itself.
+// fakeDiscovery is a discovery server that hands each call to the test, which answers it.
 type fakeDiscovery struct {
 	net.Listener
 	calls chan discoveryCall
 }
 
+// discoveryCall is a call with the connection for its answer.
 type discoveryCall struct {
 	net.Conn
 	target string
@@ -32,6 +33,7 @@
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery { return newFakeDiscoveryAt(t, "127.0.0.1:0") }
 
+// newFakeDiscoveryAt starts a fakeDiscovery that listens at address.
 func newFakeDiscoveryAt(t *testing.T, address string) *fakeDiscovery {
 	d := &fakeDiscovery{calls: make(chan discoveryCall, 64)}
 	d.Listener = newScriptedWorkerAt(t, address, "", func(c net.Conn, r *bufio.Reader) {
@@ -46,7 +48,7 @@
 	return d
 }
 
-// whole answers a call for the whole list, or begins a watch with it.
+// sendFullList answers a request for the full list, or begins a watch with it.
 func (c discoveryCall) sendFullList(list []byte) {
 	if c.target == "/api/targets" {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
@@ -56,23 +58,25 @@
 	c.sendChunk(string(list) + "\n")
 }
 
+// sendHead begins a chunked answer.
 func (c discoveryCall) sendHead() {
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
+// sendChunk sends text as one chunk.
 func (c discoveryCall) sendChunk(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 
-// A process starts with the list that was known when it was set up. What its agent holds counts as told from the first
-// moment: it says that it is ready when it has that, and sends nothing to a worker that was leaving by then.
-func TestAStartWithAnOldListWaitsForTheAgent(t *testing.T) {
-	agent := newFakeDiscovery(t)
+// A process starts with a list that may be outdated, but counts as informed of what its local discovery server holds. So
+// it must not be ready before it has that list, and must send nothing to a worker that is draining in it.
+func TestStartWaitsForLocalDiscovery(t *testing.T) {
+	server := newFakeDiscovery(t)
 	a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
-	n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery = true, agent.Addr().String() }, a)
+	n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery = true, server.Addr().String() }, a)
 	b.BackTo(n)
-	asked := receive(t, agent.calls)
-	require.Equal(t, "/api/targets", asked.target, "whole: a watch says nothing where nothing changed")
-	assert.False(t, isReady(n), "the agent has not answered")
-	asked.sendFullList(n.Farm.Tell(true, a.Entry("draining"), b.Entry("up")))
+	first := receive(t, server.calls)
+	require.Equal(t, "/api/targets", first.target, "the full list: a watch sends nothing if nothing has changed")
+	assert.False(t, isReady(n), "the discovery server has not answered")
+	first.sendFullList(n.Farm.Tell(true, a.Entry("draining"), b.Entry("up")))
 	n.Eventually(func() bool { return isReady(n) })
 	for i := range 4 {
 		require.Equal(t, 200, n.Ask("board-view", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
@@ -80,15 +84,16 @@
 	assert.Empty(t, a.Jobs())
 }
 
-// Discovery may be down for seconds: a process is ready all the same, with the list that it was given.
-func TestASilentAgentDoesNotHoldReadinessUp(t *testing.T) {
-	agent := newFakeDiscovery(t)
+// The discovery server may be down for seconds: a process must become ready with the list that it was started with.
+func TestSilentDiscoveryDoesNotBlockReadiness(t *testing.T) {
+	server := newFakeDiscovery(t)
 	a := standin.NewWorker(t, "s-1", nil)
-	n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery = true, agent.Addr().String() }, a)
+	n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery = true, server.Addr().String() }, a)
 	n.Eventually(func() bool { return isReady(n) })
 	assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 5000, "").Status)
 }
 
+// isReady reports the answer of the readiness check.
 func isReady(n *standin.Node) bool {
 	r, err := http.Get(n.URL("/-/ready"))
 	if err != nil {
@@ -98,13 +103,13 @@
 	return r.StatusCode == 200
 }
 
-// Wherever a watch falls silent it is opened anew, by one of three hundred schedulers too, before what it missed counts
-// as told: 6 s after its last byte, and for an agent that gives no answer at all within the grace. Nothing is sent to
-// the worker that has left meanwhile once the new watch has told of it.
-func TestAWatchThatFallsSilentIsOpenedAnewInTime(t *testing.T) {
-	const head = "its head"
-	for silent, last := range map[string]func(c discoveryCall, list []byte){
-		"the start":   func(discoveryCall, []byte) {},
+// At whatever stage a watch falls silent, it must be reopened before the scheduler counts as informed of what it missed:
+// within 6 s of the last byte, also with three hundred schedulers, and within the drain grace if a local discovery
+// server does not answer at all. Once the new watch has reported that a worker is draining, no job is sent to it.
+func TestSilentWatchIsReopenedInTime(t *testing.T) {
+	const head = "the response head"
+	for stage, sendLast := range map[string]func(c discoveryCall, list []byte){
+		"the request": func(discoveryCall, []byte) {},
 		head:          func(c discoveryCall, _ []byte) { c.sendHead() },
 		"a list":      func(c discoveryCall, list []byte) { c.sendFullList(list) },
 		"half a line": func(c discoveryCall, list []byte) { c.sendHead(); c.sendChunk(string(list[:len(list)/2])) },
@@ -112,7 +117,7 @@
 		"a reset":     func(c discoveryCall, _ []byte) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
 	} {
 		for _, pushed := range []bool{false, true} {
-			t.Run(fmt.Sprintf("after %s, pushed %v", silent, pushed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("after %s, pushed %v", stage, pushed), func(t *testing.T) {
 				t.Parallel()
 				d := newFakeDiscovery(t)
 				a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
@@ -121,18 +126,18 @@
 				}, a)
 				b.BackTo(n)
 				first := receive(t, d.calls)
-				if pushed { // the watch follows on the same connection
+				if pushed { // the watch call follows on the same connection
 					first.sendFullList(n.Farm.Tell(true, a.Entry("up")))
 					first = receive(t, d.calls)
 				}
 				since := time.Now()
-				last(first, n.Farm.Tell(true, a.Entry("up")))
+				sendLast(first, n.Farm.Tell(true, a.Entry("up")))
 				second := receive(t, d.calls)
-				took := time.Since(since)
-				if silent == "the start" && pushed {
-					assert.Less(t, took, time.Duration(n.Conf.Settings.DrainGrace)*time.Microsecond)
+				elapsed := time.Since(since)
+				if stage == "the request" && pushed {
+					assert.Less(t, elapsed, time.Duration(n.Conf.Settings.DrainGrace)*time.Microsecond)
 				}
-				assert.Less(t, took, 6*time.Second)
+				assert.Less(t, elapsed, 6*time.Second)
 				second.sendFullList(n.Farm.Tell(true, a.Entry("draining"), b.Entry("up")))
 				n.Eventually(hasWorkers(n, 2))
 				for i := range 4 {
@@ -144,8 +149,8 @@
 	}
 }
 
-// A worker that was removed and is listed again is asked again, by its new address.
-func TestAWorkerThatIsListedAgainIsAskedAgain(t *testing.T) {
+// A worker that was removed and is listed again gets jobs again, at its new address.
+func TestRelistedWorkerGetsJobsAtNewAddress(t *testing.T) {
 	a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-1", nil)
 	n := standin.Start(t, nil, a)
 	b.BackTo(n)
@@ -159,8 +164,9 @@
 	assert.Len(t, b.Jobs(), 1)
 }
 
-// A process that the platform may kill soon answers what is open before: where the longest deadline is short, so is its time.
-func TestWhatIsOpenIsAnsweredBeforeAnEarlyKill(t *testing.T) {
+// The platform may kill a process soon after SIGTERM if the longest deadline is short. Open requests must be answered
+// before that.
+func TestOpenRequestsAreAnsweredBeforeEarlyKill(t *testing.T) {
 	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, func(c *config.Config) {
 		for i := range c.Settings.Classes {
@@ -170,7 +176,7 @@
 	got := make(chan standin.Answer, 1)
 	go func() { got <- n.Ask("move", "k", "id-1", 60_000, "") }()
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
-	n.On(func() { n.Front.StopSince(n.Loop.Now()-1_800_000, func() {}) }) // killed 1.9 s after SIGTERM at the earliest
-	assert.Zero(t, openRequests(n), "given up in the same turn")
-	assert.Equal(t, 500, receive(t, got).Status, "it may have run")
+	n.On(func() { n.Front.StopSince(n.Loop.Now()-1_800_000, func() {}) }) // 1.8 s ago; the kill comes 1.9 s after SIGTERM at the earliest
+	assert.Zero(t, openRequests(n), "answered in the same turn")
+	assert.Equal(t, 500, receive(t, got).Status, "the job may have run")
 }
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -7,51 +7,51 @@
 	"cobaltflow/internal/link"
 )
 
-// stream reads a connection to discovery. Lists are decoded where they are read, on a goroutine of netpoll's; the loop is
-// handed those that are whole.
+// discoveryStream reads a connection to the discovery server. Lists are decoded as they arrive, on a netpoll goroutine;
+// the loop receives complete lines only.
 type discoveryStream struct {
 	watch      *discoveryWatch
 	link       *link.Link
-	answers    *discovery.ResponseReader
-	lines      []discovery.Line // of the present read
-	watchBegun bool             // the answer to the watch has begun, as the watch was told
+	reader     *discovery.ResponseReader
+	lines      []discovery.Line // decoded by the current read
+	watchBegun bool             // the answer to the watch has begun, and the loop has been notified
 }
 
-// reading is what one read of the connection came to.
+// readResult is the outcome of one read of the connection.
 type readResult struct {
 	lines      []discovery.Line
-	watchBegun bool  // the answer to the watch has begun with it
-	isPartial  bool  // something has begun whose end has not come yet
-	err        error // the connection is of no more use
+	watchBegun bool  // the answer to the watch has begun with this read
+	isPartial  bool  // something has begun that is not complete yet
+	err        error // the connection is unusable
 }
 
 func newDiscoveryStream(w *discoveryWatch, l *link.Link) *discoveryStream {
 	s := &discoveryStream{watch: w, link: l}
-	s.answers = discovery.NewResponseReader(w.needsFullList, w.f.listFormat(), w.f.listLimits, func(line discovery.Line) {
+	s.reader = discovery.NewResponseReader(w.needsFullList, w.front.listFormat(), w.front.listLimits, func(line discovery.Line) {
 		s.lines = append(s.lines, line)
 	})
 	return s
 }
 
-// listFormat tells how the words of discovery's lists are read.
+// listFormat returns how the names and times in discovery's lists are mapped.
 func (f *Front) listFormat() discovery.Mapping {
 	return discovery.Mapping{Names: &f.conf.Names, FromUnix: f.loop.FromUnixMilli}
 }
 
-// read runs on a goroutine of netpoll's. The next read waits until the loop has taken what this one came to.
+// read runs on a netpoll goroutine. The next read waits until the loop has processed the result of this one.
 func (s *discoveryStream) read() error {
 	var r readResult
-	return s.link.Read(s.watch.f.loop, func(buf []byte) (size, need int, fault bool) {
-		size, need, r.err = s.answers.Consume(buf)
+	return s.link.Read(s.watch.front.loop, func(buf []byte) (size, need int, fault bool) {
+		size, need, r.err = s.reader.Consume(buf)
 		r.lines, s.lines = s.lines, nil
-		r.isPartial = s.answers.IsPartial()
-		r.watchBegun = s.answers.IsWatching() && !s.watchBegun
-		s.watchBegun = s.answers.IsWatching()
+		r.isPartial = s.reader.IsPartial()
+		r.watchBegun = s.reader.IsWatching() && !s.watchBegun
+		s.watchBegun = s.reader.IsWatching()
 		return size, need, r.err != nil
 	}, func() { s.handleResult(&r) })
 }
 
-// take has the loop take a reading.
+// handleResult processes the result of a read on the loop.
 func (s *discoveryStream) handleResult(r *readResult) {
 	defer s.link.ReleaseBuffer()
 	w := s.watch
@@ -65,9 +65,9 @@
 		w.handleLine(s.link, line)
 	}
 	if r.err != nil {
-		var over *discovery.LimitError
-		w.listRefused = errors.As(r.err, &over)
-		w.f.log.Warn("discovery: unusable answer", "error", r.err)
+		var limitErr *discovery.LimitError
+		w.listRefused = errors.As(r.err, &limitErr)
+		w.front.log.Warn("discovery: unusable answer", "error", r.err)
 		s.link.Close(link.BadInput)
 	}
 }
--- a/internal/platform/unreachable_test.go
+++ b/internal/platform/unreachable_test.go
@@ -14,21 +14,22 @@
 	"cobaltflow/internal/standin"
 )
 
-// A change counts as told 6 s after discovery had it and could be reached; what an agent holds counts at once, so that
-// sends to a worker that leaves may go on for the grace.
+// maxUpdateDelay is the time after which a scheduler counts as informed of a change, 6 s from when the discovery server
+// has it and is reachable. What a local discovery server holds counts at once; jobs may still be sent to a draining
+// worker for the drain grace.
 const maxUpdateDelay = 6 * time.Second
 
-// However a call to discovery fails, and however many failed before, the next one comes in time for what discovery has
-// from then on: with lists asked for and pushed, by one scheduler and by one of three hundred.
-func TestAFailedCallIsRepeatedInTime(t *testing.T) {
-	const failedBefore = 6 // the wait does not grow any more
+// However a call to the discovery server fails, and however many failed before, the next call must come early enough for
+// the changes since: with a remote and a local server, with one scheduler and with three hundred.
+func TestFailedCallIsRetriedInTime(t *testing.T) {
+	const failedBefore = 6 // the mean wait has reached its maximum
 	for kind, fail := range map[string]func(c discoveryCall){
 		"reset":  func(c discoveryCall) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
 		"closed": func(c discoveryCall) { c.Close() },
 		"refused": func(c discoveryCall) {
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		},
-		"given up": func(discoveryCall) {},
+		"no answer": func(discoveryCall) {},
 	} {
 		for _, pushed := range []bool{false, true} {
 			for _, schedulers := range []int{1, 300} {
@@ -50,17 +51,17 @@
 	}
 }
 
-// The same where nobody listened at discovery's address, and then somebody does.
-func TestDiscoveryThatListensAgainIsCalledInTime(t *testing.T) {
+// The same for a discovery server that refuses connections and then listens again.
+func TestRestartedDiscoveryIsCalledInTime(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		for _, schedulers := range []int{1, 300} {
 			t.Run(fmt.Sprintf("pushed %v, %d schedulers", pushed, schedulers), func(t *testing.T) {
 				t.Parallel()
-				gone := newFakeDiscovery(t)
-				address := gone.Addr().String()
-				a, b, n := startBeforeDiscovery(t, gone, pushed, schedulers)
-				first := receive(t, gone.calls)
-				gone.Close()
+				stopped := newFakeDiscovery(t)
+				address := stopped.Addr().String()
+				a, b, n := startBeforeDiscovery(t, stopped, pushed, schedulers)
+				first := receive(t, stopped.calls)
+				stopped.Close()
 				n.On(func() { n.Front.SetWatchFailures(5) })
 				first.Conn.(*net.TCPConn).SetLinger(0)
 				first.Close()
@@ -76,7 +77,8 @@
 	}
 }
 
-// unreachable starts one of so many schedulers that knows a worker, before a discovery; the other worker is not listed yet.
+// startBeforeDiscovery starts a scheduler, one of the given number, that knows one worker and whose discovery server is
+// d. The other worker is not listed yet.
 func startBeforeDiscovery(t *testing.T, d *fakeDiscovery, pushed bool, schedulers int) (known, other *standin.Worker, n *standin.Node) {
 	known, other = standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 	n = standin.Start(t, func(c *config.Config) {
@@ -86,14 +88,16 @@
 	return known, other, n
 }
 
-func assertCalledInTime(t *testing.T, n *standin.Node, took time.Duration, pushed bool) {
+// assertCalledInTime checks the time until the next call: within the drain grace for a local discovery server, and
+// within maxUpdateDelay for any.
+func assertCalledInTime(t *testing.T, n *standin.Node, elapsed time.Duration, pushed bool) {
 	if pushed {
-		assert.Less(t, took, time.Duration(n.Conf.Settings.DrainGrace)*time.Microsecond)
+		assert.Less(t, elapsed, time.Duration(n.Conf.Settings.DrainGrace)*time.Microsecond)
 	}
-	assert.Less(t, took, maxUpdateDelay)
+	assert.Less(t, elapsed, maxUpdateDelay)
 }
 
-// onlyTo has the node know both workers, and sees that requests go to the one that stays.
+// assertServedOnlyBy waits until the node knows both workers and checks that jobs go only to the one that stays.
 func assertServedOnlyBy(t *testing.T, n *standin.Node, stays, leaves *standin.Worker) {
 	n.Eventually(hasWorkers(n, 2))
 	for i := range 4 {
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -17,117 +17,132 @@
 )
 
 const (
-	watchSilenceTimeout   = 3 * core.Second        // the watch is opened anew when nothing came for so long: it is due every 2 s
-	watchStallTimeout     = core.Second            // and when what has come of a list is not continued for so long
-	watchAnswerTimeout    = 3 * core.Second        // and when it gave no first answer for so long
-	minRetryWait          = 200 * core.Millisecond // mean wait before the first retry, at least
-	retryWaitPerScheduler = 20 * core.Millisecond  // the same for each scheduler of the fleet: they may all have to retry at once
-	maxRetryDoublings     = 3                      // doublings of it, for calls that failed in a row
-	// A change counts as told 6 s after discovery had it and could be reached, however many calls failed before: calls
-	// that fail in a row begin at most watchPeriod apart. The rest is for the connection and the answer of the next.
+	// The watch is reopened when nothing has arrived for watchSilenceTimeout (a line is due every 2 s), when a list that
+	// has begun makes no progress for watchStallTimeout, and when a call has no answer after watchAnswerTimeout.
+	watchSilenceTimeout = 3 * core.Second
+	watchStallTimeout   = core.Second
+	watchAnswerTimeout  = 3 * core.Second
+	watchDialTimeout    = core.Second // for a connection to be established
+	// maxListDuration bounds the time for which a long list counts as progress while its endpoints keep arriving.
+	maxListDuration = 10 * core.Second
+
+	// The mean wait before the first retry is retryWaitPerScheduler for each scheduler of the fleet, since all may have to
+	// retry at once, but at least minRetryWait. It doubles with each further failure, at most maxRetryDoublings times.
+	minRetryWait          = 200 * core.Millisecond
+	retryWaitPerScheduler = 20 * core.Millisecond
+	maxRetryDoublings     = 3
+	// A scheduler counts as informed of a change 6 s after the discovery server has it and is reachable, however many
+	// calls failed before. So calls that fail in a row begin at most maxCallInterval apart, which leaves 1 s for the
+	// connection and the answer of the next call. A wait that would be longer ends in the last 1/lateRetryParts of the
+	// remaining time.
 	maxCallInterval = 5 * core.Second
-	lateRetryParts  = 5 // and where the wait would be longer, it ends in the last fifth of what is left
-	// What a silent watch misses counts as told 6 s after it fell silent: with watchSilence until that is seen and
-	// watchFirst for the answer, the first call after it can't wait for longer, however many schedulers there are.
+	lateRetryParts  = 5
+	// maxFirstRetryWait bounds the mean wait before the first retry, for any number of schedulers. A scheduler counts as
+	// informed of what a silent watch missed 6 s after the silence began. Of that time, watchSilenceTimeout passes until
+	// the silence is noticed, and the connection and the answer need the rest.
 	maxFirstRetryWait = 600 * core.Millisecond
-	watchDialTimeout  = core.Second // for a connection to come up
-	// A long list is no silence as long as its endpoints go on coming, but no longer than this.
-	maxListDuration = 10 * core.Second
-	// watchRefused is the mean wait after a list that is over a limit: it will be the next time, too, and is long.
+	// refusedListRetryWait is the mean wait after a list that exceeds a limit: the next one will probably exceed it too,
+	// and such a list is long.
 	refusedListRetryWait = 1600 * core.Millisecond
 
-	// An agent on our own machine answers at once, and what it holds counts as told whether it was heard or not: a call
-	// and the wait after it take three eighths of the grace at most, within these bounds.
+	// A discovery server on the local machine answers at once, and a scheduler counts as informed of whatever it holds,
+	// received or not. So a call and the wait after it take at most 1/4 + 1/8 of the drain grace, within these bounds; the
+	// mean wait is 1/12 of the grace, the longest one and a half times that.
 	localAnswerParts, minLocalAnswerTimeout, maxLocalAnswerTimeout = 4, 60 * core.Millisecond, 500 * core.Millisecond
 	localRetryParts, minLocalRetryWait                             = 12, 20 * core.Millisecond
+
+	watchRandStream = 0x77617463 // "watc": the stream of the seeded generator that jitters the waits
 )
 
-// agentFirst is how long an agent has for the beginning of its answer, where sends to a leaving worker may go on for
-// the grace.
+// localAnswerTimeout returns how long a local discovery server may take to begin its answer. grace is the time for
+// which jobs may still be sent to a worker that has begun to drain.
 func localAnswerTimeout(grace core.Time) core.Time {
 	return min(max(grace/localAnswerParts, minLocalAnswerTimeout), maxLocalAnswerTimeout)
 }
 
-// agentRetry is the mean wait before an agent is asked again.
+// localRetryWait returns the mean wait before a local discovery server is called again.
 func localRetryWait(grace core.Time) core.Time {
 	return min(max(grace/localRetryParts, minLocalRetryWait), minRetryWait)
 }
 
-// watch follows discovery: one connection, one chunked answer that stays open. It can be moved to
-// another address; all that belongs to an earlier one is told by its epoch and changes nothing.
+// discoveryWatch follows the worker list of the discovery server on one connection, as a chunked answer that stays
+// open. It can be moved to another address; events of an earlier address carry an older epoch and are ignored.
 type discoveryWatch struct {
-	f                *Front
+	front            *Front
 	dial             dialFunc
 	address          string
-	epoch            int       // of the address
-	version          int64     // of the list, at this address
-	needsFullList    bool      // the whole list is asked for first: its version may not continue the one we hold
-	lastReceived     core.Time // when the last byte came, or the connection came up
+	epoch            int       // number of the address; callbacks of an earlier one are ignored
+	version          int64     // of the list received from this address
+	needsFullList    bool      // the full list is requested first: its version may not continue that of the known list
+	lastReceived     core.Time // when an answer or a line arrived last, or the connection was established
 	lastDial         core.Time // when the last dial began
-	callCount        int       // so far
-	answerBegun      bool      // the answer to the last of them has
-	hasPartialLine   bool      // a line has, and its end has not come yet
-	stalledSince     core.Time
-	decodedEndpoints uint64    // endpoints that have come on the link, those of a list that is still coming too
-	lastDecoded      core.Time // when that was last seen to grow
-	listRefused      bool      // the last list was over a limit
+	callCount        int       // calls sent
+	answerBegun      bool      // the answer to the last call has begun
+	hasPartialLine   bool      // a line has begun and is not complete yet
+	stalledSince     core.Time // when a partial line or unread input was first seen without progress; 0: there is none
+	decodedEndpoints uint64    // endpoints decoded on this connection when last checked, those of an incomplete list included
+	lastDecoded      core.Time // when decodedEndpoints last grew
+	listRefused      bool      // the last list exceeded a limit
 	link             *link.Link
-	stream           *discoveryStream // the reading of the link
+	stream           *discoveryStream // the reader of the connection
 	isStopped        bool
-	failures         int // calls in a row that brought no answer
+	failures         int // calls that failed in a row
 	rng              *rand.Rand
 }
 
 func newDiscoveryWatch(f *Front, address string, version int64) *discoveryWatch {
-	// The list that is known at the start may be old. Where asking costs nothing the whole one is asked for first: its
-	// answer tells also that nothing has changed, which a watch leaves unsaid.
-	return &discoveryWatch{f: f, dial: dialTCP, address: address, version: version, needsFullList: f.conf.Pushed, rng: rand.New(rand.NewPCG(f.conf.Seed, 0x77617463))}
+	// The list that is known at the start may be outdated. Where the discovery server is local, a full list costs
+	// little and is requested first: unlike a watch, its answer also shows that nothing has changed.
+	return &discoveryWatch{front: f, dial: dialTCP, address: address, version: version, needsFullList: f.conf.Pushed, rng: rand.New(rand.NewPCG(f.conf.Seed, watchRandStream))}
 }
 
-// again opens the watch anew after a while. Discovery may be one service for all schedulers, which fails calls when
-// it has too many: retried by each of eighty every 0.2 s, it answers none. So the wait grows with the number of
-// schedulers, and doubles with each failure in a row, as far as watchPeriod allows; it is drawn, or those that failed
-// together would return together. An agent on our own machine serves nobody else: it is asked again soon, however many
-// schedulers there are and however often it was silent, since all that it holds counts as told.
+// scheduleRetry reopens the watch after a wait. One discovery server may serve all schedulers and fail calls when there
+// are too many of them: with eighty schedulers that retry every 0.2 s it answers none. So the mean wait grows with the
+// number of schedulers and doubles with each failure in a row, within maxCallInterval. It is randomised, because
+// schedulers that failed together would otherwise retry together.
+//
+// A local discovery server has no other client. It is called again soon, whatever the number of schedulers and of
+// failures.
 func (w *discoveryWatch) scheduleRetry(epoch int) {
-	now := w.f.loop.Now()
-	wait := retryWait(w.f.conf.Settings.GroupSize, w.failures, now-max(w.lastDial, w.lastReceived), w.rng.Float64())
-	if w.f.conf.Pushed {
-		wait = jitter(localRetryWait(w.f.conf.Settings.DrainGrace), w.rng.Float64())
+	now := w.front.loop.Now()
+	wait := retryWait(w.front.conf.Settings.GroupSize, w.failures, now-max(w.lastDial, w.lastReceived), w.rng.Float64())
+	if w.front.conf.Pushed {
+		wait = jitter(localRetryWait(w.front.conf.Settings.DrainGrace), w.rng.Float64())
 	}
 	if w.listRefused {
 		wait, w.listRefused = jitter(refusedListRetryWait, w.rng.Float64()), false
 	}
 	w.failures++
-	w.f.loop.At(now+wait, func() { w.open(epoch) })
+	w.front.loop.At(now+wait, func() { w.open(epoch) })
 }
 
-// retryWait is how long a scheduler among so many waits when so many calls in a row have failed before the last, which
-// began, or was last heard, so long ago; drawn is from 0 to under 1. The next call begins within watchPeriod of that. A
-// wait that would be longer is drawn from the last part of what is left: the later all call, the fewer calls there are.
-func retryWait(schedulers, failed int, took core.Time, drawn float64) core.Time {
-	mean := max(minRetryWait, retryWaitPerScheduler*core.Time(schedulers)) << min(failed, maxRetryDoublings)
-	if failed == 0 {
+// retryWait returns how long a scheduler waits before it calls discovery again. failures is the number of calls that
+// failed in a row before the last one, elapsed the time since that one began or last received something, random a
+// number in [0, 1). The next call begins within maxCallInterval of that time. A wait that would exceed it is drawn from
+// the last part of the remaining time, because later calls are fewer calls.
+func retryWait(schedulers, failures int, elapsed core.Time, random float64) core.Time {
+	mean := max(minRetryWait, retryWaitPerScheduler*core.Time(schedulers)) << min(failures, maxRetryDoublings)
+	if failures == 0 {
 		mean = min(mean, maxFirstRetryWait)
 	}
-	left := max(maxCallInterval-took, minRetryWait)
-	if wait := jitter(mean, drawn); wait <= left {
+	remaining := max(maxCallInterval-elapsed, minRetryWait)
+	if wait := jitter(mean, random); wait <= remaining {
 		return wait
 	}
-	return left - core.Time(drawn*float64(left/lateRetryParts))
+	return remaining - core.Time(random*float64(remaining/lateRetryParts))
 }
 
-// spreadOut draws a wait of half to one and a half times the mean; drawn is from 0 to under 1.
-func jitter(mean core.Time, drawn float64) core.Time {
-	return mean/2 + core.Time(drawn*float64(mean))
+// jitter returns a wait between half and one and a half times the mean; random is in [0, 1).
+func jitter(mean core.Time, random float64) core.Time {
+	return mean/2 + core.Time(random*float64(mean))
 }
 
-// move follows another address from now on. The list that we hold stands until the new one has told its own.
+// moveTo follows another address from now on. The known list is kept until the new address has sent one.
 func (w *discoveryWatch) moveTo(address string) {
 	if w.isStopped || address == w.address {
 		return
 	}
-	w.f.log.Info("discovery: moved", "from", w.address, "to", address)
+	w.front.log.Info("discovery: address changed", "from", w.address, "to", address)
 	w.address, w.needsFullList = address, true
 	w.epoch++
 	w.failures = 0
@@ -138,22 +153,23 @@
 	w.open(w.epoch)
 }
 
+// open dials the discovery server and starts the watch, unless the watch is stopped or has moved since epoch.
 func (w *discoveryWatch) open(epoch int) {
-	if w.isStopped || epoch != w.epoch || w.address == "" { // no discovery: the known list stands
+	if w.isStopped || epoch != w.epoch || w.address == "" { // without discovery the known list stays in force
 		return
 	}
-	loop, address, dial := w.f.loop, w.address, w.dial
+	loop, address, dial := w.front.loop, w.address, w.dial
 	w.lastDial = loop.Now()
-	within := watchDialTimeout
-	if w.f.conf.Pushed {
-		within = w.answerTimeout()
+	timeout := watchDialTimeout
+	if w.front.conf.Pushed {
+		timeout = w.answerTimeout()
 	}
-	go func() { // a dial blocks, so it is run outside the loop
-		nc, err := dial(address, time.Duration(within)*time.Microsecond)
+	go func() { // a dial blocks and must not run on the loop
+		nc, err := dial(address, time.Duration(timeout)*time.Microsecond)
 		loop.Post(func() {
 			if err != nil {
-				w.f.recordDialFailure("discovery", address, 0)
-				if epoch == w.epoch { // else it says nothing of the address that is followed now
+				w.front.recordDialFailure("discovery", address, 0)
+				if epoch == w.epoch { // otherwise the failure concerns an earlier address
 					w.scheduleRetry(epoch)
 				}
 				return
@@ -162,7 +178,7 @@
 				w.closeLate(nc, address)
 				return
 			}
-			w.f.recordDialSuccess(address)
+			w.front.recordDialSuccess(address)
 			l := &link.Link{}
 			l.Init(nc, "discovery", address, loop.Now())
 			s := newDiscoveryStream(w, l)
@@ -186,33 +202,33 @@
 	}()
 }
 
-// closeLate ends a connection that came up when nobody wanted it any more. Its listener may have had it for long: like any
-// other that ends it has its line in the log.
+// closeLate closes a connection that was established after the watch had stopped or moved. The server may have accepted
+// it long before, so that it gets a line in the log like any other connection.
 func (w *discoveryWatch) closeLate(nc netpoll.Connection, address string) {
 	reason := link.AddressChanged
 	if w.isStopped {
 		reason = link.Shutdown
 	}
 	nc.Close()
-	link.LogEnd(w.f.log, "discovery", address, reason, 0, 0)
+	link.LogEnd(w.front.log, "discovery", address, reason, 0, 0)
 }
 
-// ask sends a call, whose answer has to begin in time.
+// sendCall sends a GET request for target and sets the time limit for the beginning of its answer.
 func (w *discoveryWatch) sendCall(l *link.Link, target string) {
-	l.Send(w.f.loop, link.Outgoing{Message: http1.AppendRequest(nil, "GET", target, w.address, -1, nil)})
+	l.Send(w.front.loop, link.Outgoing{Message: http1.AppendRequest(nil, "GET", target, w.address, -1, nil)})
 	w.answerBegun = false
 	w.callCount++
-	w.awaitAnswer(l, w.callCount, w.stream.answers.DecodedEndpoints())
+	w.awaitAnswer(l, w.callCount, w.stream.reader.DecodedEndpoints())
 }
 
-// awaitAnswer ends a call whose answer has not begun in time. That of the whole list has when the list has come; as long
-// as more of its endpoints have, it is waited for.
+// awaitAnswer closes the connection if the answer to a call has not begun in time. The answer with the full list counts
+// as begun when the list is complete; until then the wait is extended as long as more of its endpoints arrive.
 func (w *discoveryWatch) awaitAnswer(l *link.Link, call int, decoded uint64) {
-	w.f.loop.At(w.f.loop.Now()+w.answerTimeout(), func() {
+	w.front.loop.At(w.front.loop.Now()+w.answerTimeout(), func() {
 		if l != w.link || call != w.callCount || w.answerBegun {
 			return
 		}
-		if now := w.stream.answers.DecodedEndpoints(); now > decoded {
+		if now := w.stream.reader.DecodedEndpoints(); now > decoded {
 			w.awaitAnswer(l, call, now)
 			return
 		}
@@ -220,25 +236,26 @@
 	})
 }
 
-// first is how long an answer may take to begin.
+// answerTimeout returns how long an answer may take to begin.
 func (w *discoveryWatch) answerTimeout() core.Time {
-	if w.f.conf.Pushed {
-		return localAnswerTimeout(w.f.conf.Settings.DrainGrace)
+	if w.front.conf.Pushed {
+		return localAnswerTimeout(w.front.conf.Settings.DrainGrace)
 	}
 	return watchAnswerTimeout
 }
 
+// sendWatchCall requests the changes after the known version.
 func (w *discoveryWatch) sendWatchCall(l *link.Link) {
 	w.sendCall(l, PathTargets+"?watch=1&after="+strconv.FormatInt(w.version, 10))
 }
 
-// listen closes a watch that has fallen silent: a broken path tells nothing.
+// armSilenceTimer closes the connection when it has been silent for too long: a broken network path reports nothing.
 func (w *discoveryWatch) armSilenceTimer(l *link.Link) {
 	due := w.silenceDeadline()
-	w.f.loop.At(due, func() {
+	w.front.loop.At(due, func() {
 		switch {
 		case l.Ended || l != w.link:
-		case w.f.loop.Now() >= w.silenceDeadline():
+		case w.front.loop.Now() >= w.silenceDeadline():
 			l.Close(link.NoAnswer)
 		default:
 			w.armSilenceTimer(l)
@@ -246,25 +263,27 @@
 	})
 }
 
-// silentAt is when the watch counts as silent if nothing more comes.
+// silenceDeadline returns when the watch counts as silent if nothing more arrives.
 func (w *discoveryWatch) silenceDeadline() core.Time {
 	return min(max(w.lastReceived, w.lastDecoded)+watchSilenceTimeout, w.lastReceived+maxListDuration)
 }
 
-// alive takes a sign of life: an answer has begun, although its first line may be seconds away.
+// recordLiveness records that an answer has begun or a line has arrived; the first line of an answer may follow seconds
+// after its beginning.
 func (w *discoveryWatch) recordLiveness(l *link.Link) {
 	if l == w.link {
-		w.lastReceived, w.answerBegun, w.stalledSince, w.failures = w.f.loop.Now(), true, 0, 0
+		w.lastReceived, w.answerBegun, w.stalledSince, w.failures = w.front.loop.Now(), true, 0, 0
 	}
 }
 
-// check ends a watch that has stopped in the middle of something: what is behind it would come too late.
+// closeIfStalled closes the connection when a list that has begun makes no progress: what follows it would arrive too
+// late.
 func (w *discoveryWatch) closeIfStalled() {
-	l, now := w.link, w.f.loop.Now()
+	l, now := w.link, w.front.loop.Now()
 	switch {
 	case l == nil || l.ClosedLocally || l.Ended:
-	case w.stream.answers.DecodedEndpoints() != w.decodedEndpoints: // a list goes on
-		w.decodedEndpoints, w.lastDecoded, w.stalledSince = w.stream.answers.DecodedEndpoints(), now, 0
+	case w.stream.reader.DecodedEndpoints() != w.decodedEndpoints: // the list makes progress
+		w.decodedEndpoints, w.lastDecoded, w.stalledSince = w.stream.reader.DecodedEndpoints(), now, 0
 	case !w.hasPartialLine && l.Conn.Reader().Len() == 0:
 		w.stalledSince = 0
 	case w.stalledSince == 0:
@@ -274,8 +293,9 @@
 	}
 }
 
+// onLinkEnded schedules a retry when the connection to the current address has ended.
 func (w *discoveryWatch) onLinkEnded(l *link.Link, epoch int) {
-	if !l.MarkEnded(w.f.log, w.f.loop.Now()) {
+	if !l.MarkEnded(w.front.log, w.front.loop.Now()) {
 		return
 	}
 	if epoch == w.epoch {
@@ -283,6 +303,7 @@
 	}
 }
 
+// stop ends the watch for good.
 func (w *discoveryWatch) stop() {
 	w.isStopped = true
 	if w.link != nil {
@@ -290,25 +311,26 @@
 	}
 }
 
-// take has a line of the watch, or the whole list that was asked for first, after which the watch follows on the same
-// connection.
+// handleLine processes a line of the watch, or the full list if that was requested. After the full list the watch
+// continues on the same connection.
 func (w *discoveryWatch) handleLine(l *link.Link, line discovery.Line) {
-	asked := w.needsFullList
+	wantedFullList := w.needsFullList
 	if l != w.link {
-		return // of an address that was left
+		return // from an earlier address
 	}
-	taken := w.applyLine(l, line)
+	applied := w.applyLine(l, line)
 	switch {
-	case !asked:
-	case taken:
+	case !wantedFullList:
+	case applied:
 		w.sendWatchCall(l)
 	default:
 		l.Close(link.BadInput)
 	}
 }
 
-// update takes a line of the watch. A bad one is logged, and the last good list stands.
-func (w *discoveryWatch) applyLine(l *link.Link, line discovery.Line) (taken bool) {
+// applyLine applies a line to the worker list and reports whether it did. An invalid line is logged and the last valid
+// list stays in force.
+func (w *discoveryWatch) applyLine(l *link.Link, line discovery.Line) (applied bool) {
 	w.recordLiveness(l)
 	l.MessageCount++
 	update, err := line.Update, line.Err
@@ -316,21 +338,21 @@
 		return false
 	}
 	if err == nil && w.needsFullList && !update.IsSnapshot {
-		err = errors.New("not the whole list, which was asked for")
+		err = errors.New("full list requested, but the answer is not a snapshot")
 	}
 	if err != nil {
-		w.f.log.Warn("discovery: bad line kept out", "error", err)
+		w.front.log.Warn("discovery: bad line kept out", "error", err)
 		return false
 	}
 	w.version, w.needsFullList = update.Version, false
-	w.f.workerStarts.Resolve(update, w.f.loop.Now(), !w.f.hasReceivedList)
-	w.f.hasReceivedList = true
-	w.f.pool.updateWorkers(update)
+	w.front.workerStarts.Resolve(update, w.front.loop.Now(), !w.front.hasReceivedList)
+	w.front.hasReceivedList = true
+	w.front.pool.updateWorkers(update)
 	form := rules.ListDelta
 	if update.IsSnapshot {
 		form = rules.ListFull
 	}
-	w.f.core.UpdateWorkerList(w.f, form, update.Workers)
-	w.f.markReady()
+	w.front.core.UpdateWorkerList(w.front, form, update.Workers)
+	w.front.markReady()
 	return true
 }
--- a/internal/platform/worker_link.go
+++ b/internal/platform/worker_link.go
@@ -8,76 +8,80 @@
 	"cobaltflow/internal/link"
 )
 
-// A worker may send a second answer to a request some milliseconds late: behind the next request on the connection
-// it would be taken for that one's. Within this time of the answer before, a word that a request was never begun is
-// believed only when no other answer has followed it for as long.
+// duplicateAnswerWindow guards against duplicate answers: a worker may send a second answer to a request some
+// milliseconds late, which behind the next request on the connection would be taken for the answer to that one. Within
+// this time of the previous answer, a response which says that a request was not begun is accepted only if no other
+// answer follows it for as long.
 const duplicateAnswerWindow = 50 * core.Millisecond
 
 // workerLink is a connection to a worker.
 type workerLink struct {
 	link.Link
 	ref           core.Ref
-	f             *Front
+	front         *Front
 	worker        *poolWorker
-	call          *call         // what it is used for; nil: idle. Set by setCall
-	idleElem      *list.Element // among the idle ones; nil: it is none of them
-	stateSince    core.Time     // idle since, or in use since
-	idleBeforeUse core.Time     // how long it had been idle when it was used last
+	call          *call         // the call in progress; nil: none. Changed by setCall only
+	idleElem      *list.Element // its element of idleLinks.order; nil: it is not idle
+	stateSince    core.Time     // since when it has been idle or in use
+	idleBeforeUse core.Time     // how long it was idle before the last call
 	response      http1.Response
 }
 
-// use puts a call on the connection. One that may not begin any more has ended, and leaves the connection to others.
-func (l *workerLink) startCall(k *call) {
-	if k.mayBegin != nil && !k.mayBegin() {
+// startCall starts a call on the connection. If the call may not begin any more, it has already ended, and the
+// connection stays idle for others.
+func (l *workerLink) startCall(c *call) {
+	if c.mayBegin != nil && !c.mayBegin() {
 		l.becomeIdleSince(l.stateSince)
 		return
 	}
-	l.setCall(k)
-	now := l.f.loop.Now()
+	l.setCall(c)
+	now := l.front.loop.Now()
 	l.idleBeforeUse, l.stateSince = now-l.stateSince, now
-	k.isAnswerAmbiguous = l.MessageCount > 0 && l.idleBeforeUse < duplicateAnswerWindow
+	c.isAnswerAmbiguous = l.MessageCount > 0 && l.idleBeforeUse < duplicateAnswerWindow
 	l.MessageCount++
-	k.onBegin(l)
-	l.Send(l.f.loop, link.Outgoing{Message: k.message, Done: func(err error) {
-		k.isWritten = err == nil
-		if k.onWritten != nil {
-			k.onWritten(err)
+	c.onBegin(l)
+	l.Send(l.front.loop, link.Outgoing{Message: c.message, Done: func(err error) {
+		c.isWritten = err == nil
+		if c.onWritten != nil {
+			c.onWritten(err)
 		}
-		if k.connEnded {
-			l.retryOrFail(k, err == nil || !link.NeverSent(err))
-		} else if err != nil && l.call == k {
+		if c.connEnded {
+			l.retryOrFail(c, err == nil || !link.NeverSent(err))
+		} else if err != nil && l.call == c {
 			l.setCall(nil)
-			l.retryOrFail(k, !link.NeverSent(err))
+			l.retryOrFail(c, !link.NeverSent(err))
 		}
 	}})
 }
 
-// breakOff ends a call whose connection broke. One that surely never left, or that may be sent twice,
-// is put on a new connection where the old one had been kept: it says nothing of the worker's health.
-func (l *workerLink) retryOrFail(k *call, mayHaveRead bool) {
-	l.f.loop.CancelTimer(k.timeout)
-	if l.MessageCount > 1 && l.CloseReason == "" && !k.needsNewConn && (k.isIdempotent || !mayHaveRead) && (k.isWanted == nil || k.isWanted()) {
-		k.needsNewConn, k.isWritten, k.connEnded = true, false, false
-		k.acquireConn(l.f, l.worker)
+// retryOrFail ends a call whose connection broke. A call that was certainly not sent, or that may be sent twice, moves
+// to a new connection if the broken one had been used before: a stale connection reveals nothing about the worker's
+// health. mayHaveRead reports whether the worker may have read the complete message.
+func (l *workerLink) retryOrFail(c *call, mayHaveRead bool) {
+	l.front.loop.CancelTimer(c.timeout)
+	if l.MessageCount > 1 && l.CloseReason == "" && !c.needsNewConn && (c.isIdempotent || !mayHaveRead) && (c.isWanted == nil || c.isWanted()) {
+		c.needsNewConn, c.isWritten, c.connEnded = true, false, false
+		c.acquireConn(l.front, l.worker)
 		return
 	}
 	reason := l.CloseReason
 	if reason == "" {
 		reason = link.PeerClosed
 	}
-	k.onFailed(reason, mayHaveRead)
+	c.onFailed(reason, mayHaveRead)
 }
 
-// onResponse runs on a goroutine of netpoll's.
+// readResponse is the OnRequest handler and runs on a netpoll goroutine.
 func (l *workerLink) readResponse() error {
 	var fault *http1.Error
-	return l.Read(l.f.loop, func(buf []byte) (int, int, bool) {
+	return l.Read(l.front.loop, func(buf []byte) (int, int, bool) {
 		var need int
 		need, fault = http1.ParseResponse(buf, &l.response, false)
 		return l.response.Size, need, fault != nil
 	}, func() { l.handleResponse(fault) })
 }
 
+// handleResponse processes a response, or a syntax error in it, on the loop. Interim responses (1xx) are ignored.
 func (l *workerLink) handleResponse(fault *http1.Error) {
 	defer l.ReleaseBuffer()
 	if l.Ended || l.CloseReason != "" {
@@ -86,21 +90,21 @@
 	if fault == nil && l.response.Status/100 == 1 {
 		return
 	}
-	k := l.call
-	if fault != nil || k == nil {
-		l.Close(link.BadInput) // an answer that can't be read, or one that nobody waits for
+	c := l.call
+	if fault != nil || c == nil {
+		l.Close(link.BadInput) // a malformed response, or one without a call
 		return
 	}
-	if k.isAnswerAmbiguous && k.onRefused != nil && isUnprocessed(&l.response) {
-		l.deferRefusal(k)
+	if c.isAnswerAmbiguous && c.onRefused != nil && isUnprocessed(&l.response) {
+		l.deferRefusal(c)
 		return
 	}
-	l.f.loop.CancelTimer(k.timeout)
+	l.front.loop.CancelTimer(c.timeout)
 	l.finishCall(l.response.KeepAlive)
-	k.onResponse(&l.response)
+	c.onResponse(&l.response)
 }
 
-// answered ends the use of the connection by a call that has its answer.
+// finishCall ends the use of the connection by a call that has been answered.
 func (l *workerLink) finishCall(keepAlive bool) {
 	l.setCall(nil)
 	if keepAlive {
@@ -110,62 +114,63 @@
 	}
 }
 
-// doubt waits whether another answer follows one that may be the second to the request before. Where the connection
-// ends meanwhile nothing is proved.
-func (l *workerLink) deferRefusal(k *call) {
-	k.isAnswerAmbiguous = false
-	load, keep := parseLoad(l.response.Get(HeaderLoad)), l.response.KeepAlive
-	k.timeout = l.f.loop.At(l.f.loop.Now()+duplicateAnswerWindow, func() {
-		if l.call != k || l.Ended || l.CloseReason != "" {
+// deferRefusal waits for duplicateAnswerWindow whether another answer follows a refusal that may be a duplicate answer
+// to the previous call. If the connection ends meanwhile, the refusal proves nothing and the call fails.
+func (l *workerLink) deferRefusal(c *call) {
+	c.isAnswerAmbiguous = false
+	load, keepAlive := parseLoad(l.response.Get(HeaderLoad)), l.response.KeepAlive
+	c.timeout = l.front.loop.At(l.front.loop.Now()+duplicateAnswerWindow, func() {
+		if l.call != c || l.Ended || l.CloseReason != "" {
 			return
 		}
-		l.finishCall(keep)
-		k.onRefused(load)
+		l.finishCall(keepAlive)
+		c.onRefused(load)
 	})
 }
 
-// setCall has the connection in use by a call, or, with nil, by none.
-func (l *workerLink) setCall(k *call) {
+// setCall sets the call that uses the connection; nil: none.
+func (l *workerLink) setCall(c *call) {
 	if l.call != nil {
-		l.f.pool.inUse--
+		l.front.pool.inUse--
 	}
-	if k != nil {
-		l.f.pool.inUse++
+	if c != nil {
+		l.front.pool.inUse++
 	}
-	l.call = k
+	l.call = c
 }
 
-// rest puts the connection with the idle ones.
-func (l *workerLink) becomeIdle() { l.becomeIdleSince(l.f.loop.Now()) }
+// becomeIdle returns the connection to the idle ones.
+func (l *workerLink) becomeIdle() { l.becomeIdleSince(l.front.loop.Now()) }
 
-// restSince puts the connection with those that have been idle since a time, unless the worker has another address by
-// now.
+// becomeIdleSince returns the connection to the idle ones, as idle since the given time. It closes the connection if
+// the worker's address has changed.
 func (l *workerLink) becomeIdleSince(since core.Time) {
 	if l.Peer != l.worker.address {
 		l.Close(link.AddressChanged)
 		return
 	}
 	l.stateSince = since
-	l.f.pool.addIdle(l)
+	l.front.pool.addIdle(l)
 }
 
-// gone has the connection end. Whether a call on it may have been read turns on whether its last byte
-// was written, which the writer tells: where it has not yet, it is waited for.
+// onEnded processes the end of the connection. Whether the worker may have read a call on it depends on whether its
+// last byte was written, which the writer reports: if the writer is not done, startCall's completion callback ends the
+// call.
 func (l *workerLink) onEnded() {
-	if !l.MarkEnded(l.f.log, l.f.loop.Now()) {
+	if !l.MarkEnded(l.front.log, l.front.loop.Now()) {
 		return
 	}
-	l.f.pool.links.Free(l.ref)
-	l.f.pool.removeIdle(l)
+	l.front.pool.links.Free(l.ref)
+	l.front.pool.removeIdle(l)
 	if l.CloseReason == "" && l.MessageCount > 0 {
-		l.f.pool.recordEarlyClose(l)
+		l.front.pool.recordEarlyClose(l)
 	}
-	if k := l.call; k != nil {
+	if c := l.call; c != nil {
 		l.setCall(nil)
-		if k.isWritten {
-			l.retryOrFail(k, true)
+		if c.isWritten {
+			l.retryOrFail(c, true)
 		} else {
-			k.connEnded = true
+			c.connEnded = true
 		}
 	}
 	l.ReleaseBuffer()
