--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' address: readiness, figures, table workers taken out and back by hand,
-// drains. It hands the decisions events and reads figures where they are kept; it decides nothing itself.
+// Package admin serves the operators' HTTP address: readiness, metrics, disabling and enabling table workers, and draining
+// clients. Package gateway starts its Front and implements Directives; package admin makes no scheduling decision itself.
 package admin
 
 import (
@@ -17,42 +17,43 @@
 	"cobaltflow/internal/link"
 )
 
-// Bounds of the operators' address.
+// Limits of the admin address.
 const (
-	// MostCalls is how many connections may be open at once; over it the oldest that has brought no whole
-	// call is closed (over-budget), so callers who connect and say nothing take no place from one who asks.
+	// MaxConnections bounds the open connections. Beyond it the oldest one without a complete request is closed
+	// (over-budget), so that silent connections do not keep out one that sends a request.
 	MaxConnections = 32
-	// CallTime is how long a connection has to bring its whole call; then it gets 408 and is closed.
-	CallTimeout = 900 * core.Millisecond
-	readTimeout = time.Second // netpoll's own bound on a read that has begun, behind CallTime
-	// answerMargin of a connection's CallTime is left for the way of a call that could not be carried out in time.
+	// RequestTimeout bounds the time from opening a connection to its complete request; then the connection gets 408
+	// and is closed.
+	RequestTimeout = 900 * core.Millisecond
+	readTimeout    = time.Second // netpoll's own bound on a read that has begun; a second bound beside RequestTimeout
+	// answerMargin is the part of RequestTimeout that is left to write the answer to a change that was not confirmed in
+	// time.
 	answerMargin = 50 * core.Millisecond
 )
 
-// MostHeld bounds the table workers that may be out by hand at once; a disable over it is refused with 409.
+// MaxDisabledWorkers bounds the table workers that operators may have disabled at once. A disable beyond it gets 409.
 const MaxDisabledWorkers = directive.MaxOn
 
-// Clients is what the admin address drives of the clients' front.
+// ClientFront is the clients' front, as far as the admin address controls and reports it.
 type ClientFront interface {
 	Ready() bool
 	Drain()
 	Resume()
-	Relayed() uint64
+	Relayed() uint64 // attempts written completely to workers
 }
 
-// Directives is where the front hands what operators tell, to be in force in all processes of this scheduler. All of it
-// is the loop's.
+// Directives puts the operators' directives in force in all processes of this scheduler. Its methods are called on the loop.
 type Directives interface {
-	// Change tells a directive. answer is called once, on the loop, within the time: with nil when the directive is in
-	// force in, and kept by, every process of this scheduler.
-	Change(key directive.Key, on bool, within time.Duration, answer func(error))
-	// Known tells whether a table worker is listed, or out by hand.
+	// Change sets a directive. done is called once, on the loop, within the given time: with nil when the directive is in
+	// force in, and persisted by, every process of this scheduler.
+	Change(key directive.Key, on bool, within time.Duration, done func(error))
+	// IsKnownWorker reports whether a table worker is listed, or disabled by an operator.
 	IsKnownWorker(worker string) bool
-	// Failures counts how often the directives could not be read or written.
+	// Failures returns how often the directives could not be read or written.
 	Failures() uint64
 }
 
-// Front serves the operators' calls, one a connection, on the loop.
+// Front answers the operators' requests, one per connection, on the loop.
 type Front struct {
 	loop       *core.Loop
 	core       *core.Core
@@ -63,27 +64,28 @@
 
 	listener netpoll.Listener
 	server   netpoll.EventLoop
-	calls    core.SlotMap[*call]
+	conns    core.SlotMap[*conn]
 }
 
-// call is one connection of an operator's.
-type call struct {
+// conn is one connection of an operator.
+type conn struct {
 	link.Link
 	ref      core.Ref
 	request  http1.Request
-	received bool // its whole call is in hand
+	received bool // the complete request was read
 	answered bool
 	timeout  *core.Timer
 }
 
-type callKey struct{}
+type connKey struct{}
 
-// New makes the front; Start opens it.
+// New creates a Front; Start opens it.
 func New(c *core.Core, conf *config.Config, clients ClientFront, directives Directives, log *slog.Logger) *Front {
 	return &Front{loop: c.Loop, core: c, conf: conf, clients: clients, directives: directives, log: log}
 }
 
-// Start listens. It is called before the loop runs.
+// Start listens at the configured address. It is called before the loop runs. An address that can't be listened at is a
+// *config.Error.
 func (f *Front) Start() error {
 	ln, err := link.Listen(f.conf.Admin)
 	if err != nil {
@@ -98,83 +100,84 @@
 	return nil
 }
 
-// Address is where the front listens.
+// Address returns the address at which the front listens.
 func (f *Front) Address() string { return f.listener.Addr().String() }
 
-// Close ends the listener and every call.
+// Close closes the listener and every connection.
 func (f *Front) Close() {
 	f.listener.Close()
-	f.calls.Each(func(_ core.Ref, k *call) { k.Close(link.Shutdown) })
+	f.conns.Each(func(_ core.Ref, c *conn) { c.Close(link.Shutdown) })
 }
 
-// prepare runs on the poller, before anything of the connection can be read.
+// prepare sets up a new connection. It runs on the poller, before anything is read from the connection.
 func (f *Front) prepare(nc netpoll.Connection) context.Context {
-	k := &call{}
-	k.Init(nc, "operator", nc.RemoteAddr().String(), 0)
+	c := &conn{}
+	c.Init(nc, "operator", nc.RemoteAddr().String(), 0)
 	nc.SetReadTimeout(readTimeout)
 	nc.AddCloseCallback(func(netpoll.Connection) error {
-		f.loop.Post(func() { f.onClose(k) })
+		f.loop.Post(func() { f.onClose(c) })
 		return nil
 	})
 	f.loop.Post(func() {
-		if k.Ended {
+		if c.Ended {
 			return
 		}
-		k.Opened = f.loop.Now()
-		k.ref = f.calls.Add(k)
-		k.timeout = f.loop.At(k.Opened+CallTimeout, func() {
+		c.Opened = f.loop.Now()
+		c.ref = f.conns.Add(c)
+		c.timeout = f.loop.At(c.Opened+RequestTimeout, func() {
 			switch {
-			case k.answered || k.ClosedLocally:
-			case k.received:
-				f.answer(k, link.NoAnswer, 503, "in force here, but not confirmed in time; ask again\n")
+			case c.answered || c.ClosedLocally:
+			case c.received:
+				f.answer(c, link.NoAnswer, 503, "in force here, but not confirmed in time; ask again\n")
 			default:
-				f.answer(k, link.SlowInput, 408, "no whole call came within 900 ms\n")
+				f.answer(c, link.SlowInput, 408, "no whole call came within 900 ms\n")
 			}
 		})
-		if f.calls.Len() > MaxConnections {
-			f.closeOldest(k)
+		if f.conns.Len() > MaxConnections {
+			f.closeOldest(c)
 		}
 	})
-	return context.WithValue(context.Background(), callKey{}, k)
+	return context.WithValue(context.Background(), connKey{}, c)
 }
 
-// shed closes the oldest connection that has no whole call; where all have one, the newest.
-func (f *Front) closeOldest(newest *call) {
+// closeOldest closes the oldest connection without a complete request, or the newest connection if each has one.
+func (f *Front) closeOldest(newest *conn) {
 	victim := newest
-	f.calls.Each(func(_ core.Ref, k *call) {
-		if !k.ClosedLocally && !k.answered && k.MessageCount == 0 && (victim == newest || k.Opened < victim.Opened) {
-			victim = k
+	f.conns.Each(func(_ core.Ref, c *conn) {
+		if !c.ClosedLocally && !c.answered && c.MessageCount == 0 && (victim == newest || c.Opened < victim.Opened) {
+			victim = c
 		}
 	})
 	victim.Close(link.OverBudget)
 }
 
-// onRequest runs on a goroutine of netpoll's; package link says who holds the buffer.
+// onRequest reads a connection. It runs on one of netpoll's goroutines; package link defines which goroutine owns the read
+// buffer.
 func (f *Front) onRequest(ctx context.Context, _ netpoll.Connection) error {
-	k := ctx.Value(callKey{}).(*call)
+	c := ctx.Value(connKey{}).(*conn)
 	var fault *http1.Error
-	return k.Read(f.loop, func(buf []byte) (int, int, bool) {
+	return c.Read(f.loop, func(buf []byte) (int, int, bool) {
 		var need int
-		need, fault = http1.ParseRequest(buf, &k.request)
-		return k.request.Size, need, fault != nil
-	}, func() { f.handle(k, fault) })
+		need, fault = http1.ParseRequest(buf, &c.request)
+		return c.request.Size, need, fault != nil
+	}, func() { f.handle(c, fault) })
 }
 
-// take has a whole call in hand, or a fault in it. The answer is put together at once, on the loop.
-func (f *Front) handle(k *call, fault *http1.Error) {
-	defer k.ReleaseBuffer()
-	k.MessageCount++
-	if k.Ended || k.ClosedLocally || k.answered || k.received {
+// handle answers a request, or the fault that parsing it found, on the loop.
+func (f *Front) handle(c *conn, fault *http1.Error) {
+	defer c.ReleaseBuffer()
+	c.MessageCount++
+	if c.Ended || c.ClosedLocally || c.answered || c.received {
 		return
 	}
-	k.received = true
+	c.received = true
 	if fault != nil {
-		f.answer(k, link.BadInput, fault.Status, fault.Text+"\n")
+		f.answer(c, link.BadInput, fault.Status, fault.Text+"\n")
 		return
 	}
-	method, path := string(k.request.Method), string(k.request.Path)
-	if d, ok := f.parseCommand(method, path); ok {
-		f.applyCommand(k, d)
+	method, path := string(c.request.Method), string(c.request.Path)
+	if cmd, ok := f.parseCommand(method, path); ok {
+		f.applyCommand(c, cmd)
 		return
 	}
 	status, body := f.serve(method, path)
@@ -188,28 +191,29 @@
 	if method == "HEAD" {
 		body = ""
 	}
-	f.answer(k, reason, status, body, extra...)
+	f.answer(c, reason, status, body, extra...)
 }
 
-// answer writes the one answer of a connection, which is closed after it. The reason stands in its log line.
-func (f *Front) answer(k *call, reason string, status int, body string, extra ...string) {
-	k.answered = true
-	f.loop.CancelTimer(k.timeout)
-	k.CloseReason = reason
+// answer writes the answer and closes the connection after it. reason is logged when the connection ends.
+func (f *Front) answer(c *conn, reason string, status int, body string, extra ...string) {
+	c.answered = true
+	f.loop.CancelTimer(c.timeout)
+	c.CloseReason = reason
 	message := http1.AppendResponse(nil, status, false, []byte(body), append(extra, "Content-Type", "text/plain")...)
-	k.Send(f.loop, link.Outgoing{Message: message, CloseAfter: true})
+	c.Send(f.loop, link.Outgoing{Message: message, CloseAfter: true})
 }
 
-func (f *Front) onClose(k *call) {
-	if !k.MarkEnded(f.log, f.loop.Now()) {
+// onClose frees a connection that has ended.
+func (f *Front) onClose(c *conn) {
+	if !c.MarkEnded(f.log, f.loop.Now()) {
 		return
 	}
-	f.loop.CancelTimer(k.timeout)
-	f.calls.Free(k.ref)
-	k.ReleaseBuffer()
+	f.loop.CancelTimer(c.timeout)
+	f.conns.Free(c.ref)
+	c.ReleaseBuffer()
 }
 
-// Paths of the calls.
+// Paths of the admin requests.
 const (
 	PathReady   = "/-/ready"
 	PathMetrics = "/-/metrics"
@@ -218,7 +222,8 @@
 	PathWorkers = "/-/table-workers/"
 )
 
-// serve carries a call out and gives its status and body. 2xx is yes; 4xx names what was wrong.
+// serve returns the status and body for a request that changes nothing: 2xx is success, and the body of a 4xx names the
+// fault.
 func (f *Front) serve(method, path string) (int, string) {
 	want := allowedMethod(path)
 	known := path == PathReady || path == PathMetrics || path == PathDrain || path == PathResume ||
@@ -242,7 +247,7 @@
 	return f.unknownWorker(strings.TrimPrefix(path, PathWorkers))
 }
 
-// wanted is the method of a call.
+// allowedMethod returns the method that a path allows.
 func allowedMethod(path string) string {
 	if path == PathReady || path == PathMetrics {
 		return "GET"
--- a/internal/front/admin/admin_test.go
+++ b/internal/front/admin/admin_test.go
@@ -18,7 +18,7 @@
 	"cobaltflow/internal/standin"
 )
 
-// start runs a node with an operators' address, keeping what operators tell it in a folder of the test's own.
+// start runs a node with an admin address; the directives are kept in tmp.
 func start(t *testing.T, tmp string, workers ...*standin.Worker) *standin.Node {
 	return startAt(t, tmp, "127.0.0.1:0", workers...)
 }
@@ -29,8 +29,8 @@
 	}, workers...)
 }
 
-// call sends raw text to the operators' address and gives status and body; the connection must be closed after.
-func call(t *testing.T, n *standin.Node, text string) (int, string) {
+// sendRaw sends raw text to the admin address and returns status and body; the connection must be closed after it.
+func sendRaw(t *testing.T, n *standin.Node, text string) (int, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", n.Gateway.Admin.Address())
 	require.NoError(t, err)
@@ -41,64 +41,64 @@
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
 	body, err := io.ReadAll(r.Body)
-	require.NoError(t, err, "the answer must be whole and the connection closed after it")
+	require.NoError(t, err, "the answer must be complete and the connection closed after it")
 	return r.StatusCode, string(body)
 }
 
-func ask(t *testing.T, n *standin.Node, method, path string) (int, string) {
-	return call(t, n, method+" "+path+" HTTP/1.1\r\nHost: ops\r\n\r\n")
+func send(t *testing.T, n *standin.Node, method, path string) (int, string) {
+	return sendRaw(t, n, method+" "+path+" HTTP/1.1\r\nHost: ops\r\n\r\n")
 }
 
-func TestCallsAndTheirFaults(t *testing.T) {
+func TestRequestsAndTheirFaults(t *testing.T) {
 	n := start(t, t.TempDir(), standin.NewWorker(t, "s-1", nil))
-	status, _ := ask(t, n, "GET", "/-/ready")
+	status, _ := send(t, n, "GET", "/-/ready")
 	assert.Equal(t, 200, status)
-	status, body := ask(t, n, "GET", "/-/nothing")
+	status, body := send(t, n, "GET", "/-/nothing")
 	assert.Equal(t, 404, status)
 	assert.Contains(t, body, "/-/nothing")
-	status, body = ask(t, n, "GET", "/-/drain")
+	status, body = send(t, n, "GET", "/-/drain")
 	assert.Equal(t, 405, status)
 	assert.Contains(t, body, "only POST")
-	status, body = ask(t, n, "POST", "/-/table-workers/s-9/disable")
+	status, body = send(t, n, "POST", "/-/table-workers/s-9/disable")
 	assert.Equal(t, 404, status)
 	assert.Contains(t, body, "s-9")
-	status, _ = ask(t, n, "POST", "/-/table-workers/s-1/halt")
+	status, _ = send(t, n, "POST", "/-/table-workers/s-1/halt")
 	assert.Equal(t, 404, status)
-	status, _ = call(t, n, "GET /-/ready HTTP/1.1\r\nContent-Length: x\r\n\r\n")
+	status, _ = sendRaw(t, n, "GET /-/ready HTTP/1.1\r\nContent-Length: x\r\n\r\n")
 	assert.Equal(t, 400, status)
-	status, _ = call(t, n, "GET /-/ready HTTP/1.1\r\nHost: ops\r\nX: "+strings.Repeat("y", 70<<10)+"\r\n\r\n")
+	status, _ = sendRaw(t, n, "GET /-/ready HTTP/1.1\r\nHost: ops\r\nX: "+strings.Repeat("y", 70<<10)+"\r\n\r\n")
 	assert.GreaterOrEqual(t, status, 400)
 	assert.Less(t, status, 500)
 }
 
-// A worker out by hand gets no job, twice out is undone by one enable, and the figures tell of it.
-func TestWorkersOutByHand(t *testing.T) {
+// A disabled worker gets no job, one enable undoes two disables, and the metrics show the state.
+func TestDisabledWorkers(t *testing.T) {
 	a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 	n := start(t, t.TempDir(), a, b)
 	for range 2 {
-		status, _ := ask(t, n, "POST", "/-/table-workers/s-1/disable")
+		status, _ := send(t, n, "POST", "/-/table-workers/s-1/disable")
 		require.Equal(t, 200, status)
 	}
-	_, figures := ask(t, n, "GET", "/-/metrics")
-	assert.Contains(t, figures, "edge_relay.out_of_rotation:1|g\n")
-	assert.Contains(t, figures, "edge_relay.registry_entries:2|g\n")
+	_, metrics := send(t, n, "GET", "/-/metrics")
+	assert.Contains(t, metrics, "edge_relay.out_of_rotation:1|g\n")
+	assert.Contains(t, metrics, "edge_relay.registry_entries:2|g\n")
 	for i := range 20 {
 		id := fmt.Sprint("id-", i)
 		require.Equal(t, 200, n.Ask("board-view", fmt.Sprint("k", i), id, 5000, "").Status)
 	}
-	assert.Empty(t, a.Jobs(), "the worker out by hand got jobs")
+	assert.Empty(t, a.Jobs(), "the disabled worker got jobs")
 	assert.Len(t, b.Jobs(), 20)
-	status, _ := ask(t, n, "POST", "/-/table-workers/s-1/enable")
+	status, _ := send(t, n, "POST", "/-/table-workers/s-1/enable")
 	require.Equal(t, 200, status)
-	_, figures = ask(t, n, "GET", "/-/metrics")
-	assert.Contains(t, figures, "edge_relay.out_of_rotation:0|g\n")
-	assert.Contains(t, figures, "edge_relay.fulfilled.board-view:20|c\n")
-	assert.Contains(t, figures, "edge_relay.relayed:20|c\n")
-	assert.Contains(t, figures, "edge_relay.open_requests:0|g\n")
+	_, metrics = send(t, n, "GET", "/-/metrics")
+	assert.Contains(t, metrics, "edge_relay.out_of_rotation:0|g\n")
+	assert.Contains(t, metrics, "edge_relay.fulfilled.board-view:20|c\n")
+	assert.Contains(t, metrics, "edge_relay.relayed:20|c\n")
+	assert.Contains(t, metrics, "edge_relay.open_requests:0|g\n")
 }
 
-// The set of workers out is kept in TMPDIR: a new version started with the same name and address keeps them out.
-func TestWorkersStayOutAcrossARestart(t *testing.T) {
+// Disabled workers are persisted in TMPDIR: a new process with the same name and address keeps them disabled.
+func TestWorkersStayDisabledAcrossARestart(t *testing.T) {
 	tmp := t.TempDir()
 	a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -106,20 +106,20 @@
 	address := ln.Addr().String()
 	ln.Close()
 	first := startAt(t, tmp, address, a, b)
-	status, _ := ask(t, first, "POST", "/-/table-workers/s-2/disable")
+	status, _ := send(t, first, "POST", "/-/table-workers/s-2/disable")
 	require.Equal(t, 200, status)
 	first.Gateway.Stop()
 	<-first.Ended
 	second := startAt(t, tmp, address, a, b)
-	_, figures := ask(t, second, "GET", "/-/metrics")
-	assert.Contains(t, figures, "edge_relay.out_of_rotation:1|g\n")
+	_, metrics := send(t, second, "GET", "/-/metrics")
+	assert.Contains(t, metrics, "edge_relay.out_of_rotation:1|g\n")
 	for i := range 10 {
 		require.Equal(t, 200, second.Ask("board-view", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
 	}
 	assert.Empty(t, b.Jobs())
 }
 
-// After a drain the clients' readiness says no and a connection that holds nothing is closed; resume undoes it.
+// After a drain the clients' address is not ready and an idle connection is closed; resume undoes it.
 func TestDrainAndResume(t *testing.T) {
 	n := start(t, t.TempDir(), standin.NewWorker(t, "s-1", nil))
 	idle, err := net.Dial("tcp", n.Front.Address())
@@ -133,19 +133,19 @@
 	require.Equal(t, 200, first.StatusCode)
 	io.ReadAll(io.LimitReader(first.Body, 1<<10))
 
-	status, _ := ask(t, n, "POST", "/-/drain")
+	status, _ := send(t, n, "POST", "/-/drain")
 	require.Equal(t, 200, status)
 	resp, err := http.Get(n.URL("/-/ready"))
 	require.NoError(t, err)
 	resp.Body.Close()
 	assert.Equal(t, 503, resp.StatusCode)
-	status, _ = ask(t, n, "GET", "/-/ready")
+	status, _ = send(t, n, "GET", "/-/ready")
 	assert.Equal(t, 503, status)
 	idle.SetReadDeadline(time.Now().Add(standin.Patience))
 	_, err = r.ReadByte()
 	assert.ErrorIs(t, err, io.EOF, "an idle client's connection must be closed in a drain")
 
-	status, _ = ask(t, n, "POST", "/-/resume")
+	status, _ = send(t, n, "POST", "/-/resume")
 	require.Equal(t, 200, status)
 	resp, err = http.Get(n.URL("/-/ready"))
 	require.NoError(t, err)
@@ -153,65 +153,65 @@
 	assert.Equal(t, 200, resp.StatusCode)
 }
 
-// Callers who connect and say nothing, or half of a call, hold up nobody: a usual call is answered at once, the
-// silent are closed by their deadline or for the budget.
-func TestSilentCallersHoldUpNobody(t *testing.T) {
+// Connections that send nothing, or a partial request, block no one else: a complete request is answered at once, and the
+// silent connections are closed at their timeout or over the budget.
+func TestSilentConnectionsBlockNoRequest(t *testing.T) {
 	n := start(t, t.TempDir(), standin.NewWorker(t, "s-1", nil))
-	var mute []net.Conn
+	var silent []net.Conn
 	for i := range admin.MaxConnections + 8 {
 		c, err := net.Dial("tcp", n.Gateway.Admin.Address())
 		require.NoError(t, err)
 		if i%2 == 0 {
 			io.WriteString(c, "GET /-/met")
 		}
-		mute = append(mute, c)
+		silent = append(silent, c)
 	}
 	defer func() {
-		for _, c := range mute {
+		for _, c := range silent {
 			c.Close()
 		}
 	}()
-	status, _ := ask(t, n, "GET", "/-/ready")
+	status, _ := send(t, n, "GET", "/-/ready")
 	assert.Equal(t, 200, status)
-	for _, c := range mute {
+	for _, c := range silent {
 		c.SetReadDeadline(time.Now().Add(standin.Patience))
 		_, err := io.ReadAll(c)
-		require.NoError(t, err, "a silent caller's connection must be ended by us")
+		require.NoError(t, err, "the front must close a silent connection")
 	}
-	// The line of a connection comes with its end, which is the caller's too, or a moment later.
+	// A connection's log line may be written a moment after the client sees its end.
 	for _, text := range []string{"party=operator", "reason=over-budget", "reason=slow-input"} {
 		n.Eventually(func() bool { return n.Logged(text) })
 	}
 }
 
-// With a small budget of descriptors and the clients' address crowded by idle and half-written connections,
-// the operators' calls are still answered: their connections are budgeted apart.
-func TestCallsAnsweredWhileClientsCrowd(t *testing.T) {
+// Admin requests are answered although idle and partial connections exhaust the clients' share of a small descriptor
+// budget: admin connections have a budget of their own.
+func TestAdminRequestsAnsweredWhileClientBudgetIsExhausted(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	n := standin.Start(t, func(c *config.Config) {
 		c.Admin = "127.0.0.1:0"
 		c.Limits.Sockets = 128
 	}, standin.NewWorker(t, "s-1", nil))
-	var crowd []net.Conn
+	var clientConns []net.Conn
 	defer func() {
-		for _, c := range crowd {
+		for _, c := range clientConns {
 			c.Close()
 		}
 	}()
 	for i := range 300 {
 		c, err := net.Dial("tcp", n.Front.Address())
 		if err != nil {
-			break // turned away by the poller: the budget holds
+			break // refused by the poller: the budget is exhausted
 		}
 		if i%3 == 0 {
 			io.WriteString(c, "POST /move/k HTTP/1.1\r\nX-Corr")
 		}
-		crowd = append(crowd, c)
+		clientConns = append(clientConns, c)
 	}
 	for range 5 {
-		status, _ := ask(t, n, "GET", "/-/ready")
+		status, _ := send(t, n, "GET", "/-/ready")
 		assert.Equal(t, 200, status)
 	}
-	_, figures := ask(t, n, "GET", "/-/metrics")
-	assert.Contains(t, figures, "edge_relay.open_requests:0|g\n")
+	_, metrics := send(t, n, "GET", "/-/metrics")
+	assert.Contains(t, metrics, "edge_relay.open_requests:0|g\n")
 }
--- a/internal/front/admin/directives.go
+++ b/internal/front/admin/directives.go
@@ -11,15 +11,15 @@
 	"cobaltflow/internal/link"
 )
 
-// order is an operator's call that changes something.
+// command is an operator's request to change a directive.
 type command struct {
 	key    directive.Key
 	on     bool
-	okText string // the answer when it is in force
+	okText string // body of the answer once the directive is in force
 }
 
-// directiveOf reads a call that changes something; ok is false for any other, and for one that names no known worker.
-func (f *Front) parseCommand(method, path string) (o command, ok bool) {
+// parseCommand returns the command of a request; ok is false if the request is none, or names an unknown worker.
+func (f *Front) parseCommand(method, path string) (cmd command, ok bool) {
 	if method != "POST" {
 		return command{}, false
 	}
@@ -30,8 +30,8 @@
 		return command{directive.Drain, false, "serving\n"}, true
 	}
 	rest, ok := strings.CutPrefix(path, PathWorkers)
-	worker, verb, whole := strings.Cut(rest, "/")
-	if !ok || !whole || worker == "" || !f.directives.IsKnownWorker(worker) {
+	worker, verb, hasVerb := strings.Cut(rest, "/")
+	if !ok || !hasVerb || worker == "" || !f.directives.IsKnownWorker(worker) {
 		return command{}, false
 	}
 	switch verb {
@@ -43,7 +43,7 @@
 	return command{}, false
 }
 
-// unknownWorker is the answer to a call on table workers that directiveOf did not take.
+// unknownWorker returns the status and body for a request below PathWorkers that parseCommand did not accept.
 func (f *Front) unknownWorker(rest string) (int, string) {
 	worker, verb, _ := strings.Cut(rest, "/")
 	if worker == "" || verb != "disable" && verb != "enable" {
@@ -52,24 +52,24 @@
 	return 404, "no table worker " + worker + " is listed\n"
 }
 
-// tell has a directive put in force in every process of this scheduler, and answers then, or when the caller's time is
-// nearly over.
-func (f *Front) applyCommand(k *call, o command) {
-	left := k.Opened + CallTimeout - answerMargin - f.loop.Now()
-	f.directives.Change(o.key, o.on, time.Duration(left/core.Millisecond)*time.Millisecond, func(err error) {
-		age := f.loop.Now() - k.Opened
-		f.log.Info("admin: told", "key", string(o.key), "on", o.on, "out_of_rotation", f.core.WorkersOutOfRotation(), "after_ms",
+// applyCommand sets a directive, and answers when it is in force in every process of this scheduler, or shortly before the
+// request times out.
+func (f *Front) applyCommand(c *conn, cmd command) {
+	timeLeft := c.Opened + RequestTimeout - answerMargin - f.loop.Now()
+	f.directives.Change(cmd.key, cmd.on, time.Duration(timeLeft/core.Millisecond)*time.Millisecond, func(err error) {
+		age := f.loop.Now() - c.Opened
+		f.log.Info("admin: directive set", "key", string(cmd.key), "on", cmd.on, "out_of_rotation", f.core.WorkersOutOfRotation(), "after_ms",
 			age/core.Millisecond, "error", err)
-		if k.Ended || k.ClosedLocally || k.answered {
+		if c.Ended || c.ClosedLocally || c.answered {
 			return
 		}
 		switch {
 		case err == nil:
-			f.answer(k, link.Answered, 200, o.okText)
+			f.answer(c, link.Answered, 200, cmd.okText)
 		case errors.Is(err, directive.ErrFull):
-			f.answer(k, link.BadInput, 409, "no more than "+strconv.Itoa(MaxDisabledWorkers)+" table workers may be out by hand at once\n")
+			f.answer(c, link.BadInput, 409, "no more than "+strconv.Itoa(MaxDisabledWorkers)+" table workers may be out by hand at once\n")
 		default:
-			f.answer(k, link.NoAnswer, 503, err.Error()+"; it goes on being tried\n")
+			f.answer(c, link.NoAnswer, 503, err.Error()+"; it goes on being tried\n")
 		}
 	})
 }
--- a/internal/front/admin/figures.go
+++ b/internal/front/admin/metrics.go
@@ -7,17 +7,26 @@
 	"cobaltflow/internal/link"
 )
 
-// Prefix stands before every figure's name.
+// MetricPrefix precedes the name of every metric.
 const MetricPrefix = "edge_relay."
 
-// Figures writes what the scheduler reports, in statsd's form, a figure a line: for each class the jobs
-// served (fulfilled), refused (throttled) and failed (faulted) since the start, the attempts written whole to
-// the workers (relayed), as counters; the jobs taken and not ended (open_requests), the workers listed
-// (registry_entries) and those of them that get nothing new now, by hand or by choice (out_of_rotation), as
-// gauges. Where sites are watched, for each its state (0 whole, 1 suspect, 2 lost, 3 cut off, 4 returning) and how many
-// of its workers get nothing new for that, as gauges. How often the folder of the operators' directives could not be used
-// (directive_failures) is a counter, and so is how many accepts failed (accept_failures). Each is read where it is kept, on the loop, at the moment of the
-// call.
+// Metrics returns the scheduler's metrics in statsd format, one a line. It is called on the loop and reads the current values.
+//
+// Counters, since the start:
+//   - fulfilled.CLASS, throttled.CLASS, faulted.CLASS: jobs of a class that were served, refused and failed
+//   - relayed: attempts written completely to workers
+//   - directive_failures: failures to read or write the operators' directives
+//   - accept_failures: connections that could not be accepted
+//
+// Gauges:
+//   - open_requests: accepted jobs without a final answer
+//   - registry_entries: listed workers
+//   - out_of_rotation: listed workers that get no new jobs, disabled by an operator or avoided by the rules
+//   - site_state.SITE: 0 whole, 1 suspect, 2 lost, 3 cut off, 4 returning; only if sites are watched
+//   - site_out.SITE: workers of the site that get no new jobs because of its state; only if sites are watched
+//   - ownership_live, ownership_held, ownership_span_percent, ownership_weight_percent: schedulers that count as alive,
+//     workers in this scheduler's share, how far the share exceeds what it owns (100: not at all), and its weight against
+//     other schedulers (100: equal); only if the worker list is divided among schedulers
 func Metrics(c *core.Core, clients ClientFront, directives Directives, classes []string) []byte {
 	b := make([]byte, 0, 96*len(classes)+160)
 	for i, name := range classes {
@@ -48,6 +57,7 @@
 	return b
 }
 
+// appendMetric appends one line; kind is c for a counter and g for a gauge.
 func appendMetric(b []byte, name string, v uint64, kind byte) []byte {
 	b = append(append(b, MetricPrefix...), name...)
 	b = strconv.AppendUint(append(b, ':'), v, 10)
