--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A whole list is decoded in pieces of 16 KiB.
+// BenchmarkDecode decodes a whole list in pieces of 16 KiB.
 func BenchmarkDecode(b *testing.B) {
 	for _, endpoints := range []int{1000, 33_000} {
 		text := append(listText(1, endpoints), '\n')
@@ -13,7 +13,7 @@
 			b.ReportAllocs()
 			b.SetBytes(int64(len(text)))
 			for b.Loop() {
-				d := NewDecoder(format, DefaultLimits, func(Line) {})
+				d := NewDecoder(mapping, DefaultLimits, func(Line) {})
 				for rest := text; len(rest) > 0; {
 					n := min(16<<10, len(rest))
 					if err := d.Decode(rest[:n]); err != nil {
--- a/internal/discovery/decoder.go
+++ b/internal/discovery/decoder.go
@@ -8,62 +8,62 @@
 	"sync/atomic"
 )
 
-// Line is what one line of a watch came to, or a list that was indented over several. Without update and error it was an
-// empty line, which is a sign of life.
+// Line is the result of decoding one line of a watch, or a list that is indented over several lines. For an empty line, which
+// discovery sends as a heartbeat, both fields are nil.
 type Line struct {
 	Update *Update
 	Err    error
 }
 
-// Decoder takes lists apart that come in pieces of any size, entry by entry: it holds the decoded entries of the list
-// that has begun, the text of its other fields, and of the entry that is coming. A list is given out when it is whole,
-// or with an error when it is found not to be one.
+// Decoder decodes lists that arrive in pieces of any size, entry by entry. It holds the decoded entries of the current list,
+// the text of the list's other fields, and the text of the current entry. A list is passed on when it is complete, or as an
+// error if it is malformed.
 type Decoder struct {
 	mapping    Mapping
 	limits     Limits
 	onLine     func(Line)
-	singleList bool // the whole text is one list: ends of lines mean nothing
+	singleList bool // the whole text is one list: line ends do not separate lists
 
-	update           Update        // the entries so far
-	memoryBytes      int           // of them, estimated, in bytes
-	err              error         // the first that was found in the list
-	fields           []byte        // the list's text without its entries
-	hasInput         bool          // something of a list or line has come
-	depth            int           // brackets that are open
-	inString         bool          // within a string
-	escaped          bool          // behind a backslash of one
-	lastByte         byte          // the last byte that is no white space
-	firstLine        bool          // no line of the list has ended yet
-	blankLine        bool          // the present line holds nothing so far
-	inEndpoints      bool          // within the array of endpoints
-	arrays           int           // such arrays that have begun
-	afterComma       bool          // in the array, a comma came last: another entry has to
-	entry            region        // the entry that is coming
-	decodedEntry     endpoint      // the entry that has come, while it is decoded
-	nextList         region        // an object that begins a line, and may be a list by itself
-	decodedEndpoints atomic.Uint64 // entries, of all lists
+	update           Update        // the current list, with the entries decoded so far
+	memoryBytes      int           // estimated memory of these entries
+	err              error         // first fault of the current list
+	fields           []byte        // text of the current list outside its entries
+	hasInput         bool          // a list or line has begun
+	depth            int           // open brackets and braces
+	inString         bool          // within a JSON string
+	escaped          bool          // after a backslash in a string
+	lastByte         byte          // last byte that is not white space
+	firstLine        bool          // no line of the current list has ended yet
+	blankLine        bool          // the current line is blank so far
+	inEndpoints      bool          // within the endpoints array
+	arrays           int           // endpoints arrays that have begun
+	afterComma       bool          // the last entry of the array was followed by a comma, which requires another entry
+	entry            region        // text of the current entry
+	decodedEntry     endpoint      // the entry being decoded, here to be reused
+	nextList         region        // text of an object that begins a line and may be another list
+	decodedEndpoints atomic.Uint64 // entries decoded so far, of all lists
 }
 
-// NewDecoder makes a decoder of a watch's lines. each is called, within Decode, with what every one came to.
-func NewDecoder(format Mapping, limits Limits, each func(Line)) *Decoder {
-	d := &Decoder{mapping: format, limits: limits, onLine: each}
+// NewDecoder creates a decoder of the lines of a watch. onLine is called, within Decode, with the result of each line.
+func NewDecoder(mapping Mapping, limits Limits, onLine func(Line)) *Decoder {
+	d := &Decoder{mapping: mapping, limits: limits, onLine: onLine}
 	d.reset()
 	return d
 }
 
-// Partial tells whether a list or line has begun whose end has not come yet.
+// IsPartial reports whether a list or line has begun and its end has not been read yet.
 func (d *Decoder) IsPartial() bool { return d.hasInput }
 
-// Decoded is the number of entries that have been decoded, of all lists. It may be called from any goroutine, also while
-// Decode runs: it tells that a long list goes on.
+// DecodedEndpoints returns the number of entries that have been decoded, of all lists. It may be called from any goroutine,
+// also during Decode, to observe the progress of a long list.
 func (d *Decoder) DecodedEndpoints() uint64 { return d.decodedEndpoints.Load() }
 
-// Decode takes the next piece. Its error is a *LimitError, after which nothing more can be decoded. A list that never
-// ends is given up where an empty line follows, which no indented one holds, or another list that can't be a part of it.
+// Decode decodes the next piece. Its error is a *LimitError, after which the decoder can't be used any more. An incomplete
+// list is abandoned at an empty line, which an indented list never contains, or at another list that can't be part of it.
 func (d *Decoder) Decode(piece []byte) error {
-	for at, c := range piece {
-		if d.nextList.open && c != '\n' && d.nextList.size(at) >= d.limits.EntryBytes {
-			if err := d.handleLongObject(piece, at); err != nil {
+	for pos, c := range piece {
+		if d.nextList.open && c != '\n' && d.nextList.size(pos) >= d.limits.EntryBytes {
+			if err := d.handleLongObject(piece, pos); err != nil {
 				return err
 			}
 		}
@@ -75,15 +75,15 @@
 		case c == '{' && d.depth > 0 && !d.mayContainObject():
 			d.end()
 		case c == '\n' && d.nextList.open:
-			if text := d.nextList.end(piece, at); isList(text) {
-				if err := d.restartFrom(text, at); err != nil {
+			if text := d.nextList.end(piece, pos); isList(text) {
+				if err := d.restartFrom(text, pos); err != nil {
 					return err
 				}
 				d.end()
 				continue
 			}
 		}
-		if err := d.step(c, piece, at); err != nil {
+		if err := d.step(c, piece, pos); err != nil {
 			return err
 		}
 	}
@@ -92,16 +92,16 @@
 	return nil
 }
 
-// end gives out what has come as a list or line, and makes ready for the next.
+// end passes on the current list or line and resets the decoder for the next one.
 func (d *Decoder) end() {
 	var line Line
 	text := trimSpace(d.fields)
 	switch {
-	case len(text) == 0: // an empty line
+	case len(text) == 0: // heartbeat
 	case d.err != nil:
 		line.Err = d.err
 	case d.depth > 0:
-		line.Err = errors.New("the list has no end")
+		line.Err = errors.New("the list is incomplete")
 	default:
 		line.Update, line.Err = d.buildUpdate(text)
 	}
@@ -109,7 +109,7 @@
 	d.onLine(line)
 }
 
-// finish puts the list together from its entries and the text of its other fields.
+// buildUpdate returns the list made of the decoded entries and the text of the other fields.
 func (d *Decoder) buildUpdate(text []byte) (*Update, error) {
 	var fields listFields
 	if err := json.Unmarshal(text, &fields); err != nil {
@@ -119,9 +119,9 @@
 		return nil, errNoIndex
 	}
 	if d.arrays > 1 || d.arrays == 1 && (fields.Endpoints == nil || len(fields.Endpoints) > 0) {
-		return nil, errors.New("endpoints stands twice")
+		return nil, errors.New("duplicate endpoints")
 	}
-	for i := range fields.Endpoints { // the key was written in another way
+	for i := range fields.Endpoints { // the key was spelled in a way that endsWithKey does not match
 		if err := d.update.appendEndpoint(&fields.Endpoints[i], d.mapping); err != nil {
 			return nil, err
 		}
@@ -139,21 +139,21 @@
 	d.entry.open, d.nextList.open = false, false
 }
 
-// mayHold tells whether an object at the present place can be a part of the list that is open.
+// mayContainObject reports whether an object at the current position can be part of the current list.
 func (d *Decoder) mayContainObject() bool {
 	return d.inString || d.lastByte == '[' || d.lastByte == ',' || d.lastByte == ':'
 }
 
-// step takes one byte of the list that is open.
-func (d *Decoder) step(c byte, piece []byte, at int) error {
+// step processes one byte of the current list.
+func (d *Decoder) step(c byte, piece []byte, pos int) error {
 	d.hasInput = true
-	if c == '\n' { // no string holds a bare line feed
+	if c == '\n' { // a JSON string can't contain a bare line feed
 		d.firstLine, d.blankLine, d.inString, d.escaped = false, true, false, false
 	}
-	space := isSpace(c)
-	if !space {
+	isBlank := isSpace(c)
+	if !isBlank {
 		if d.blankLine && !d.firstLine && !d.singleList && c == '{' {
-			d.nextList.begin(at)
+			d.nextList.begin(pos)
 		}
 		d.blankLine, d.lastByte = false, c
 	}
@@ -161,23 +161,23 @@
 		return d.stepOutsideEntry(c)
 	}
 	if d.depth == 2 && !d.inString && (c == ',' || c == ']' || c == '}') {
-		if err := d.endEntry(c, piece, at); err != nil || c == ',' {
+		if err := d.endEntry(c, piece, pos); err != nil || c == ',' {
 			return err
 		}
 		d.inEndpoints = false
 		return d.stepOutsideEntry(c)
 	}
-	if !d.entry.open && !space {
-		d.entry.begin(at)
+	if !d.entry.open && !isBlank {
+		d.entry.begin(pos)
 	}
-	if d.entry.open && d.entry.size(at) >= d.limits.EntryBytes {
+	if d.entry.open && d.entry.size(pos) >= d.limits.EntryBytes {
 		return &LimitError{len(d.update.Workers) + 1, "an entry", d.limits.EntryBytes, "bytes"}
 	}
 	d.trackNesting(c)
 	return nil
 }
 
-// outside takes a byte that belongs to no entry.
+// stepOutsideEntry processes a byte outside the entries.
 func (d *Decoder) stepOutsideEntry(c byte) error {
 	if len(d.fields) >= d.limits.FieldsBytes {
 		return &LimitError{0, "its text", d.limits.FieldsBytes, "bytes"}
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// nest follows strings and brackets.
+// trackNesting tracks strings and brackets.
 func (d *Decoder) trackNesting(c byte) {
 	switch {
 	case d.escaped:
@@ -208,8 +208,8 @@
 	}
 }
 
-// endEntry decodes the entry that ends before a place, where a comma or the end of the array stands.
-func (d *Decoder) endEntry(c byte, piece []byte, at int) error {
+// endEntry decodes the entry that ends before pos, where c is a comma or the end of the array.
+func (d *Decoder) endEntry(c byte, piece []byte, pos int) error {
 	missing := c == ',' || d.afterComma
 	d.afterComma = c == ','
 	if !d.entry.open {
@@ -218,9 +218,9 @@
 		}
 		return nil
 	}
-	text := d.entry.end(piece, at)
+	text := d.entry.end(piece, pos)
 	if d.err != nil {
-		return nil // nothing of the list is taken
+		return nil // a list with a fault is dropped as a whole
 	}
 	number := len(d.update.Workers) + 1
 	if number > d.limits.Endpoints {
@@ -240,33 +240,34 @@
 	return nil
 }
 
-// startAgain gives the open list up and takes the text, which ends at a place, for the beginning of another.
-func (d *Decoder) restartFrom(text []byte, at int) error {
+// restartFrom abandons the current list and decodes the text, which ends before pos, as the beginning of another.
+func (d *Decoder) restartFrom(text []byte, pos int) error {
 	d.end()
 	err := d.Decode(text)
-	d.entry.start = at // the text was not a part of the present piece to it
+	d.entry.start = pos // the nested Decode counted from the start of text, not of the current piece
 	return err
 }
 
-// longRestart has an object become longer than an entry may be. One that holds endpoints is taken for a list by itself.
-func (d *Decoder) handleLongObject(piece []byte, at int) error {
-	text := d.nextList.end(piece, at)
+// handleLongObject handles an object at the start of a line that is too long for an entry: if it contains endpoints, it is
+// the beginning of another list.
+func (d *Decoder) handleLongObject(piece []byte, pos int) error {
+	text := d.nextList.end(piece, pos)
 	if !bytes.Contains(text, endpointsKey) {
 		return nil
 	}
-	return d.restartFrom(text, at)
+	return d.restartFrom(text, pos)
 }
 
 var endpointsKey = []byte(`"endpoints"`)
 
-// isList tells whether a line within another list is a list by itself. One of an indented list may be an entry at the
-// most.
+// isList reports whether a line within an incomplete list is a complete list itself. A line of an indented list holds one
+// entry at most, and so no endpoints.
 func isList(line []byte) bool {
 	line = trimSpace(line)
 	return line[len(line)-1] == '}' && bytes.Contains(line, endpointsKey) && json.Valid(line)
 }
 
-// endsWithKey tells whether a text ends with a key of an object and its colon.
+// endsWithKey reports whether a text ends with the given key of an object and its colon.
 func endsWithKey(text []byte, key string) bool {
 	text, colon := bytes.CutSuffix(trimSpace(text), []byte{':'})
 	before, named := bytes.CutSuffix(trimSpace(text), []byte(`"`+key+`"`))
@@ -274,7 +275,8 @@
 	return colon && named && len(before) > 0 && (before[len(before)-1] == '{' || before[len(before)-1] == ',')
 }
 
-// isSpace tells of JSON's white space.
+// isSpace reports whether c is JSON white space.
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
 
+// trimSpace removes JSON white space at both ends.
 func trimSpace(text []byte) []byte { return bytes.Trim(text, " \t\r\n") }
--- a/internal/discovery/limits.go
+++ b/internal/discovery/limits.go
@@ -2,26 +2,27 @@
 
 import "fmt"
 
-// Limits bound what a decoder holds of one list.
+// Limits bounds the memory that a decoder uses for one list.
 type Limits struct {
-	Endpoints   int // entries of a list
-	EntryBytes  int // text of one entry
-	FieldsBytes int // text of a list outside its entries, or of a line that holds none
-	ListBytes   int // estimated memory of the decoded entries
+	Endpoints   int // entries of one list
+	EntryBytes  int // bytes of text of one entry
+	FieldsBytes int // bytes of text of a list outside its entries, or of any other line
+	ListBytes   int // estimated bytes of memory of the decoded entries
 }
 
-// DefaultLimits are those of a scheduler: six times the largest fleet that is planned for, and a third of the memory
-// that a scheduler is given by default.
+// DefaultLimits are the limits of a scheduler: six times the largest planned number of workers, and a third of the memory that
+// a scheduler has by default.
 var DefaultLimits = Limits{Endpoints: 200_000, EntryBytes: 16 << 10, FieldsBytes: 64 << 10, ListBytes: 64 << 20}
 
-// endpointBytes is what a decoded entry takes beside its name and address: core.FarmWorker, and the headers of its
-// strings, with the spare capacity of slices that grow.
+// endpointOverheadBytes estimates the memory of a decoded entry beside its name and address: core.ListedWorker, the string
+// headers, and the spare capacity of growing slices.
 const endpointOverheadBytes = 256
 
-// LimitError is a list over one of the limits. What follows of it is of no use, so its connection has to be closed.
+// LimitError reports a list that exceeds one of the limits. The rest of the list can't be decoded, so the connection has to
+// be closed.
 type LimitError struct {
-	Endpoint int    // number of the entry at which it was seen, from 1; 0: outside the entries
-	What     string // what is too much
+	Endpoint int    // number of the entry that exceeds the limit, from 1; 0: outside the entries
+	What     string // what exceeds the limit
 	Limit    int
 	Unit     string
 }
--- a/internal/discovery/lines_test.go
+++ b/internal/discovery/lines_test.go
@@ -16,28 +16,28 @@
 	"cobaltflow/internal/core"
 )
 
-var format = Mapping{
+var mapping = Mapping{
 	Names:    &config.Names{Zones: []string{"suva", "lautoka"}, Kinds: []string{"gen1", "gen2"}},
 	FromUnix: func(ms int64) core.Time { return ms * core.Millisecond },
 }
 
-// decode gives what a text comes to in parts of the given size.
-func decode(t require.TestingT, text []byte, part int, limits Limits) (out []Line, partial bool, err error) {
-	d := NewDecoder(format, limits, func(l Line) { out = append(out, l) })
+// decode decodes a text in pieces of the given size.
+func decode(t require.TestingT, text []byte, pieceSize int, limits Limits) (out []Line, partial bool, err error) {
+	d := NewDecoder(mapping, limits, func(l Line) { out = append(out, l) })
 	for rest := text; len(rest) > 0; {
-		n := min(max(1, part), len(rest))
+		n := min(max(1, pieceSize), len(rest))
 		piece := bytes.Clone(rest[:n])
 		if err := d.Decode(piece); err != nil {
 			return out, true, err
 		}
-		copy(piece, bytes.Repeat([]byte("#"), n)) // what has to outlive the piece was copied
+		copy(piece, bytes.Repeat([]byte("#"), n)) // the decoder must have copied what it needs later
 		rest = rest[n:]
 	}
 	return out, d.IsPartial(), nil
 }
 
-// same compares what lines came to; of faults only that there is one, since a text read whole is told otherwise.
-func same(t require.TestingT, want, got []Line) {
+// requireSameLines compares lines. Of errors it compares only the presence, since the reference has other texts.
+func requireSameLines(t require.TestingT, want, got []Line) {
 	require.Len(t, got, len(want))
 	for i := range want {
 		require.Equal(t, want[i].Err == nil, got[i].Err == nil, "line %d: %v, %v", i, want[i].Err, got[i].Err)
@@ -48,8 +48,8 @@
 	}
 }
 
-// The lists that the lines hold are the same however they are indented and wherever the parts that come end.
-func TestListsComeIndentedAndInParts(t *testing.T) {
+// The result does not depend on the indentation of lists nor on how the text is split into pieces.
+func TestIndentedListsInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sent []byte
 		var want []Line
@@ -57,7 +57,7 @@
 			text, _ := json.Marshal(map[string]any{"index": i, "snapshot": false, "endpoints": rapid.SliceOfN(rapid.Custom(func(t *rapid.T) any {
 				return map[string]any{"name": "n" + rapid.StringMatching(`[a-z"\\{}\[\]\n,:]{0,6}`).Draw(t, "name"), "address": "127.0.0.1:1", "more": []any{1, map[string]any{}}}
 			}), 0, 3).Draw(t, "endpoints")})
-			update, err := ParseList(text, format)
+			update, err := ParseList(text, mapping)
 			require.NoError(t, err)
 			want = append(want, Line{Update: update})
 			if rapid.Bool().Draw(t, "indented") {
@@ -72,30 +72,30 @@
 			}
 		}
 		var got []Line
-		d := NewDecoder(format, DefaultLimits, func(l Line) { got = append(got, l) })
+		d := NewDecoder(mapping, DefaultLimits, func(l Line) { got = append(got, l) })
 		for len(sent) > 0 {
-			n := rapid.IntRange(1, len(sent)).Draw(t, "part")
+			n := rapid.IntRange(1, len(sent)).Draw(t, "piece")
 			require.NoError(t, d.Decode(sent[:n]))
 			sent = sent[n:]
 		}
-		same(t, want, got)
+		requireSameLines(t, want, got)
 		assert.False(t, d.IsPartial())
 	})
 }
 
-// A list that never ends costs itself and no other, where what follows can't be a part of it.
-func TestAListWithoutEndIsGivenUp(t *testing.T) {
+// An incomplete list is abandoned, and the list after it is decoded, if that can't be part of the incomplete one.
+func TestIncompleteListIsAbandoned(t *testing.T) {
 	const good, indented = `{"index":2,"snapshot":true,"endpoints":[]}`, "{\n  \"index\": 2,\n  \"snapshot\": true,\n  \"endpoints\": []\n}"
 	for _, bad := range []string{`{"index":1,"endpoints":[`, "{\n  \"index\": 1,\n  \"endpoints\": [\n    {\"name\":\"a", `{"a":"\`, `{"index":1`} {
-		for _, behind := range []string{"\n" + good, "\n\n" + good, "\n\n" + indented, "\n" + indented} {
-			if behind == "\n"+indented && strings.HasSuffix(bad, "[") {
-				continue // it might be an entry, until an empty line comes
+		for _, next := range []string{"\n" + good, "\n\n" + good, "\n\n" + indented, "\n" + indented} {
+			if next == "\n"+indented && strings.HasSuffix(bad, "[") {
+				continue // may be an entry as long as no empty line follows
 			}
-			lines, partial, err := decode(t, []byte(bad+behind+"\n"), 7, DefaultLimits)
+			lines, partial, err := decode(t, []byte(bad+next+"\n"), 7, DefaultLimits)
 			require.NoError(t, err)
-			require.NotEmpty(t, lines, "%q", bad+behind)
+			require.NotEmpty(t, lines, "%q", bad+next)
 			last := lines[len(lines)-1].Update
-			if assert.NotNil(t, last, "%q", bad+behind) {
+			if assert.NotNil(t, last, "%q", bad+next) {
 				assert.Equal(t, Update{Version: 2, IsSnapshot: true}, *last)
 			}
 			assert.False(t, partial)
@@ -103,14 +103,14 @@
 	}
 }
 
-// So does one that is followed by a list that is longer than an entry may be, where an entry could come.
-func TestAListWithoutEndIsGivenUpForALongOne(t *testing.T) {
+// An incomplete list is also abandoned for a list that stands where an entry may stand but is too long for one.
+func TestIncompleteListIsAbandonedForALongList(t *testing.T) {
 	for _, entries := range []int{100, 1000, 33_000} {
 		good := listText(1, entries)
-		want, err := ParseList(good, format)
+		want, err := ParseList(good, mapping)
 		require.NoError(t, err)
-		for _, part := range []int{1000, 1 << 30} {
-			lines, _, err := decode(t, []byte("{\"index\":1,\"endpoints\":[\n"+string(good)+"\n"), part, DefaultLimits)
+		for _, pieceSize := range []int{1000, 1 << 30} {
+			lines, _, err := decode(t, []byte("{\"index\":1,\"endpoints\":[\n"+string(good)+"\n"), pieceSize, DefaultLimits)
 			require.NoError(t, err)
 			require.Len(t, lines, 2)
 			assert.Error(t, lines[0].Err)
@@ -120,7 +120,7 @@
 	}
 }
 
-// listText is a whole list of so many endpoints, as discovery writes it.
+// listText returns a snapshot with the given number of endpoints, as discovery writes it.
 func listText(version, endpoints int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"index":%d,"snapshot":true,"endpoints":[`, version)
@@ -137,7 +137,7 @@
 
 var endpointsKeys = regexp.MustCompile(`(?i)endpoints|\\u`)
 
-// FuzzLines: whatever comes, in whatever parts, is taken apart alike, and as if it were read whole.
+// FuzzLines checks that the result does not depend on how a text is split into pieces, and is that of the reference.
 func FuzzLines(f *testing.F) {
 	for _, s := range []string{"{}\n", "{\n\"a\": [1,\n2]\n}\n\n", "]]{\n\n{", "\"{\n", "\\\"\n",
 		`{"index":1,"endpoints":[{"name":"a","address":"x","weight":2},{"name":"b","status":"removed"}]}` + "\n",
@@ -148,42 +148,43 @@
 	} {
 		f.Add([]byte(s), 3)
 	}
-	f.Fuzz(func(t *testing.T, text []byte, part int) {
+	f.Fuzz(func(t *testing.T, text []byte, pieceSize int) {
 		if len(text) > 8<<10 {
-			t.Skip("the reference copies all of the text at each line")
+			t.Skip("the reference copies the whole text for each line")
 		}
-		whole, left, err := decode(t, text, len(text), DefaultLimits)
-		parts, leftOfParts, errOfParts := decode(t, text, part, DefaultLimits)
-		require.Equal(t, err, errOfParts)
-		require.Equal(t, left, leftOfParts)
-		same(t, whole, parts)
+		whole, partial, err := decode(t, text, len(text), DefaultLimits)
+		pieces, partialOfPieces, errOfPieces := decode(t, text, pieceSize, DefaultLimits)
+		require.Equal(t, err, errOfPieces)
+		require.Equal(t, partial, partialOfPieces)
+		requireSameLines(t, whole, pieces)
 		for i := range whole {
-			require.Equal(t, whole[i].Err, parts[i].Err)
+			require.Equal(t, whole[i].Err, pieces[i].Err)
 		}
-		if err == nil && !twice(text) {
-			same(t, reference(text, format), whole)
+		if err == nil && !mayRepeatEndpoints(text) {
+			requireSameLines(t, reference(text, mapping), whole)
 		}
 	})
 }
 
-// twice tells whether a list of the text may hold its endpoints twice, of which json.Unmarshal takes the last.
-func twice(text []byte) bool {
+// mayRepeatEndpoints reports whether a list may have two endpoints arrays: json.Unmarshal uses the last, the decoder refuses
+// the list.
+func mayRepeatEndpoints(text []byte) bool {
 	var l referenceLines
-	yes := false
-	l.Take(text, func(line []byte) { yes = yes || len(endpointsKeys.FindAll(line, 2)) > 1 })
-	return yes
+	repeated := false
+	l.Add(text, func(line []byte) { repeated = repeated || len(endpointsKeys.FindAll(line, 2)) > 1 })
+	return repeated
 }
 
-// With small bounds too a text is refused at the same place in whatever parts it comes.
+// FuzzLimits checks with small limits that a text is refused at the same place however it is split into pieces.
 func FuzzLimits(f *testing.F) {
 	f.Add(listText(1, 4), 3)
 	f.Add([]byte("{\"index\":1,\"endpoints\":[\n{\"index\":2,\"endpoints\":[{\"name\":\"a\",\"address\":\"x\"},{\"name\":\"b\",\"address\":\"x\"}]}\n"), 5)
 	limits := Limits{Endpoints: 3, EntryBytes: 40, FieldsBytes: 60, ListBytes: 3 * endpointOverheadBytes}
-	f.Fuzz(func(t *testing.T, text []byte, part int) {
-		whole, left, err := decode(t, text, len(text), limits)
-		parts, leftOfParts, errOfParts := decode(t, text, part, limits)
-		require.Equal(t, err, errOfParts)
-		require.Equal(t, left, leftOfParts)
-		same(t, whole, parts)
+	f.Fuzz(func(t *testing.T, text []byte, pieceSize int) {
+		whole, partial, err := decode(t, text, len(text), limits)
+		pieces, partialOfPieces, errOfPieces := decode(t, text, pieceSize, limits)
+		require.Equal(t, err, errOfPieces)
+		require.Equal(t, partial, partialOfPieces)
+		requireSameLines(t, whole, pieces)
 	})
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,5 +1,5 @@
-// Package discovery decodes the lists of endpoints that service discovery sends: which workers there are, where, and in
-// what state. It is given what was read of a connection, and does no I/O, has no clock and no goroutine of its own.
+// Package discovery decodes the worker lists of service discovery: the workers' names, addresses and states. Package platform
+// passes it the bytes read from a connection; it does no I/O, reads no clock and starts no goroutine.
 package discovery
 
 import (
@@ -13,23 +13,23 @@
 	"cobaltflow/rules"
 )
 
-// Update is one list of discovery, or the known list: all endpoints, or those that have changed.
+// Update is one list from discovery, or the known list of the configuration: all workers, or only those that changed.
 type Update struct {
 	Version       int64
 	IsSnapshot    bool
 	Workers       []core.ListedWorker
-	Addresses     []string // of the workers, in their order; empty: the worker has gone
-	StartedUnixMS []int64  // their starts as dates of discovery's clock, in Unix milliseconds; 0: long ago
+	Addresses     []string // of the workers, in the same order; empty: the worker is gone
+	StartedUnixMS []int64  // their start times by discovery's clock, in the same order; 0: long ago
 }
 
-// listFields are the fields of a list on the wire.
+// listFields is the JSON form of a list.
 type listFields struct {
 	Index     *int64     `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []endpoint `json:"endpoints"`
 }
 
-// endpoint is one entry of a list on the wire.
+// endpoint is the JSON form of one entry of a list.
 type endpoint struct {
 	Name    string   `json:"name"`
 	Address string   `json:"address"`
@@ -41,7 +41,8 @@
 	SinceMS int64    `json:"since_ms"`
 }
 
-// Format turns the words of a list into what the decisions know. Its functions are called on the goroutine that decodes.
+// Mapping maps the names and dates of a list to the scheduler's indexes and times. FromUnix is called on the decoding
+// goroutine.
 type Mapping struct {
 	Names    *config.Names
 	FromUnix func(milliseconds int64) core.Time
@@ -49,8 +50,8 @@
 
 var errNoIndex = errors.New("index is missing")
 
-// ParseList reads a text that is one list. A list with a fault is not taken at all.
-func ParseList(text []byte, format Mapping) (*Update, error) {
+// ParseList parses a text that holds one list. It returns an error, and no update, if any entry is invalid.
+func ParseList(text []byte, mapping Mapping) (*Update, error) {
 	var fields listFields
 	if err := json.Unmarshal(text, &fields); err != nil {
 		return nil, err
@@ -60,34 +61,34 @@
 	}
 	u := &Update{Version: *fields.Index, IsSnapshot: fields.Snapshot}
 	for i := range fields.Endpoints {
-		if err := u.appendEndpoint(&fields.Endpoints[i], format); err != nil {
+		if err := u.appendEndpoint(&fields.Endpoints[i], mapping); err != nil {
 			return nil, err
 		}
 	}
 	return u, nil
 }
 
-// add appends an endpoint, or tells why it is none.
-func (u *Update) appendEndpoint(e *endpoint, format Mapping) error {
+// appendEndpoint appends a worker, or returns the fault of its entry.
+func (u *Update) appendEndpoint(e *endpoint, mapping Mapping) error {
 	if e.Name == "" {
 		return errors.New("an endpoint has no name")
 	}
 	w := core.ListedWorker{Name: e.Name, Cell: e.Group, Weight: 1}
-	w.Zone = max(0, slices.Index(format.Names.Zones, e.Zone))
-	w.Kind = max(0, slices.Index(format.Names.Kinds, e.Type))
+	w.Zone = max(0, slices.Index(mapping.Names.Zones, e.Zone))
+	w.Kind = max(0, slices.Index(mapping.Names.Kinds, e.Type))
 	switch e.Status {
 	case "up":
 		w.State = rules.Ready
 	case "removed":
 		w.State = rules.Gone
-	default: // draining, or a state not known yet: nothing new goes there
+	default: // draining, or an unknown state: the worker gets no new jobs
 		w.State = rules.Draining
 	}
 	if e.Weight != nil {
 		w.Weight = *e.Weight
 	}
 	if e.SinceMS > 0 {
-		w.StartedAt = max(1, format.FromUnix(e.SinceMS))
+		w.StartedAt = max(1, mapping.FromUnix(e.SinceMS))
 	}
 	address := ""
 	if w.State != rules.Gone {
--- a/internal/discovery/reference_test.go
+++ b/internal/discovery/reference_test.go
@@ -5,51 +5,50 @@
 	"encoding/json"
 )
 
-// The decoder is held to this: the text is put together, split into lists, and each is read whole by json.Unmarshal.
-
-// reference reads a text whole.
-func reference(text []byte, format Mapping) (out []Line) {
+// reference is the implementation that the decoder is compared with: it splits the complete text into lists and parses each
+// with json.Unmarshal.
+func reference(text []byte, mapping Mapping) (out []Line) {
 	var l referenceLines
-	l.Take(text, func(line []byte) {
+	l.Add(text, func(line []byte) {
 		var read Line
 		if len(line) > 0 {
-			read.Update, read.Err = ParseList(line, format)
+			read.Update, read.Err = ParseList(line, mapping)
 		}
 		out = append(out, read)
 	})
 	return out
 }
 
-// referenceLines takes what a watch sends apart: one list a line, which may come indented over several, and empty lines.
+// referenceLines splits the text of a watch into lists, one per line or indented over several lines, and empty lines.
 type referenceLines struct {
-	text    []byte // what has come of a list or line
-	at      int    // so much of it has been looked at
-	depth   int    // brackets that are open there
-	quoted  bool   // it is within a string
-	escaped bool   // behind a backslash of one
+	text    []byte // of the current list or line
+	pos     int    // bytes of text already examined
+	depth   int    // open brackets and braces at pos
+	quoted  bool   // pos is within a JSON string
+	escaped bool   // after a backslash in a string
 }
 
-// Take adds what has come and gives each whole list, or line that holds none, trimmed, to each. A list that never ends
-// is given up where an empty line follows, which no indented one holds, or another list that can't be a part of it: it
-// goes out as it is, to be found bad.
-func (l *referenceLines) Take(data []byte, each func(line []byte)) {
+// Add appends data and passes each complete list or other line, trimmed, to onLine. An incomplete list is abandoned at an
+// empty line, which an indented list never contains, or at another list that can't be part of it: it is passed on as it is,
+// and fails to parse.
+func (l *referenceLines) Add(data []byte, onLine func(line []byte)) {
 	l.text = append(l.text, data...)
 	cut := func(end int) {
-		each(trimSpace(bytes.Clone(l.text[:end])))
+		onLine(trimSpace(bytes.Clone(l.text[:end])))
 		l.text = l.text[:copy(l.text, l.text[end:])]
-		l.at, l.depth, l.quoted, l.escaped = 0, 0, false, false
+		l.pos, l.depth, l.quoted, l.escaped = 0, 0, false, false
 	}
-	for l.at < len(l.text) {
-		c := l.text[l.at]
+	for l.pos < len(l.text) {
+		c := l.text[l.pos]
 		switch {
-		case c == '\n' && (l.depth == 0 || l.blank(l.at)): // no string holds a bare line feed
-			cut(l.at + 1)
+		case c == '\n' && (l.depth == 0 || l.isBlank(l.pos)): // a JSON string can't contain a bare line feed
+			cut(l.pos + 1)
 			continue
-		case c == '{' && l.depth > 0 && !l.follows():
-			cut(l.at)
+		case c == '{' && l.depth > 0 && !l.mayContainObject():
+			cut(l.pos)
 			continue
-		case c == '\n' && l.whole(l.at): // and what is before it never ended
-			cut(l.begins(l.at))
+		case c == '\n' && l.isList(l.pos): // the list before it is incomplete
+			cut(l.lineStart(l.pos))
 			continue
 		case c == '\n':
 			l.quoted, l.escaped = false, false
@@ -65,29 +64,31 @@
 		case (c == '}' || c == ']') && l.depth > 0:
 			l.depth--
 		}
-		l.at++
+		l.pos++
 	}
 }
 
-// begins is where the line that ends at a place begins.
-func (l *referenceLines) begins(at int) int { return bytes.LastIndexByte(l.text[:at], '\n') + 1 }
+// lineStart returns the start of the line that ends at pos.
+func (l *referenceLines) lineStart(pos int) int { return bytes.LastIndexByte(l.text[:pos], '\n') + 1 }
 
-// blank tells whether the line that ends at a place holds nothing.
-func (l *referenceLines) blank(at int) bool { return len(trimSpace(l.text[l.begins(at):at])) == 0 }
+// isBlank reports whether the line that ends at pos is blank.
+func (l *referenceLines) isBlank(pos int) bool {
+	return len(trimSpace(l.text[l.lineStart(pos):pos])) == 0
+}
 
-// whole tells whether the line that ends at a place, but does not begin the text, is a list by itself. A line of an
-// indented one may be an entry at the most.
-func (l *referenceLines) whole(at int) bool {
-	begins := l.begins(at)
-	line := trimSpace(l.text[begins:at])
-	return begins > 0 && line[0] == '{' && line[len(line)-1] == '}' && bytes.Contains(line, []byte(`"endpoints"`)) && json.Valid(line)
+// isList reports whether the line that ends at pos, and is not the first of the text, is a complete list itself. A line of an
+// indented list holds one entry at most.
+func (l *referenceLines) isList(pos int) bool {
+	start := l.lineStart(pos)
+	line := trimSpace(l.text[start:pos])
+	return start > 0 && line[0] == '{' && line[len(line)-1] == '}' && bytes.Contains(line, []byte(`"endpoints"`)) && json.Valid(line)
 }
 
-// follows tells whether an object at the present place can be a part of the list that is open.
-func (l *referenceLines) follows() bool {
+// mayContainObject reports whether an object at the current position can be part of the current list.
+func (l *referenceLines) mayContainObject() bool {
 	if l.quoted {
 		return true
 	}
-	before := bytes.TrimRight(l.text[:l.at], " \t\r\n")
+	before := bytes.TrimRight(l.text[:l.pos], " \t\r\n")
 	return len(before) > 0 && (before[len(before)-1] == '[' || before[len(before)-1] == ',' || before[len(before)-1] == ':')
 }
--- a/internal/discovery/region.go
+++ b/internal/discovery/region.go
@@ -1,33 +1,33 @@
 package discovery
 
-// region is a part of a text that comes in pieces. As long as it lies within one piece it is a slice of that piece;
-// only one that goes on in the next is copied.
+// region is a part of a text that arrives in pieces. A region within one piece is a slice of that piece; only one that
+// extends over several pieces is copied.
 type region struct {
 	open    bool
-	start   int    // in the present piece
-	carried []byte // of the pieces before
+	start   int    // position in the current piece
+	carried []byte // the part in earlier pieces
 }
 
-// begin opens the region at a place of the present piece.
-func (r *region) begin(at int) { r.open, r.start, r.carried = true, at, r.carried[:0] }
+// begin opens the region at a position of the current piece.
+func (r *region) begin(pos int) { r.open, r.start, r.carried = true, pos, r.carried[:0] }
 
-// size is the number of bytes up to a place of the present piece.
-func (r *region) size(at int) int { return len(r.carried) + at - r.start }
+// size returns the number of bytes up to a position of the current piece.
+func (r *region) size(pos int) int { return len(r.carried) + pos - r.start }
 
-// carry keeps what lies in the present piece, of which no more is seen.
+// retain copies the part in the current piece, before the next piece is decoded.
 func (r *region) retain(piece []byte) {
 	if r.open {
 		r.carried, r.start = append(r.carried, piece[r.start:]...), 0
 	}
 }
 
-// end closes the region before a place of the present piece, and gives its text, which is valid until the next begin
-// and as long as the piece is.
-func (r *region) end(piece []byte, at int) []byte {
+// end closes the region before a position of the current piece and returns its text, which is valid until the next begin and
+// as long as the piece.
+func (r *region) end(piece []byte, pos int) []byte {
 	r.open = false
 	if len(r.carried) == 0 {
-		return piece[r.start:at]
+		return piece[r.start:pos]
 	}
-	r.carried = append(r.carried, piece[r.start:at]...)
+	r.carried = append(r.carried, piece[r.start:pos]...)
 	return r.carried
 }
--- a/internal/discovery/answer_test.go
+++ b/internal/discovery/response_test.go
@@ -11,15 +11,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// chunked puts a text into chunks of a size; the last ends the body where ends is set.
-func chunked(text []byte, size int, ends bool) (out []byte) {
+// chunked encodes a text in chunks of a size, followed by the last chunk if complete is set.
+func chunked(text []byte, size int, complete bool) (out []byte) {
 	for len(text) > 0 {
 		n := min(size, len(text))
 		out = append(fmt.Appendf(out, "%x\r\n", n), text[:n]...)
 		out = append(out, "\r\n"...)
 		text = text[n:]
 	}
-	if ends {
+	if complete {
 		out = append(out, "0\r\nTrailer: x\r\n\r\n"...)
 	}
 	return out
@@ -27,15 +27,15 @@
 
 const chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// read gives all that an answer comes to in pieces, with what was not taken of one kept before the next, as a
-// connection's buffer does.
-func read(t require.TestingT, a *ResponseReader, sent []byte, piece func() int) error {
+// consumeAll passes a text to a reader in pieces of the sizes that pieceSize returns. Like a connection's buffer it keeps the
+// bytes that were not consumed in front of the next piece.
+func consumeAll(t require.TestingT, r *ResponseReader, sent []byte, pieceSize func() int) error {
 	var buf []byte
 	for len(sent) > 0 {
-		n := min(piece(), len(sent))
+		n := min(pieceSize(), len(sent))
 		buf, sent = append(buf, sent[:n]...), sent[n:]
 		for len(buf) > 0 {
-			size, need, err := a.Consume(buf)
+			size, need, err := r.Consume(buf)
 			if err != nil {
 				return err
 			}
@@ -50,11 +50,11 @@
 	return nil
 }
 
-// A whole list of the largest fleet is read in whatever form it comes, and so is the watch behind it.
-func TestAWholeListIsReadInAnyForm(t *testing.T) {
+// A list of 33000 workers is read in every form of HTTP body and JSON layout, and so is the watch after it.
+func TestListIsReadInAnyForm(t *testing.T) {
 	const endpoints = 33_000
 	text := listText(1, endpoints)
-	want, err := ParseList(text, format)
+	want, err := ParseList(text, mapping)
 	require.NoError(t, err)
 	require.Greater(t, len(text), 4<<20)
 	delta := []byte(`{"index":2,"endpoints":[]}` + "\n")
@@ -63,8 +63,8 @@
 		return append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(text)), text...)
 	}
 	for name, c := range map[string]struct {
-		whole bool
-		sent  []byte
+		listFirst bool
+		sent      []byte
 	}{
 		"a body with a length": {true, withLength(text)},
 		"indented":             {true, withLength(indented)},
@@ -77,58 +77,58 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(1, 2))
-			for _, most := range []int{4 << 10, 1 << 20, 8 << 20} {
+			for _, maxPiece := range []int{4 << 10, 1 << 20, 8 << 20} {
 				var got []Line
-				a := NewResponseReader(c.whole, format, DefaultLimits, func(l Line) { got = append(got, l) })
+				r := NewResponseReader(c.listFirst, mapping, DefaultLimits, func(l Line) { got = append(got, l) })
 				sent := c.sent
-				if c.whole {
+				if c.listFirst {
 					sent = append(bytes.Clone(sent), chunkedHead...)
 				}
 				sent = append(bytes.Clone(sent), chunked(delta, 9, false)...)
-				require.NoError(t, read(t, a, sent, func() int { return 1 + rng.IntN(most) }))
-				same(t, []Line{{Update: want}, {Update: &Update{Version: 2}}}, got)
-				assert.False(t, a.IsPartial())
-				assert.Equal(t, uint64(endpoints), a.DecodedEndpoints())
-				assert.True(t, a.IsWatching())
-				held := cap(a.decoder.fields) + cap(a.decoder.entry.carried) + cap(a.decoder.nextList.carried)
-				assert.Less(t, held, DefaultLimits.FieldsBytes, "of the text no more is held than an entry")
+				require.NoError(t, consumeAll(t, r, sent, func() int { return 1 + rng.IntN(maxPiece) }))
+				requireSameLines(t, []Line{{Update: want}, {Update: &Update{Version: 2}}}, got)
+				assert.False(t, r.IsPartial())
+				assert.Equal(t, uint64(endpoints), r.DecodedEndpoints())
+				assert.True(t, r.IsWatching())
+				held := cap(r.decoder.fields) + cap(r.decoder.entry.carried) + cap(r.decoder.nextList.carried)
+				assert.Less(t, held, DefaultLimits.FieldsBytes, "only the text of an entry is kept in memory")
 			}
 		})
 	}
 }
 
-// An answer that has begun counts as partial until its end, wherever it stops.
-func TestWhatHasBegunIsPartial(t *testing.T) {
+// A response that has begun is partial until its end, wherever it is interrupted.
+func TestInterruptedResponseIsPartial(t *testing.T) {
 	sent := append([]byte(chunkedHead), chunked([]byte(`{"index":1,"endpoints":[]}`), 10, true)...)
-	whole := strings.Index(string(sent), "\r\n\r\n") + 4
-	for n := whole; n < len(sent); n++ {
-		a := NewResponseReader(true, format, DefaultLimits, func(Line) {})
-		size, _, err := a.Consume(sent[:n])
+	headSize := strings.Index(string(sent), "\r\n\r\n") + 4
+	for n := headSize; n < len(sent); n++ {
+		r := NewResponseReader(true, mapping, DefaultLimits, func(Line) {})
+		size, _, err := r.Consume(sent[:n])
 		require.NoError(t, err)
-		assert.True(t, n == whole || a.IsPartial() || size < n, "after %q", sent[:n])
+		assert.True(t, n == headSize || r.IsPartial() || size < n, "after %q", sent[:n])
 	}
 }
 
-func TestWhatIsNoAnswerIsRefused(t *testing.T) {
+func TestInvalidResponseIsRefused(t *testing.T) {
 	for sent, text := range map[string]string{
-		"HTTP/1.1 503 Service Unavailable\r\n\r\n":                                                 "the list was answered with 503",
-		"HTTP/1.1 200 OK\r\n\r\n":                                                                  "the list was answered without a length",
-		"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n":                                   "the list's answer is too large",
+		"HTTP/1.1 503 Service Unavailable\r\n\r\n":                                                 "list response has status 503",
+		"HTTP/1.1 200 OK\r\n\r\n":                                                                  "list response has no length",
+		"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n":                                   "list response is too large",
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n":               "conflicting lengths",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n80000000\r\n":                        "chunk too large",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{x\r\n":                         "malformed chunk end",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n":                               "malformed chunk size",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nHTTP/1.1 500 No\r\n\r\n":    "the watch was answered with 500",
-		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n": "the watch was answered with a body that ends",
-		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" + chunkedHead + "0\r\n":                     "the watch was ended",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nHTTP/1.1 500 No\r\n\r\n":    "watch response has status 500",
+		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n": "watch response is not chunked",
+		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" + chunkedHead + "0\r\n":                     "the watch ended",
 	} {
-		a := NewResponseReader(true, format, DefaultLimits, func(Line) {})
-		assert.EqualError(t, read(t, a, []byte(sent), func() int { return 11 }), text, "%q", sent)
+		r := NewResponseReader(true, mapping, DefaultLimits, func(Line) {})
+		assert.EqualError(t, consumeAll(t, r, []byte(sent), func() int { return 11 }), text, "%q", sent)
 	}
 }
 
-// Past each bound a list is refused, and the error names the place and the bound.
-func TestALimitNamesItsPlace(t *testing.T) {
+// A list over a limit is refused, and the error names the place and the limit.
+func TestLimitErrorNamesItsPlace(t *testing.T) {
 	limits := Limits{Endpoints: 3, EntryBytes: 200, FieldsBytes: 100, ListBytes: 3 * (endpointOverheadBytes + 40)}
 	entry := func(name string) string { return fmt.Sprintf(`{"name":%q,"address":"x"}`, name) }
 	list := func(entries ...string) string {
@@ -144,35 +144,35 @@
 		`{"index":1,"note":"` + long + `"}`: "list refused outside its endpoints: its text over 100 bytes",
 		long:                                "list refused outside its endpoints: its text over 100 bytes",
 	} {
-		for _, document := range []bool{false, true} {
+		for _, singleList := range []bool{false, true} {
 			updates := 0
-			decoder := NewDecoder(format, limits, func(l Line) {
+			decoder := NewDecoder(mapping, limits, func(l Line) {
 				if l.Update != nil {
 					updates++
 				}
 			})
-			decoder.singleList = document
+			decoder.singleList = singleList
 			err := decoder.Decode([]byte(text + "\n"))
 			if want == "" {
 				require.NoError(t, err)
-				if document {
+				if singleList {
 					decoder.end()
 				}
 				assert.Equal(t, 1, updates)
 				continue
 			}
-			var over *LimitError
-			require.ErrorAs(t, err, &over, text)
+			var limitErr *LimitError
+			require.ErrorAs(t, err, &limitErr, text)
 			assert.EqualError(t, err, want)
 			assert.Zero(t, updates)
 		}
 	}
 }
 
-// The bounds of a scheduler hold the largest list that they allow, and no endpoint more.
-func TestDefaultLimitsHoldTwoHundredThousandEndpoints(t *testing.T) {
+// With the default limits a list may have 200000 endpoints and no more.
+func TestDefaultLimitsAllow200000Endpoints(t *testing.T) {
 	updates := 0
-	decoder := NewDecoder(format, DefaultLimits, func(l Line) {
+	decoder := NewDecoder(mapping, DefaultLimits, func(l Line) {
 		if assert.NotNil(t, l.Update) {
 			updates += len(l.Update.Workers)
 		}
@@ -182,8 +182,8 @@
 	assert.EqualError(t, decoder.Decode(listText(1, 200_001)), "list refused at endpoint 200001: the list over 200000 endpoints")
 }
 
-// A list with a fault in one entry is not taken at all, and the fault names the entry.
-func TestAFaultNamesItsEntry(t *testing.T) {
+// A list with an invalid entry is dropped as a whole, and the error names the entry.
+func TestListErrorNamesItsEntry(t *testing.T) {
 	for entries, want := range map[string]string{
 		`{"name":"a","address":"x"},{"name":"b","address":7}`: "endpoint 2: json: cannot unmarshal number into Go struct field endpoint.address of type string",
 		`{"name":"a","address":"x"},`:                         "endpoint 2 is missing",
@@ -199,16 +199,16 @@
 	}
 }
 
-// FuzzAnswers: whatever comes, in whatever pieces, comes to the same.
-func FuzzAnswers(f *testing.F) {
+// FuzzResponses checks that the result does not depend on how the bytes are split into pieces.
+func FuzzResponses(f *testing.F) {
 	f.Add([]byte(chunkedHead+string(chunked([]byte(`{"index":1,"endpoints":[{"name":"a","address":"x"}]}`), 9, true))+chunkedHead+"1\r\n\n\r\n"), true, 5)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"index\":1}"), true, 1)
-	f.Fuzz(func(t *testing.T, sent []byte, whole bool, part int) {
-		take := func(part int) (lines []Line, a *ResponseReader, err error) {
-			a = NewResponseReader(whole, format, DefaultLimits, func(l Line) { lines = append(lines, l) })
+	f.Fuzz(func(t *testing.T, sent []byte, listFirst bool, pieceSize int) {
+		consume := func(pieceSize int) (lines []Line, a *ResponseReader, err error) {
+			a = NewResponseReader(listFirst, mapping, DefaultLimits, func(l Line) { lines = append(lines, l) })
 			var buf []byte
 			for rest := sent; len(rest) > 0; {
-				n := min(max(1, part), len(rest))
+				n := min(max(1, pieceSize), len(rest))
 				buf, rest = append(buf, rest[:n]...), rest[n:]
 				size, _, err := a.Consume(buf)
 				if err != nil {
@@ -218,10 +218,10 @@
 			}
 			return lines, a, nil
 		}
-		once, a, err := take(len(sent))
-		parts, b, errOfParts := take(part)
-		require.Equal(t, err, errOfParts)
-		same(t, once, parts)
+		atOnce, a, err := consume(len(sent))
+		pieces, b, errOfPieces := consume(pieceSize)
+		require.Equal(t, err, errOfPieces)
+		requireSameLines(t, atOnce, pieces)
 		if err == nil {
 			require.Equal(t, a.IsPartial(), b.IsPartial())
 		}
