--- a/cmd/cobaltflow/capacity.go
+++ b/cmd/cobaltflow/capacity.go
@@ -12,17 +12,17 @@
 	"cobaltflow/internal/scale/result"
 )
 
-// capacityPage are the flags that have the capacity page made from results that stand already.
+// capacityPage holds the flags that generate the capacity page from existing results.
 type capacityPage struct {
 	path    string
 	targets string
 	results []string
 }
 
-// withCapacityPage gives the command of the scale measurements the flags of the page. With --page nothing is measured.
+// withCapacityPage adds the flags of the capacity page to the scale command. With --page nothing is measured.
 func withCapacityPage(scale *cobra.Command) *cobra.Command {
 	var page capacityPage
-	scale.Flags().StringVar(&page.path, "page", "", "make the capacity page at `FILE` from --results and --targets, and measure nothing")
+	scale.Flags().StringVar(&page.path, "page", "", "write the capacity page to `FILE` from --results and --targets, and measure nothing")
 	scale.Flags().StringArrayVar(&page.results, "results", nil, "a results `FILE` for the page; may be given several times")
 	scale.Flags().StringVar(&page.targets, "targets", "docs/measurements/scale-targets.json", "the targets `FILE` for the page")
 	measure := scale.RunE
@@ -38,7 +38,7 @@
 	return scale
 }
 
-// write makes the page. The file is written only where the whole page could be made.
+// write generates the page. The file is written only if the whole page was generated.
 func (p *capacityPage) write() error {
 	if len(p.results) == 0 {
 		return errors.New("--results: missing")
--- a/cmd/cobaltflow/capacity_test.go
+++ b/cmd/cobaltflow/capacity_test.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	madeUpTargets = "../../internal/scale/capacity/testdata/targets.json"
-	madeUpResults = "../../internal/scale/capacity/testdata/results.json"
+	testTargets = "../../internal/scale/capacity/testdata/targets.json"
+	testResults = "../../internal/scale/capacity/testdata/results.json"
 )
 
-// runCapacity runs the command of the scale measurements with flags of the page.
+// runCapacity runs the scale command with the given arguments.
 func runCapacity(t *testing.T, arguments ...string) error {
 	t.Helper()
 	command := withCapacityPage(scaleCommand())
@@ -28,26 +28,26 @@
 
 func TestCapacityPageIsWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "page.md")
-	require.NoError(t, runCapacity(t, "--page", path, "--results", madeUpResults, "--targets", madeUpTargets))
+	require.NoError(t, runCapacity(t, "--page", path, "--results", testResults, "--targets", testTargets))
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	assert.Contains(t, string(text), "# Capacity")
 }
 
-func TestCapacityPageNamesFaultyInput(t *testing.T) {
+func TestCapacityPageNamesInvalidInput(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "page.md")
-	faulty := filepath.Join(dir, "faulty.json")
-	require.NoError(t, os.WriteFile(faulty, []byte(`{"version": 7}`), 0o600))
+	invalid := filepath.Join(dir, "invalid.json")
+	require.NoError(t, os.WriteFile(invalid, []byte(`{"version": 7}`), 0o600))
 	for _, c := range []struct {
 		want      string
 		arguments []string
 	}{
-		{"--results: only with --page", []string{"--results", madeUpResults}},
-		{"--results: missing", []string{"--page", path, "--targets", madeUpTargets}},
-		{"--results: " + faulty + ": version: 7 is not 1", []string{"--page", path, "--targets", madeUpTargets, "--results", faulty}},
-		{"--targets: " + faulty + ": targets.version: 7 is not 1", []string{"--page", path, "--targets", faulty, "--results", madeUpResults}},
-		{"results.1.slopes.0: ", []string{"--page", path, "--targets", madeUpTargets, "--results", madeUpResults, "--results", madeUpResults}},
+		{"--results: only with --page", []string{"--results", testResults}},
+		{"--results: missing", []string{"--page", path, "--targets", testTargets}},
+		{"--results: " + invalid + ": version: 7 is not 1", []string{"--page", path, "--targets", testTargets, "--results", invalid}},
+		{"--targets: " + invalid + ": targets.version: 7 is not 1", []string{"--page", path, "--targets", invalid, "--results", testResults}},
+		{"results.1.slopes.0: ", []string{"--page", path, "--targets", testTargets, "--results", testResults, "--results", testResults}},
 	} {
 		require.ErrorContains(t, runCapacity(t, c.arguments...), c.want)
 		_, err := os.Stat(path)
--- a/cmd/cobaltflow/check.go
+++ b/cmd/cobaltflow/check.go
@@ -11,6 +11,7 @@
 	"cobaltflow/internal/describe"
 )
 
+// checkCommand checks the configuration, or files with interface descriptions.
 func checkCommand(load configLoader) *cobra.Command {
 	return &cobra.Command{
 		Use: "check [FILE...]", Short: "Check the configuration, or the OpenAPI and AsyncAPI descriptions in files",
@@ -42,10 +43,11 @@
 	}
 }
 
+// describeCommand prints the descriptions that are built into the program.
 func describeCommand() *cobra.Command {
 	texts := map[string][]byte{"openapi": describe.OpenAPI, "asyncapi": describe.AsyncAPI, "config": deploy.Schema, "example": deploy.Example}
 	return &cobra.Command{
-		Use: "describe openapi|asyncapi|config|example", Short: "Print the description of an interface, the schema of the configuration or a filled-in one",
+		Use: "describe openapi|asyncapi|config|example", Short: "Print an interface description, or the configuration's schema or an example of it",
 		ValidArgs: []string{"openapi", "asyncapi", "config", "example"},
 		RunE: func(c *cobra.Command, args []string) error {
 			if len(args) != 1 || texts[args[0]] == nil {
--- a/cmd/cobaltflow/conformance.go
+++ b/cmd/cobaltflow/conformance.go
@@ -8,34 +8,35 @@
 	"cobaltflow/internal/conformance"
 )
 
+// conformanceCommand tests a server's conformance to a protocol.
 func conformanceCommand() *cobra.Command {
-	c := &cobra.Command{Use: "conformance", Short: "Hold a server to a protocol, over real sockets"}
-	var s conformance.Faktory
-	fk := &cobra.Command{
-		Use: "faktory ADDRESS", Short: "Hold a server of the Faktory work protocol to its public description", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "conformance", Short: "Test a server's conformance to a protocol, over real sockets"}
+	var faktory conformance.Faktory
+	faktoryCommand := &cobra.Command{
+		Use: "faktory ADDRESS", Short: "Test a Faktory server against the protocol's public specification", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s.Address = args[0]
-			if _, failed := conformance.Report(c.OutOrStdout(), conformance.RunFaktory(s)); failed > 0 {
+			faktory.Address = args[0]
+			if _, failed := conformance.Report(c.OutOrStdout(), conformance.RunFaktory(faktory)); failed > 0 {
 				return fmt.Errorf("%d cases failed", failed)
 			}
 			return nil
 		},
 	}
-	fk.Flags().StringVar(&s.Password, "password", "", "the server's password")
-	fk.Flags().StringVar(&s.Jobtype, "jobtype", "conformance", "a jobtype that the server takes, of a class that may run again")
-	fk.Flags().BoolVar(&s.Flush, "flush", false, "the server allows FLUSH and may lose all it has")
-	var h conformance.HTTP2
-	h2 := &cobra.Command{
-		Use: "http2 ADDRESS", Short: "Hold a server of HTTP/2 without TLS to RFC 9113 and RFC 7541", Args: cobra.ExactArgs(1),
+	faktoryCommand.Flags().StringVar(&faktory.Password, "password", "", "the server's password")
+	faktoryCommand.Flags().StringVar(&faktory.Jobtype, "jobtype", "conformance", "a jobtype that the server accepts, of a class that may be retried")
+	faktoryCommand.Flags().BoolVar(&faktory.Flush, "flush", false, "the server allows FLUSH and may lose all of its jobs")
+	var http2 conformance.HTTP2
+	http2Command := &cobra.Command{
+		Use: "http2 ADDRESS", Short: "Test an HTTP/2 server without TLS against RFC 9113 and RFC 7541", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			h.Address = args[0]
-			if _, failed := conformance.Report(c.OutOrStdout(), conformance.RunHTTP2(h)); failed > 0 {
+			http2.Address = args[0]
+			if _, failed := conformance.Report(c.OutOrStdout(), conformance.RunHTTP2(http2)); failed > 0 {
 				return fmt.Errorf("%d cases failed", failed)
 			}
 			return nil
 		},
 	}
-	h2.Flags().StringVar(&h.Path, "path", "/-/ready", "a `path` that a GET gets 200 for")
-	c.AddCommand(fk, h2)
+	http2Command.Flags().StringVar(&http2.Path, "path", "/-/ready", "a `path` that answers GET with 200")
+	c.AddCommand(faktoryCommand, http2Command)
 	return c
 }
--- a/cmd/cobaltflow/demo.go
+++ b/cmd/cobaltflow/demo.go
@@ -12,10 +12,11 @@
 	"cobaltflow/internal/demo"
 )
 
+// demoCommand runs a demonstration of the gateway.
 func demoCommand() *cobra.Command {
 	o := demo.Options{}
 	c := &cobra.Command{
-		Use: "demo", Short: "Run a gateway, stand-in workers and mixed jobs on both fronts, and show what ended how", Args: cobra.NoArgs,
+		Use: "demo", Short: "Run a gateway with fake workers and mixed jobs on both fronts, and print the outcomes", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -23,8 +24,8 @@
 			return demo.Run(ctx, c.OutOrStdout(), o)
 		},
 	}
-	c.Flags().IntVar(&o.Jobs, "jobs", 400, "`jobs` in all")
-	c.Flags().DurationVar(&o.Time, "time", 4*time.Second, "over which they are spread")
-	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of what is drawn")
+	c.Flags().IntVar(&o.Jobs, "jobs", 400, "total number of `jobs`")
+	c.Flags().DurationVar(&o.Time, "time", 4*time.Second, "`duration` over which the jobs are spread")
+	c.Flags().Uint64Var(&o.Seed, "seed", 1, "`seed` of the random choices")
 	return c
 }
--- a/cmd/cobaltflow/fleet.go
+++ b/cmd/cobaltflow/fleet.go
@@ -12,11 +12,12 @@
 	"cobaltflow/internal/fleet/scenario"
 )
 
+// fleetCommand plays scenarios with many scheduler processes and checks their records.
 func fleetCommand() *cobra.Command {
-	c := &cobra.Command{Use: "fleet", Short: "Play a scenario with many processes of the program and faults between them"}
+	c := &cobra.Command{Use: "fleet", Short: "Play scenarios with many scheduler processes and injected faults"}
 	var o experiment.Options
 	run := &cobra.Command{
-		Use: "run FILE", Short: "Play a scenario, judge it and keep its records", Args: cobra.ExactArgs(1),
+		Use: "run FILE", Short: "Play a scenario, check the outcome and keep its records", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -27,13 +28,13 @@
 			return err
 		},
 	}
-	run.Flags().StringVar(&o.Binary, "binary", "", "the `program` to play; this one where absent")
-	run.Flags().StringVar(&o.Old, "old", "", "an earlier `program`, played beside it on the same seeds")
-	run.Flags().StringArrayVar(&o.Arms, "arm", nil, "`NAME=FILE`: play also with FILE put over the project's own configuration")
-	run.Flags().Uint64Var(&o.Seed, "seed", 0, "first `seed`; the scenario's where absent")
-	run.Flags().IntVar(&o.Seeds, "seeds", 1, "how `many` seeds to play")
-	run.Flags().StringVar(&o.Dir, "out", "", "`directory` for records and logs; none are kept where absent")
-	run.Flags().BoolVar(&o.Quiet, "quiet", false, "no live lines")
+	run.Flags().StringVar(&o.Binary, "binary", "", "the `program` to run; default: this one")
+	run.Flags().StringVar(&o.Old, "old", "", "an earlier `program` to run with the same seeds for comparison")
+	run.Flags().StringArrayVar(&o.Arms, "arm", nil, "`NAME=FILE`: run also with FILE merged over the project's own configuration")
+	run.Flags().Uint64Var(&o.Seed, "seed", 0, "first `seed`; default: the scenario's")
+	run.Flags().IntVar(&o.Seeds, "seeds", 1, "`number` of seeds to run")
+	run.Flags().StringVar(&o.Dir, "out", "", "`directory` for records and logs; default: none are kept")
+	run.Flags().BoolVar(&o.Quiet, "quiet", false, "print no progress lines")
 	check := &cobra.Command{
 		Use: "check FILE...", Short: "Check scenario files", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
@@ -48,7 +49,7 @@
 		},
 	}
 	report := &cobra.Command{
-		Use: "report DIR", Short: "Make one HTML file of the records in a directory", Args: cobra.ExactArgs(1),
+		Use: "report DIR", Short: "Generate an HTML report from the records in a directory", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			path, err := experiment.Report(args[0])
 			if err == nil {
--- a/cmd/cobaltflow/hollow.go
+++ b/cmd/cobaltflow/hollow.go
@@ -10,45 +10,45 @@
 	"cobaltflow/internal/scale/result"
 )
 
-// hollowCommand plays many schedulers in virtual time.
+// hollowCommand simulates many schedulers in virtual time.
 func hollowCommand() *cobra.Command {
-	c := &cobra.Command{Use: "hollow", Short: "Many schedulers before many workers, in virtual time, as Markdown or a results file"}
+	c := &cobra.Command{Use: "hollow", Short: "Simulate many schedulers and workers in virtual time, as Markdown or a results file"}
 	c.AddCommand(hollowCompare(), hollowSlopes(), hollowRecovery())
 	return c
 }
 
-// hollowCompare compares ways of dividing the worker list.
+// hollowCompare compares ways to divide the worker list among schedulers.
 func hollowCompare() *cobra.Command {
 	var o hollow.Comparison
 	c := &cobra.Command{
-		Use: "compare", Short: "Ways of dividing the worker list, side by side", Args: cobra.NoArgs,
+		Use: "compare", Short: "Compare ways to divide the worker list among schedulers", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return o.Write(c.OutOrStdout()) },
 	}
-	c.Flags().IntVar(&o.Part, "part", 30, "play one part of `N` of the full size")
+	c.Flags().IntVar(&o.Part, "part", 30, "simulate 1/`N` of the full size")
 	c.Flags().StringVar(&o.Tasks, "tasks", "long", "`kind` of jobs: short, long or mixed")
-	c.Flags().StringVar(&o.Traffic, "traffic", "", "`kinds` of traffic, by commas: evenly, key, zone; empty: all")
-	c.Flags().StringVar(&o.Candidates, "candidates", "", "`names` of candidates, by commas; empty: all")
-	c.Flags().Float64SliceVar(&o.ProbePrices, "probe-price", nil, "`prices` of a probe, as a part of the service's worth; below 0: no probes; empty: today's")
+	c.Flags().StringVar(&o.Traffic, "traffic", "", "`kinds` of traffic, separated by commas: evenly, key, zone; empty: all")
+	c.Flags().StringVar(&o.Candidates, "candidates", "", "`names` of candidates, separated by commas; empty: all")
+	c.Flags().Float64SliceVar(&o.ProbePrices, "probe-price", nil, "`costs` of a probe, as a fraction of the service's value; below 0: no probes; empty: the current default")
 	c.Flags().IntVar(&o.Seeds, "seeds", 1, "`number` of seeds, from 1")
-	c.Flags().IntVar(&o.Parallel, "parallel", 1, "`number` of runs at a time")
+	c.Flags().IntVar(&o.Parallel, "parallel", 1, "`number` of concurrent runs")
 	c.Flags().IntVar(&o.Schedulers, "schedulers", 0, "`number` of schedulers; 0: 32")
-	c.Flags().Float64Var(&o.Unlike, "unlike", 0, "a tenth of the schedulers get `N` times what the others get")
-	c.Flags().Float64Var(&o.Stretch, "stretch", 0, "aim of long tasks: `times` their own running time; 0: 1.2")
-	c.Flags().Float64Var(&o.Load, "load", 0, "`part` of the slots that is asked for; 0: 0.8")
-	c.Flags().Float64Var(&o.WarmS, "warm", 0, "`seconds` before anything is counted; 0: 300, and 8 with short jobs")
-	c.Flags().Float64Var(&o.ForS, "for", 0, "`seconds` that are played; 0: 480, and 20 with short jobs")
-	c.Flags().Float64Var(&o.IdleS, "connection-idle", 48, "`seconds` for which a connection is kept")
+	c.Flags().Float64Var(&o.Unlike, "unlike", 0, "a tenth of the schedulers get `N` times the traffic of the others")
+	c.Flags().Float64Var(&o.Stretch, "stretch", 0, "latency target of long tasks: `multiple` of their running time; 0: 1.2")
+	c.Flags().Float64Var(&o.Load, "load", 0, "`fraction` of the slots that the load takes; 0: 0.8")
+	c.Flags().Float64Var(&o.WarmS, "warm", 0, "warm-up `seconds` that are not measured; 0: 300, or 8 with short jobs")
+	c.Flags().Float64Var(&o.ForS, "for", 0, "`seconds` to simulate; 0: 480, or 20 with short jobs")
+	c.Flags().Float64Var(&o.IdleS, "connection-idle", 48, "`seconds` after which an idle connection is closed")
 	return c
 }
 
-// hollowSlopes fits what grows with the size of the fleet.
+// hollowSlopes fits how resource use grows with the number of schedulers and workers.
 func hollowSlopes() *cobra.Command {
 	var small bool
 	var out string
 	var names []string
 	campaign := hollow.Campaign{}
 	c := &cobra.Command{
-		Use: "slopes", Short: "What grows with schedulers, workers, jobs in hand and list changes, as a results file", Args: cobra.NoArgs,
+		Use: "slopes", Short: "Measure growth with schedulers, workers, in-flight jobs and worker list changes, as a results file", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			campaign.Cases = hollow.Cases(small)
 			for _, name := range names {
@@ -58,25 +58,25 @@
 				}
 				campaign.Candidates = append(campaign.Candidates, candidate)
 			}
-			f := result.File{Revision: version, Taken: time.Now().UTC().Format(time.RFC3339), Command: c.CommandPath()}
-			f.Runs, f.Slopes = campaign.Run(func(r result.Run) { fmt.Fprintln(c.ErrOrStderr(), r.Case, r.Program, r.Parameters, r.Seed, r.Missed) })
-			return f.Write(out)
+			file := result.File{Revision: version, Taken: time.Now().UTC().Format(time.RFC3339), Command: c.CommandPath()}
+			file.Runs, file.Slopes = campaign.Run(func(r result.Run) { fmt.Fprintln(c.ErrOrStderr(), r.Case, r.Program, r.Parameters, r.Seed, r.Missed) })
+			return file.Write(out)
 		},
 	}
-	c.Flags().BoolVar(&small, "small", false, "a set that ends soon")
+	c.Flags().BoolVar(&small, "small", false, "run a small set of cases")
 	c.Flags().StringVar(&out, "out", "hollow.json", "the results `file`")
 	c.Flags().StringSliceVar(&names, "candidates", []string{"whole list", "package ownership"}, "`names` of candidates, by commas")
 	c.Flags().IntVar(&campaign.Seeds, "seeds", 3, "`number` of seeds, from 1")
-	c.Flags().IntVar(&campaign.Parallel, "parallel", 1, "`number` of runs at a time")
+	c.Flags().IntVar(&campaign.Parallel, "parallel", 1, "`number` of concurrent runs")
 	return c
 }
 
-// hollowRecovery plays faults.
+// hollowRecovery simulates faults.
 func hollowRecovery() *cobra.Command {
 	var part int
 	var tasks, name string
 	c := &cobra.Command{
-		Use: "recovery", Short: "A member or a zone lost and back, and two views of the members", Args: cobra.NoArgs,
+		Use: "recovery", Short: "Simulate the loss and return of a scheduler or a zone, and differing views of the members", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			candidate, err := hollow.CandidateNamed(name)
 			if err != nil {
@@ -85,7 +85,7 @@
 			return hollow.WriteRecoveries(c.OutOrStdout(), hollow.RecoveryFleet(part, hollow.Tasks(tasks)), candidate)
 		},
 	}
-	c.Flags().IntVar(&part, "part", 30, "play one part of `N` of the full size")
+	c.Flags().IntVar(&part, "part", 30, "simulate 1/`N` of the full size")
 	c.Flags().StringVar(&tasks, "tasks", "long", "`kind` of jobs: short, long or mixed")
 	c.Flags().StringVar(&name, "candidate", "package ownership", "`name` of the candidate")
 	return c
--- a/cmd/cobaltflow/main.go
+++ b/cmd/cobaltflow/main.go
@@ -1,5 +1,5 @@
-// Command cobaltflow is the scheduler of table jobs: one gateway process between the clients and the
-// table workers of a region. Its commands hold no logic of their own.
+// Command cobaltflow is a gateway that schedules table jobs: one process between the clients and the table workers of a
+// region. Its subcommands parse flags and call the internal packages; they hold no logic of their own.
 package main
 
 import (
@@ -27,18 +27,18 @@
 	}
 }
 
-// newRoot makes the tree of commands. Without a command the program serves.
+// newRoot creates the command tree. Without a subcommand the program serves.
 func newRoot() *cobra.Command {
 	var file string
 	root := &cobra.Command{
-		Use: "cobaltflow", Short: "Gateway for table jobs: HTTP/1.1 and the Faktory work protocol, one set of decisions",
+		Use: "cobaltflow", Short: "Gateway for table jobs over HTTP/1.1, HTTP/2 and the Faktory work protocol",
 		Version: version, SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs,
 	}
 	root.PersistentFlags().StringVar(&file, "config", config.File, "the project's own configuration `file`")
-	old := root.PersistentFlags().String("faktory", "", "")
+	legacyFile := root.PersistentFlags().String("faktory", "", "")
 	root.PersistentFlags().MarkHidden("faktory")
 	root.PersistentPreRunE = func(*cobra.Command, []string) error {
-		if *old != "" {
+		if *legacyFile != "" {
 			return fmt.Errorf(`--faktory: the keys of deploy/faktory.json now stand in the section "faktory" of %s; name it with --config`, config.File)
 		}
 		return nil
@@ -59,13 +59,13 @@
 	return root
 }
 
-// longFlags lets the long flags be written with one dash too, as they were before.
+// longFlags rewrites long flags with one dash, which earlier versions accepted, to two dashes.
 func longFlags(args []string) []string {
-	out := append([]string(nil), args...)
-	for i, a := range out {
-		if len(a) > 2 && a[0] == '-' && a[1] != '-' && !strings.ContainsAny(a[1:2], "0123456789") {
-			out[i] = "-" + a
+	rewritten := append([]string(nil), args...)
+	for i, arg := range rewritten {
+		if len(arg) > 2 && arg[0] == '-' && arg[1] != '-' && !strings.ContainsAny(arg[1:2], "0123456789") {
+			rewritten[i] = "-" + arg
 		}
 	}
-	return out
+	return rewritten
 }
--- a/cmd/cobaltflow/main_test.go
+++ b/cmd/cobaltflow/main_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Both programs are built as the deploy file builds them, and started as processes of their own.
+// Builds both programs as the deploy file does, and runs them as separate processes.
 func TestBothProgramsStart(t *testing.T) {
 	bin := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", bin+"/", "cobaltflow/cmd/...").CombinedOutput()
@@ -33,7 +33,7 @@
 	checkCommands(t, bin)
 }
 
-// checkServe has the program serve, reload its configuration and end.
+// checkServe checks that the program serves, reloads its configuration and ends on SIGTERM.
 func checkServe(t *testing.T, bin string) {
 	discovery, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -55,7 +55,7 @@
 	assert.Contains(t, string(ending), "msg=ended taken=0")
 }
 
-// startServe starts the program with a platform's file, and gives its log behind the line that tells its address.
+// startServe starts the program with a platform configuration file. lines is the log after the line with the address.
 func startServe(t *testing.T, bin, conf, discovery string) (serve *exec.Cmd, lines *bufio.Reader, address string) {
 	serve = exec.Command(filepath.Join(bin, "cobaltflow"), "serve")
 	serve.Env = append(os.Environ(), "RELAY_CONFIG="+conf, "RELAY_DISCOVERY="+discovery)
@@ -65,7 +65,7 @@
 	lines = bufio.NewReader(log)
 	first, err := lines.ReadString('\n')
 	require.NoError(t, err)
-	for !strings.Contains(first, "msg=serves") { // notes on the configuration come first
+	for !strings.Contains(first, "msg=serves") { // notes on the configuration may come first
 		first, err = lines.ReadString('\n')
 		require.NoError(t, err)
 	}
@@ -75,32 +75,32 @@
 	return serve, lines, address
 }
 
-// checkReload sends SIGHUP: a bad file is named with its key and changes nothing; a good one goes before the environment
-// of the start.
+// checkReload sends SIGHUP: an invalid file is reported with its key and changes nothing; a valid one takes precedence over
+// the environment of the start.
 func checkReload(t *testing.T, serve *exec.Cmd, lines *bufio.Reader, conf, discovery string) {
-	moved, err := net.Listen("tcp", "127.0.0.1:0")
+	newDiscovery, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { moved.Close() })
+	t.Cleanup(func() { newDiscovery.Close() })
 	text, err := os.ReadFile(conf)
 	require.NoError(t, err)
 	for _, c := range []struct{ discovery, want string }{
 		{"nowhere", `the old configuration is kept" error="discovery: \"nowhere\" is not address:port"`},
-		{moved.Addr().String(), "reload: taken over"},
+		{newDiscovery.Addr().String(), "reload: taken over"},
 	} {
 		next := strings.Replace(string(text), discovery, c.discovery, 1)
 		require.NoError(t, os.WriteFile(conf, []byte(next), 0o600))
 		require.NoError(t, serve.Process.Signal(syscall.SIGHUP))
 		for line := ""; !strings.Contains(line, c.want); {
 			line, err = lines.ReadString('\n')
-			require.NoError(t, err, "ended before %q", c.want)
+			require.NoError(t, err, "log ended before %q", c.want)
 		}
 	}
-	watch, err := moved.Accept()
+	watch, err := newDiscovery.Accept()
 	require.NoError(t, err)
 	watch.Close()
 }
 
-// checkCommands runs the other commands, with what they answer.
+// checkCommands runs the other commands and checks their output.
 func checkCommands(t *testing.T, bin string) {
 	old := filepath.Join(bin, "faktory.json")
 	require.NoError(t, os.WriteFile(old, []byte(`{"listen":"127.0.0.1:7419","queue":"default"}`), 0o600))
--- a/cmd/cobaltflow/process_test.go
+++ b/cmd/cobaltflow/process_test.go
@@ -21,20 +21,18 @@
 )
 
 const (
-	patience = 20 * time.Second // for a condition that has to come true
-	// What discovery has counts as told so long after it can be reached again.
-	toldWithin = 6 * time.Second
-	// A process that was started anew is ready within so long, nine in ten of them, where the day is short.
-	readyWithin = 6 * time.Second
+	testTimeout = 20 * time.Second // for a condition to become true
+	listWithin  = 6 * time.Second  // bound from discovery being reachable again to the request for its list
+	readyWithin = 6 * time.Second  // bound for nine in ten restarted processes to be ready
 )
 
-// program is a process of the program, with its log.
+// program is one process of cobaltflow, with its log.
 type program struct {
 	t      *testing.T
 	binary string
 	conf   string
-	limit  int      // of its descriptors
-	env    []string // beside the test's own
+	limit  int      // of its file descriptors
+	env    []string // in addition to the test's own
 	cmd    *exec.Cmd
 
 	mu  sync.Mutex
@@ -47,7 +45,8 @@
 	return p.log.Write(text)
 }
 
-func (p *program) times(text string) int {
+// countLogged returns how often the log contains a text.
+func (p *program) countLogged(text string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return bytes.Count(p.log.Bytes(), []byte(text))
@@ -69,27 +68,27 @@
 	p.t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
 }
 
-// kill ends the process with no warning.
+// kill sends SIGKILL and waits for the end.
 func (p *program) kill() {
 	require.NoError(p.t, p.cmd.Process.Kill())
 	p.cmd.Wait()
 }
 
-// binaries is the folder of the program as it is built for these tests.
-var binaries string
+// buildDir is the directory of the binary that these tests build.
+var buildDir string
 
 func TestMain(m *testing.M) {
 	var err error
-	if binaries, err = os.MkdirTemp("", "cobaltflow-test-"); err != nil {
+	if buildDir, err = os.MkdirTemp("", "cobaltflow-test-"); err != nil {
 		panic(err)
 	}
 	code := m.Run()
-	os.RemoveAll(binaries)
+	os.RemoveAll(buildDir)
 	os.Exit(code)
 }
 
 var buildOnce = sync.OnceValues(func() (string, error) {
-	binary := filepath.Join(binaries, "cobaltflow")
+	binary := filepath.Join(buildDir, "cobaltflow")
 	out, err := exec.Command("go", "build", "-o", binary, "cobaltflow/cmd/cobaltflow").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
@@ -97,14 +96,14 @@
 	return binary, nil
 })
 
-// build gives the path of the program, built once for all tests.
+// build returns the path of the binary, built once for all tests.
 func build(t *testing.T) string {
 	binary, err := buildOnce()
 	require.NoError(t, err)
 	return binary
 }
 
-// freeAddress is one that nobody listens at, from the kernel.
+// freeAddress returns an unused address, assigned by the kernel.
 func freeAddress(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -112,6 +111,7 @@
 	return ln.Addr().String()
 }
 
+// newProgram returns a process, not started yet, in a group of schedulers; mode is the discovery setting, push or ask.
 func newProgram(t *testing.T, binary, listen, discovery, mode string, schedulers int) *program {
 	p := &program{t: t, binary: binary, conf: filepath.Join(t.TempDir(), "config.json"), limit: 64}
 	require.NoError(t, os.WriteFile(p.conf, fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"limits":{"sockets":64},
@@ -121,8 +121,8 @@
 	return p
 }
 
-// calls answers each call to discovery with the list, and tells of it.
-func calls(t *testing.T, address, list string) chan string {
+// serveDiscovery answers each request to discovery with the list, and sends the request's target on the channel.
+func serveDiscovery(t *testing.T, address, list string) chan string {
 	ln, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -133,13 +133,14 @@
 			if err != nil {
 				return
 			}
-			go answerCalls(c, list, targets)
+			go serveList(c, list, targets)
 		}
 	}()
 	return targets
 }
 
-func answerCalls(c net.Conn, list string, targets chan<- string) {
+// serveList answers the requests of one connection.
+func serveList(c net.Conn, list string, targets chan<- string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -155,9 +156,9 @@
 	}
 }
 
-// Idle clients take every descriptor that they are let have, and come again as soon as they are closed, while discovery
-// is down. Its watch gets one all the same, in time, and what it tells is taken.
-func TestIdleClientsLeaveTheWatchItsDescriptor(t *testing.T) {
+// Idle clients use all descriptors of their budget, and reconnect as soon as they are closed, while discovery is down. The
+// watch nevertheless gets a descriptor in time, and its list is applied.
+func TestIdleClientsDoNotBlockTheDiscoveryWatch(t *testing.T) {
 	binary := build(t)
 	for _, mode := range []string{"push", "ask"} {
 		for _, schedulers := range []int{1, 300} {
@@ -175,22 +176,22 @@
 				listen, discovery := freeAddress(t), freeAddress(t)
 				p := newProgram(t, binary, listen, discovery, mode, schedulers)
 				p.start()
-				until(t, func() bool { return ready(listen) })
-				left := crowd(t, listen)
-				until(t, func() bool { return p.logged("reason=over-budget") && p.logged("party=discovery") })
+				eventually(t, func() bool { return isReady(listen) })
+				disconnect := connectIdleClients(t, listen)
+				eventually(t, func() bool { return p.logged("reason=over-budget") && p.logged("party=discovery") })
 				list := fmt.Sprintf(`{"index":2,"snapshot":true,"endpoints":[{"name":"s-1","address":%q,"zone":"","type":"","group":0,"status":"up"}]}`,
 					worker.Listener.Addr())
 				reachable := time.Now()
-				asked := calls(t, discovery, list)
+				requests := serveDiscovery(t, discovery, list)
 				select {
-				case <-asked:
-				case <-time.After(patience):
-					t.Fatal("no call came")
+				case <-requests:
+				case <-time.After(testTimeout):
+					t.Fatal("no request to discovery")
 				}
-				assert.Less(t, time.Since(reachable), toldWithin)
-				left()
-				until(t, func() bool {
-					go ask(listen)
+				assert.Less(t, time.Since(reachable), listWithin)
+				disconnect()
+				eventually(t, func() bool {
+					go sendJob(listen)
 					select {
 					case <-jobs:
 						return true
@@ -203,50 +204,51 @@
 	}
 }
 
-var asks atomic.Int64
+var jobCount atomic.Int64
 
-// ask sends a job; its answer may never come.
-func ask(address string) {
+// sendJob sends a job and ignores the outcome.
+func sendJob(address string) {
 	q, _ := http.NewRequest("POST", "http://"+address+"/move/k", nil)
-	q.Header.Set("X-Correlation-Id", fmt.Sprint("id-", asks.Add(1)))
+	q.Header.Set("X-Correlation-Id", fmt.Sprint("id-", jobCount.Add(1)))
 	q.Header.Set("X-Time-Left-Ms", "1000")
 	if r, err := http.DefaultClient.Do(q); err == nil {
 		r.Body.Close()
 	}
 }
 
-// crowd has clients connect, say nothing, and come again when they are closed, until it is left.
-func crowd(t *testing.T, address string) (leave func()) {
+// connectIdleClients keeps many idle clients connected, which reconnect when they are closed, until disconnect is called.
+func connectIdleClients(t *testing.T, address string) (disconnect func()) {
 	const clients = 200
 	var all sync.WaitGroup
-	over := make(chan struct{})
-	leave = sync.OnceFunc(func() { close(over); all.Wait() })
-	t.Cleanup(leave)
+	done := make(chan struct{})
+	disconnect = sync.OnceFunc(func() { close(done); all.Wait() })
+	t.Cleanup(disconnect)
 	for range clients {
 		all.Go(func() {
 			for {
 				c, err := net.Dial("tcp", address)
 				if err == nil {
-					ended := make(chan struct{})
-					go func() { io.Copy(io.Discard, c); close(ended) }()
+					closed := make(chan struct{})
+					go func() { io.Copy(io.Discard, c); close(closed) }()
 					select {
-					case <-ended:
-					case <-over:
+					case <-closed:
+					case <-done:
 					}
 					c.Close()
 				}
 				select {
-				case <-over:
+				case <-done:
 					return
 				case <-time.After(10 * time.Millisecond):
 				}
 			}
 		})
 	}
-	return leave
+	return disconnect
 }
 
-func ready(address string) bool {
+// isReady reports whether the clients' address answers that it is ready.
+func isReady(address string) bool {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	r, err := client.Get("http://" + address + "/-/ready")
 	if err != nil {
@@ -256,15 +258,15 @@
 	return r.StatusCode == 200
 }
 
-func until(t *testing.T, f func() bool) {
+func eventually(t *testing.T, f func() bool) {
 	t.Helper()
-	require.Eventually(t, f, patience, 10*time.Millisecond)
+	require.Eventually(t, f, testTimeout, 10*time.Millisecond)
 }
 
-// Ten processes are killed and started anew at once, at their old addresses, with a discovery that takes calls and says
-// nothing, or that nobody listens at: nine at least are ready in time, by the list that they were given.
+// Ten processes are killed and restarted at once, at the same addresses, while discovery accepts connections but sends
+// nothing, or does not listen. At least nine are ready in time, with the list from their configuration.
 func TestRestartedProcessesAreReadyInTime(t *testing.T) {
-	const processes, enough = 10, 9
+	const processes, minInTime = 10, 9
 	binary := build(t)
 	for _, silent := range []bool{true, false} {
 		for _, mode := range []string{"push", "ask"} {
@@ -285,23 +287,23 @@
 					p.start()
 				}
 				for _, address := range addresses {
-					until(t, func() bool { return ready(address) })
+					eventually(t, func() bool { return isReady(address) })
 				}
 				for _, p := range all {
 					p.kill()
 				}
-				began := time.Now()
+				restarted := time.Now()
 				for _, p := range all {
 					p.start()
 				}
 				inTime := 0
 				for _, address := range addresses {
-					until(t, func() bool { return ready(address) })
-					if time.Since(began) < readyWithin {
+					eventually(t, func() bool { return isReady(address) })
+					if time.Since(restarted) < readyWithin {
 						inTime++
 					}
 				}
-				assert.GreaterOrEqual(t, inTime, enough)
+				assert.GreaterOrEqual(t, inTime, minInTime)
 			})
 		}
 	}
--- a/cmd/cobaltflow/scale.go
+++ b/cmd/cobaltflow/scale.go
@@ -20,13 +20,14 @@
 // selfLabel is the label of this program's own build in the results.
 const selfLabel = "now"
 
+// scaleCommand measures scheduler processes with a growing number of workers.
 func scaleCommand() *cobra.Command {
 	var o scale.Options
 	var programs, sections []string
 	var out string
 	var list, add bool
 	c := &cobra.Command{
-		Use: "scale", Short: "Schedulers before tens of thousands of workers: what they use, how it grows, and how they recover", Args: cobra.NoArgs,
+		Use: "scale", Short: "Measure resource use, growth and recovery of schedulers with tens of thousands of workers", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if list {
 				_, err := fmt.Fprintln(c.OutOrStdout(), strings.Join(scale.Names(), "\n"))
@@ -46,22 +47,22 @@
 			return err
 		},
 	}
-	c.Flags().BoolVar(&o.Full, "full", false, "all cases at all points, three runs of each")
-	c.Flags().StringArrayVar(&o.Cases, "case", nil, "the `name` of a case; may be given again")
-	c.Flags().StringArrayVar(&programs, "program", nil, "`LABEL=PATH` of a build to measure; this one, as \"now\", where absent; may be given again")
-	c.Flags().StringArrayVar(&sections, "own", nil, "`LABEL=FILE` with sections of the project's own file for the build of that label; may be given again")
-	c.Flags().IntVar(&o.Runs, "runs", 0, "`runs` of each point; 0: three with --full, else one")
+	c.Flags().BoolVar(&o.Full, "full", false, "run all cases at all points, three times each")
+	c.Flags().StringArrayVar(&o.Cases, "case", nil, "the `name` of a case; may be given several times")
+	c.Flags().StringArrayVar(&programs, "program", nil, "`LABEL=PATH` of a build to measure; default: this one, as \"now\"; may be given several times")
+	c.Flags().StringArrayVar(&sections, "own", nil, "`LABEL=FILE` with sections of the project's own file for the build of that label; may be given several times")
+	c.Flags().IntVar(&o.Runs, "runs", 0, "number of `runs` of each point; 0: three with --full, else one")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "`seed` of the first run of each point")
-	c.Flags().StringVar(&o.Revision, "revision", revision(), "`revision` that the results are noted to be of")
-	c.Flags().BoolVar(&o.Alone, "alone", false, "note that nothing else runs on the machine")
-	c.Flags().StringVar(&out, "out", "", "`file` for the results as JSON; Parquet and charts are put beside it")
-	c.Flags().BoolVar(&add, "add", false, "keep the runs that the file of --out holds already, before the new ones")
-	c.Flags().Float64SliceVar(&o.Points, "point", nil, "`values` of the parameter to measure at, in the place of the case's own")
+	c.Flags().StringVar(&o.Revision, "revision", revision(), "`revision` to record in the results")
+	c.Flags().BoolVar(&o.Alone, "alone", false, "record that nothing else runs on the machine")
+	c.Flags().StringVar(&out, "out", "", "`file` for the results as JSON; Parquet and charts are written next to it")
+	c.Flags().BoolVar(&add, "add", false, "keep the runs that the file of --out holds already, and append the new ones")
+	c.Flags().Float64SliceVar(&o.Points, "point", nil, "`values` of the parameter to measure at, instead of the case's own")
 	c.Flags().BoolVar(&list, "list", false, "only list the cases")
 	return c
 }
 
-// storeScale writes the results, behind those that stand in the file where they are to be kept.
+// storeResults writes the results. With add it appends them to those that the file holds already.
 func storeResults(path string, file *result.File, add bool) error {
 	if add {
 		earlier, err := result.Read(path)
@@ -74,7 +75,7 @@
 	return scale.Store(path, file)
 }
 
-// labelled is the value given for a label, as LABEL=VALUE.
+// splitLabel splits the value LABEL=VALUE of a flag. The error names the flag.
 func splitLabel(flag, text string) (label, value string, err error) {
 	label, value, found := strings.Cut(text, "=")
 	if !found || label == "" || value == "" {
@@ -83,7 +84,7 @@
 	return label, value, nil
 }
 
-// scalePrograms gives the builds to measure, with the sections of their own files.
+// scalePrograms returns the builds to measure, with the sections of their own configuration files.
 func scalePrograms(programs, sections []string) (list []scale.Program, err error) {
 	for _, text := range programs {
 		label, path, err := splitLabel("program", text)
@@ -115,7 +116,7 @@
 	return list, nil
 }
 
-// revision is the one that this program was built from, as far as the build noted it.
+// revision returns the VCS revision that this program was built from; empty if the build did not record it.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/cobaltflow/scale_test.go
+++ b/cmd/cobaltflow/scale_test.go
@@ -10,7 +10,7 @@
 	"cobaltflow/internal/scale"
 )
 
-func TestScaleProgramsAreGivenByLabel(t *testing.T) {
+func TestScaleProgramsByLabel(t *testing.T) {
 	sections := filepath.Join(t.TempDir(), "own.json")
 	require.NoError(t, os.WriteFile(sections, []byte(`{"log":{}}`), 0o600))
 	list, err := scalePrograms([]string{"before=/a", "now=/b"}, []string{"now=" + sections})
@@ -23,7 +23,7 @@
 	require.Equal(t, selfLabel, list[0].Label)
 }
 
-func TestScaleProgramsThatCanNotBe(t *testing.T) {
+func TestScaleProgramsRefusesInvalidFlags(t *testing.T) {
 	for _, programs := range [][]string{{"/a"}, {"=/a"}, {"now="}} {
 		_, err := scalePrograms(programs, nil)
 		require.ErrorContains(t, err, "--program")
--- a/cmd/cobaltflow/serve.go
+++ b/cmd/cobaltflow/serve.go
@@ -13,14 +13,16 @@
 	"cobaltflow/internal/log"
 )
 
+// configLoader loads the configuration from the environment and the project's own file.
 type configLoader func() (*config.Config, error)
 
+// serveCommand runs the gateway until SIGTERM or SIGINT. SIGHUP reloads the configuration in all processes of the scheduler.
 func serveCommand(load configLoader) *cobra.Command {
 	return &cobra.Command{
 		Use: "serve", Short: "Run the gateway (the default)", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			ends := make(chan os.Signal, 2)
-			told := make(chan struct{}, 1) // another process of this scheduler was asked to reload
+			stops := make(chan os.Signal, 2)
+			reloads := make(chan struct{}, 1) // reloads that other processes of this scheduler requested
 			conf, err := load()
 			if err != nil {
 				return err
@@ -34,8 +36,8 @@
 			g := gateway.New(conf, logger)
 			g.OnReload(func() {
 				select {
-				case told <- struct{}{}:
-				default: // one that waits is enough
+				case reloads <- struct{}{}:
+				default: // a reload is pending already
 				}
 			})
 			if err := g.Start(); err != nil {
@@ -46,7 +48,7 @@
 					select {
 					case <-hangup.Received:
 						g.BroadcastReload()
-					case <-told:
+					case <-reloads:
 					}
 					if next, err := conf.Reload(os.Getenv); err != nil {
 						g.ReloadFailed(err)
@@ -55,9 +57,9 @@
 					}
 				}
 			}()
-			signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
+			signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
 			go func() {
-				for range ends {
+				for range stops {
 					g.Stop()
 				}
 			}()
--- a/cmd/cobaltflow/soak.go
+++ b/cmd/cobaltflow/soak.go
@@ -11,10 +11,11 @@
 	"cobaltflow/internal/fleet/soak"
 )
 
+// soakCommand plays scenarios generated from seeds and checks their outcomes.
 func soakCommand() *cobra.Command {
 	var o soak.Options
 	c := &cobra.Command{
-		Use: "soak", Short: "Play scenarios that are drawn from seeds, with several faults at once, and judge them", Args: cobra.NoArgs,
+		Use: "soak", Short: "Play scenarios generated from seeds, with several faults at once, and check the outcomes", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -40,11 +41,11 @@
 			return err
 		},
 	}
-	c.Flags().StringVar(&o.Binary, "binary", "", "the `program` to play; this one where absent")
+	c.Flags().StringVar(&o.Binary, "binary", "", "the `program` to run; default: this one")
 	c.Flags().Uint64Var(&o.From, "from", 1, "first `seed`")
-	c.Flags().IntVar(&o.Seeds, "seeds", 50, "how `many` seeds to play")
-	c.Flags().IntVar(&o.AtOnce, "at-once", 1, "how `many` runs side by side")
-	c.Flags().StringVar(&o.Dir, "out", "", "`directory` for records and logs of runs that break a rule; none are kept where absent")
-	c.Flags().BoolVar(&o.Reduce, "reduce", false, "cut the schedule of a seed that breaks a rule down to the least that still does")
+	c.Flags().IntVar(&o.Seeds, "seeds", 50, "`number` of seeds to run")
+	c.Flags().IntVar(&o.AtOnce, "at-once", 1, "`number` of concurrent runs")
+	c.Flags().StringVar(&o.Dir, "out", "", "`directory` for records and logs of runs that break a rule; default: none are kept")
+	c.Flags().BoolVar(&o.Reduce, "reduce", false, "reduce the schedule of a seed that breaks a rule to a minimal one that still breaks it")
 	return c
 }
--- a/cmd/cobaltflow/upgrade_directives_test.go
+++ b/cmd/cobaltflow/upgrade_directives_test.go
@@ -16,200 +16,199 @@
 	"cobaltflow/internal/procfs"
 )
 
-// attemptsAfter is how many attempts each process makes, after a call, for a worker that is out to be seen to get none.
-const attemptsAfter = 60
+// attemptsPerProcess is the number of attempts that each process makes after a directive changed, to show its effect.
+const attemptsPerProcess = 60
 
 func (i *instance) enable(worker string) int {
-	return i.call("POST", "/-/table-workers/"+worker+"/enable")
+	return i.sendAdmin("POST", "/-/table-workers/"+worker+"/enable")
 }
 
-// answersOfReadiness asks for readiness at the clients' address, each time on a connection of its own, which the kernel
-// gives to either process, and counts the answers with yes.
-func (rig *upgradeRig) answersOfReadiness(times int) (yes int) {
+// countReady probes the clients' address the given number of times, each on a connection of its own, which the kernel gives
+// to either process, and returns how many responses are ready.
+func (h *upgradeHarness) countReady(times int) (ready int) {
 	for range times {
-		if ready(rig.listen) {
-			yes++
+		if isReady(h.listen) {
+			ready++
 		}
 	}
-	return yes
+	return ready
 }
 
-// keepsOut has the processes send jobs and holds that none came to a worker later than the grace after the yes.
-func (rig *upgradeRig) keepsOut(worker int, yes time.Time, by ...*instance) {
-	rig.t.Helper()
-	rig.sendUntil(func() bool { return time.Since(yes) > drainGrace })
-	rig.sends(attemptsAfter, by...)
-	assert.Zero(rig.t, rig.workers[worker].after(yes.Add(drainGrace)), "jobs came to %s", rig.workers[worker].Name)
+// assertNoJobs has the processes send jobs and checks that a worker got none later than drainGrace after its disable was
+// confirmed.
+func (h *upgradeHarness) assertNoJobs(worker int, confirmed time.Time, by ...*instance) {
+	h.t.Helper()
+	h.sendUntil(func() bool { return time.Since(confirmed) > drainGrace })
+	h.sendAttempts(attemptsPerProcess, by...)
+	assert.Zero(h.t, h.workers[worker].jobsAfter(confirmed.Add(drainGrace)), "%s got jobs", h.workers[worker].Name)
 }
 
-func TestWhatEitherProcessIsToldIsInForceInBoth(t *testing.T) {
+func TestDirectiveOfOneProcessIsInForceInBoth(t *testing.T) {
 	t.Run("disable at the new process, while both serve", func(t *testing.T) {
-		rig := newUpgradeRig(t, "s-1", "s-2")
-		old, fresh := rig.start(), rig.start()
-		rig.sends(4, old, fresh)
+		h := newUpgradeHarness(t, "s-1", "s-2")
+		old, fresh := h.start(), h.start()
+		h.sendAttempts(4, old, fresh)
 		require.Equal(t, 200, fresh.disable("s-1"))
-		rig.keepsOut(0, time.Now(), old, fresh)
+		h.assertNoJobs(0, time.Now(), old, fresh)
 	})
 	t.Run("disable at the old process once the new one is ready, and after it has ended", func(t *testing.T) {
-		rig := newUpgradeRig(t, "s-1", "s-2")
-		old, fresh := rig.start(), rig.start()
-		rig.sends(4, old, fresh)
+		h := newUpgradeHarness(t, "s-1", "s-2")
+		old, fresh := h.start(), h.start()
+		h.sendAttempts(4, old, fresh)
 		require.Equal(t, 200, old.disable("s-1"))
-		yes := time.Now()
-		rig.keepsOut(0, yes, old, fresh)
+		confirmed := time.Now()
+		h.assertNoJobs(0, confirmed, old, fresh)
 		old.terminate()
 		old.cmd.Wait()
-		rig.keepsOut(0, yes, fresh)
+		h.assertNoJobs(0, confirmed, fresh)
 	})
 	t.Run("one worker at the old process, another at the new one, then a third process", func(t *testing.T) {
-		rig := newUpgradeRig(t, "s-1", "s-2", "s-3")
-		old, fresh := rig.start(), rig.start()
+		h := newUpgradeHarness(t, "s-1", "s-2", "s-3")
+		old, fresh := h.start(), h.start()
 		require.Equal(t, 200, old.disable("s-1"))
 		require.Equal(t, 200, fresh.disable("s-2"))
-		yes := time.Now()
+		confirmed := time.Now()
 		old.terminate()
 		old.cmd.Wait()
-		third := rig.start()
+		third := h.start()
 		fresh.terminate()
 		fresh.cmd.Wait()
-		rig.keepsOut(0, yes, third)
-		rig.keepsOut(1, yes, third)
+		h.assertNoJobs(0, confirmed, third)
+		h.assertNoJobs(1, confirmed, third)
 	})
 	t.Run("disable at the old process, enable at the new one, then a third process", func(t *testing.T) {
-		rig := newUpgradeRig(t, "s-1", "s-2")
-		old, fresh := rig.start(), rig.start()
+		h := newUpgradeHarness(t, "s-1", "s-2")
+		old, fresh := h.start(), h.start()
 		require.Equal(t, 200, old.disable("s-1"))
 		require.Equal(t, 200, fresh.enable("s-1"))
-		back := time.Now()
+		enabled := time.Now()
 		old.terminate()
 		old.cmd.Wait()
-		third := rig.start()
+		third := h.start()
 		fresh.terminate()
 		fresh.cmd.Wait()
-		rig.sends(attemptsAfter, third)
-		assert.NotZero(t, rig.workers[0].after(back), "the operator's last word was yes")
+		h.sendAttempts(attemptsPerProcess, third)
+		assert.NotZero(t, h.workers[0].jobsAfter(enabled), "the worker was enabled last")
 	})
-	t.Run("disable, yes, a kill at once, and a new start", func(t *testing.T) {
-		rig := newUpgradeRig(t, "s-1", "s-2")
-		only := rig.start()
+	t.Run("disable, a kill right after the confirmation, and a restart", func(t *testing.T) {
+		h := newUpgradeHarness(t, "s-1", "s-2")
+		only := h.start()
 		for range 5 {
 			require.Equal(t, 200, only.disable("s-1"))
-			yes := time.Now()
+			confirmed := time.Now()
 			only.kill()
-			only = rig.start()
-			rig.keepsOut(0, yes, only)
+			only = h.start()
+			h.assertNoJobs(0, confirmed, only)
 			require.Equal(t, 200, only.enable("s-1"))
 		}
 	})
-	t.Run("the folder is away while disable is called", func(t *testing.T) {
-		rig := newUpgradeRig(t, "s-1", "s-2")
-		only := rig.start()
+	t.Run("the directory is missing during a disable", func(t *testing.T) {
+		h := newUpgradeHarness(t, "s-1", "s-2")
+		only := h.start()
 		away := filepath.Join(t.TempDir(), "away")
-		require.NoError(t, os.Rename(rig.state, away))
-		called := time.Now()
-		require.Equal(t, 503, only.disable("s-1"), "nothing that a kill would lose is answered with yes")
-		rig.keepsOut(0, called.Add(time.Second), only)
-		require.NoError(t, os.Rename(away, rig.state))
-		until(t, func() bool { return only.logged("directory available again") })
+		require.NoError(t, os.Rename(h.stateDir, away))
+		requested := time.Now()
+		require.Equal(t, 503, only.disable("s-1"), "a change that a crash would lose must not be confirmed")
+		h.assertNoJobs(0, requested.Add(time.Second), only)
+		require.NoError(t, os.Rename(away, h.stateDir))
+		eventually(t, func() bool { return only.logged("directory available again") })
 		require.Equal(t, 200, only.disable("s-1"))
-		yes := time.Now()
+		confirmed := time.Now()
 		only.kill()
-		rig.keepsOut(0, yes, rig.start())
+		h.assertNoJobs(0, confirmed, h.start())
 	})
 	t.Run("drain at the old process, resume at the new one", func(t *testing.T) {
 		const times = 20
-		rig := newUpgradeRig(t, "s-1")
-		old, fresh := rig.start(), rig.start()
-		require.Equal(t, 200, old.call("POST", "/-/drain"))
-		assert.Zero(t, rig.answersOfReadiness(times), "readiness after a drain")
-		require.Equal(t, 200, fresh.call("POST", "/-/resume"))
-		assert.Equal(t, times, rig.answersOfReadiness(times), "readiness after the call back")
+		h := newUpgradeHarness(t, "s-1")
+		old, fresh := h.start(), h.start()
+		require.Equal(t, 200, old.sendAdmin("POST", "/-/drain"))
+		assert.Zero(t, h.countReady(times), "readiness after a drain")
+		require.Equal(t, 200, fresh.sendAdmin("POST", "/-/resume"))
+		assert.Equal(t, times, h.countReady(times), "readiness after the resume")
 	})
 	t.Run("drain, then an upgrade", func(t *testing.T) {
-		rig := newUpgradeRig(t, "s-1")
-		old := rig.start()
-		require.Equal(t, 200, old.call("POST", "/-/drain"))
-		fresh := rig.launch()
-		until(t, func() bool { return fresh.call("GET", "/-/ready") != 0 })
-		until(t, func() bool { return fresh.logged("admin: serves") })
-		assert.Zero(t, rig.answersOfReadiness(20), "readiness after a drain")
+		h := newUpgradeHarness(t, "s-1")
+		old := h.start()
+		require.Equal(t, 200, old.sendAdmin("POST", "/-/drain"))
+		fresh := h.launch()
+		eventually(t, func() bool { return fresh.sendAdmin("GET", "/-/ready") != 0 })
+		eventually(t, func() bool { return fresh.logged("admin: serves") })
+		assert.Zero(t, h.countReady(20), "readiness after a drain")
 		old.terminate()
 		old.cmd.Wait()
-		assert.Equal(t, 503, fresh.call("GET", "/-/ready"))
-		require.Equal(t, 200, fresh.call("POST", "/-/resume"))
-		assert.Equal(t, 200, fresh.call("GET", "/-/ready"))
+		assert.Equal(t, 503, fresh.sendAdmin("GET", "/-/ready"))
+		require.Equal(t, 200, fresh.sendAdmin("POST", "/-/resume"))
+		assert.Equal(t, 200, fresh.sendAdmin("GET", "/-/ready"))
 	})
 	t.Run("resume while the old process ends", func(t *testing.T) {
-		rig := newUpgradeRig(t, "s-1")
-		old, fresh := rig.start(), rig.start()
-		require.Equal(t, 200, old.call("POST", "/-/drain"))
+		h := newUpgradeHarness(t, "s-1")
+		old, fresh := h.start(), h.start()
+		require.Equal(t, 200, old.sendAdmin("POST", "/-/drain"))
 		old.terminate()
-		until(t, func() bool { return old.logged("a successor serves") })
-		require.Equal(t, 200, fresh.call("POST", "/-/resume"))
-		assert.Equal(t, 503, old.call("GET", "/-/ready"), "the old process takes no clients again")
-		assert.Equal(t, 200, fresh.call("GET", "/-/ready"))
+		eventually(t, func() bool { return old.logged("a successor serves") })
+		require.Equal(t, 200, fresh.sendAdmin("POST", "/-/resume"))
+		assert.Equal(t, 503, old.sendAdmin("GET", "/-/ready"), "the old process must not accept clients again")
+		assert.Equal(t, 200, fresh.sendAdmin("GET", "/-/ready"))
 	})
 }
 
-// A process that is started while the folder is away sends nothing to a worker that is out by hand.
+// A process that starts while the directory is missing sends no job to a disabled worker.
 //
-// Seen: seed 3005 of the soak. Workers had been taken out with yes, the folder was away for a second, and an upgrade began
-// meanwhile. The new processes sent jobs to those workers as soon as they listened, a second after the yes.
-// Cause: a process that could not read the folder served at once, with no directive in force.
-// Proof: the log of the play has "serves ... generation=00000000" and no "in force from the start" at 54.979 s, the first
-// job to the worker after it, and "taken over" only at 55.445 s, when the folder was back.
-func TestAProcessThatStartsWithoutTheFolderSendsNothingToAWorkerThatIsOut(t *testing.T) {
-	const away = 6 * drainGrace
+// Guards against a fault found by soak seed 3005: an upgrade began while the directory was missing for 1 s. The new processes
+// could not read it, listened at once without any directive (generation=00000000 in the log), and sent jobs to disabled
+// workers until the directory was back, about 0.5 s later.
+func TestProcessStartedWithoutTheDirectorySendsNoJobToADisabledWorker(t *testing.T) {
+	const missingFor = 6 * drainGrace
 	t.Run("beside the old process", func(t *testing.T) {
-		rig := newUpgradeRig(t, "s-1", "s-2")
-		old := rig.start()
+		h := newUpgradeHarness(t, "s-1", "s-2")
+		old := h.start()
 		require.Equal(t, 200, old.disable("s-1"))
-		yes := time.Now()
-		back := rig.moveStateAway()
-		fresh := rig.launch()
-		rig.sendUntil(func() bool { return time.Since(yes) > away })
-		back()
-		until(t, func() bool { return fresh.call("GET", "/-/ready") == 200 })
-		rig.keepsOut(0, yes, old, fresh)
-		assert.NotZero(t, rig.workers[1].after(yes), "clients were served meanwhile")
+		confirmed := time.Now()
+		restore := h.hideStateDir()
+		fresh := h.launch()
+		h.sendUntil(func() bool { return time.Since(confirmed) > missingFor })
+		restore()
+		eventually(t, func() bool { return fresh.sendAdmin("GET", "/-/ready") == 200 })
+		h.assertNoJobs(0, confirmed, old, fresh)
+		assert.NotZero(t, h.workers[1].jobsAfter(confirmed), "clients are served meanwhile")
 	})
 	t.Run("alone, after a kill", func(t *testing.T) {
-		rig := newUpgradeRig(t, "s-1", "s-2")
-		old := rig.start()
+		h := newUpgradeHarness(t, "s-1", "s-2")
+		old := h.start()
 		require.Equal(t, 200, old.disable("s-1"))
-		yes := time.Now()
+		confirmed := time.Now()
 		old.kill()
-		back := rig.moveStateAway()
-		fresh := rig.launch()
-		rig.sendUntil(func() bool { return time.Since(yes) > away })
-		back()
-		until(t, func() bool { return fresh.call("GET", "/-/ready") == 200 })
-		rig.keepsOut(0, yes, fresh)
+		restore := h.hideStateDir()
+		fresh := h.launch()
+		h.sendUntil(func() bool { return time.Since(confirmed) > missingFor })
+		restore()
+		eventually(t, func() bool { return fresh.sendAdmin("GET", "/-/ready") == 200 })
+		h.assertNoJobs(0, confirmed, fresh)
 	})
 }
 
-// Callbacks reach the process that has their job, whichever process the kernel gives them to, through upgrades that follow
-// one another. Until two processes know of each other, for 50 ms at most, a callback is refused and repeated.
-func TestCallbacksReachTheirProcessThroughUpgrades(t *testing.T) {
+// Callbacks reach the process that has their job, whichever process the kernel gives them to, during consecutive upgrades.
+// Until two processes know of each other, for at most 50 ms, a callback is refused and has to be repeated.
+func TestCallbacksReachTheirProcessDuringUpgrades(t *testing.T) {
 	jobs := 1500
-	if more, err := strconv.Atoi(os.Getenv("CALLBACKS")); err == nil {
-		jobs = more
+	if override, err := strconv.Atoi(os.Getenv("CALLBACKS")); err == nil {
+		jobs = override
 	}
-	rig := newUpgradeRig(t, "s-1", "s-2")
-	rig.calls = 10 // the protocol's
-	old := rig.start()
-	for rig.jobs.Load() < int64(jobs) {
-		fresh := rig.start()
-		rig.sends(jobs/16, old, fresh)
+	h := newUpgradeHarness(t, "s-1", "s-2")
+	h.callbackAttempts = 10 // as in the protocol
+	old := h.start()
+	for h.jobsSent.Load() < int64(jobs) {
+		fresh := h.start()
+		h.sendAttempts(jobs/16, old, fresh)
 		old.terminate()
-		gone := make(chan struct{})
+		ended := make(chan struct{})
 		go func() {
 			old.cmd.Wait()
-			close(gone)
+			close(ended)
 		}()
-		rig.sendUntil(func() bool {
+		h.sendUntil(func() bool {
 			select {
-			case <-gone:
+			case <-ended:
 				return true
 			default:
 				return false
@@ -217,135 +216,135 @@
 		})
 		old = fresh
 	}
-	t.Log("jobs", rig.jobs.Load(), "refused", rig.refused.Load(), "lost", rig.lost.Load())
-	assert.Zero(t, rig.lost.Load(), "callbacks that nobody took")
+	t.Log("jobs", h.jobsSent.Load(), "refused", h.refusedCallbacks.Load(), "lost", h.lostCallbacks.Load())
+	assert.Zero(t, h.lostCallbacks.Load(), "callbacks that no process accepted")
 }
 
-// moveStateAway has the folder be away until the function that it gives is called.
-func (rig *upgradeRig) moveStateAway() (back func()) {
-	away := filepath.Join(rig.t.TempDir(), "away")
-	require.NoError(rig.t, os.Rename(rig.state, away))
-	return func() { require.NoError(rig.t, os.Rename(away, rig.state)) }
+// hideStateDir moves the state directory away until restore is called.
+func (h *upgradeHarness) hideStateDir() (restore func()) {
+	away := filepath.Join(h.t.TempDir(), "away")
+	require.NoError(h.t, os.Rename(h.stateDir, away))
+	return func() { require.NoError(h.t, os.Rename(away, h.stateDir)) }
 }
 
-// A folder that stays away is no reason not to serve.
-func TestAProcessServesWithoutTheFolder(t *testing.T) {
-	rig := newUpgradeRig(t, "s-1")
-	back := rig.moveStateAway()
-	defer back()
-	only := rig.start()
-	rig.sends(4, only)
+// A process serves even if the directory stays missing.
+func TestProcessServesWithoutTheDirectory(t *testing.T) {
+	h := newUpgradeHarness(t, "s-1")
+	restore := h.hideStateDir()
+	defer restore()
+	only := h.start()
+	h.sendAttempts(4, only)
 	assert.Equal(t, 503, only.disable("s-1"))
 }
 
-// A second upgrade begins before the first has ended: each of three processes keeps to what any of them is told.
-func TestASecondUpgradeBeforeTheFirstHasEnded(t *testing.T) {
-	rig := newUpgradeRig(t, "s-1", "s-2", "s-3", "s-4")
-	all := []*instance{rig.start(), rig.start(), rig.start()}
+// A second upgrade begins before the first has ended: the directives of each of the three processes are in force in all.
+func TestSecondUpgradeBeforeTheFirstHasEnded(t *testing.T) {
+	h := newUpgradeHarness(t, "s-1", "s-2", "s-3", "s-4")
+	all := []*instance{h.start(), h.start(), h.start()}
 	all[0].terminate()
-	until(t, func() bool { return all[0].logged("a successor serves") })
+	eventually(t, func() bool { return all[0].logged("a successor serves") })
 	for i, process := range all {
-		require.Equal(t, 200, process.disable(rig.workers[i].Name))
+		require.Equal(t, 200, process.disable(h.workers[i].Name))
 	}
-	yes := time.Now()
+	confirmed := time.Now()
 	all[1].terminate()
-	until(t, func() bool { return all[1].logged("a successor serves") })
+	eventually(t, func() bool { return all[1].logged("a successor serves") })
 	for i := range all {
-		rig.keepsOut(i, yes, all[2])
+		h.assertNoJobs(i, confirmed, all[2])
 	}
 	require.Equal(t, 200, all[2].enable("s-1"))
-	back := time.Now()
-	rig.sends(attemptsAfter, all[2])
-	assert.NotZero(t, rig.workers[0].after(back))
+	enabled := time.Now()
+	h.sendAttempts(attemptsPerProcess, all[2])
+	assert.NotZero(t, h.workers[0].jobsAfter(enabled))
 }
 
-// A process that its successor's start has failed for ends as one without a successor.
-func TestAProcessThatCannotServeIsNoSuccessor(t *testing.T) {
-	rig := newUpgradeRig(t, "s-1")
-	old := rig.start()
-	failed := rig.launchAt(old.admin + "0") // no address
+// A process whose successor failed to start shuts down like one without a successor.
+func TestProcessThatCannotServeIsNoSuccessor(t *testing.T) {
+	h := newUpgradeHarness(t, "s-1")
+	old := h.start()
+	failed := h.launchAt(old.admin + "0") // invalid address
 	failed.cmd.Wait()
 	old.terminate()
 	old.cmd.Wait()
 	assert.False(t, old.logged("a successor serves"))
 }
 
-// Workers out by hand that an older version of the program kept, a name a line, stay out; once taken over they can be
-// called back for good.
-func TestWhatAnOlderVersionKeptIsTakenOver(t *testing.T) {
-	rig := newUpgradeRig(t, "s-1", "s-2")
-	kept := filepath.Join(rig.state, "cobaltflow-held-n1-"+fileName(rig.listen))
-	require.NoError(t, os.WriteFile(kept, []byte("s-1\n"), 0o600))
-	only := rig.start()
-	rig.keepsOut(0, time.Now().Add(-drainGrace), only)
+// Disabled workers that an older version of the program stored, one name a line, stay disabled. Once imported they can be
+// enabled, which persists.
+func TestDirectivesOfAnOlderVersionAreImported(t *testing.T) {
+	h := newUpgradeHarness(t, "s-1", "s-2")
+	legacyFile := filepath.Join(h.stateDir, "cobaltflow-held-n1-"+fileName(h.listen))
+	require.NoError(t, os.WriteFile(legacyFile, []byte("s-1\n"), 0o600))
+	only := h.start()
+	h.assertNoJobs(0, time.Now().Add(-drainGrace), only)
 	require.Equal(t, 200, only.enable("s-1"))
-	back := time.Now()
+	enabled := time.Now()
 	only.kill()
-	only = rig.start()
-	rig.sends(attemptsAfter, only)
-	assert.NotZero(t, rig.workers[0].after(back))
+	only = h.start()
+	h.sendAttempts(attemptsPerProcess, only)
+	assert.NotZero(t, h.workers[0].jobsAfter(enabled))
 }
 
-// descriptors is how many the process holds; 0: it has ended.
+// descriptors returns the number of open file descriptors of the process; 0: it has ended.
 func (i *instance) descriptors() int {
 	n, _ := procfs.Descriptors(i.cmd.Process.Pid)
 	return n
 }
 
-// Two processes of a scheduler count as one for the limit on descriptors: beside its successor each keeps to a part, however many
-// idle clients crowd in, and alone again it may use the whole.
-func TestTwoProcessesTogetherKeepToTheLimitOnDescriptors(t *testing.T) {
-	rig := newUpgradeRig(t, "s-1")
-	old := rig.start()
-	leave := crowd(t, rig.listen)
-	until(t, func() bool { return old.descriptors() > sockets/2 })
+// The processes of a scheduler share its limit on descriptors. With a successor each keeps to a part of it, however many idle
+// clients connect; alone again a process may use the whole.
+func TestTwoProcessesShareTheLimitOnDescriptors(t *testing.T) {
+	h := newUpgradeHarness(t, "s-1")
+	old := h.start()
+	disconnect := connectIdleClients(t, h.listen)
+	eventually(t, func() bool { return old.descriptors() > maxSockets/2 })
 	alone := old.descriptors()
-	fresh := rig.start()
-	until(t, func() bool { return old.logged("alive=1") && old.descriptors()+fresh.descriptors() <= sockets })
+	fresh := h.start()
+	eventually(t, func() bool { return old.logged("alive=1") && old.descriptors()+fresh.descriptors() <= maxSockets })
 	for range 50 {
-		assert.LessOrEqual(t, old.descriptors()+fresh.descriptors(), sockets)
-		require.Equal(t, 200, fresh.call("GET", "/-/ready"))
+		assert.LessOrEqual(t, old.descriptors()+fresh.descriptors(), maxSockets)
+		require.Equal(t, 200, fresh.sendAdmin("GET", "/-/ready"))
 	}
 	old.kill()
-	until(t, func() bool { return fresh.descriptors() >= alone*9/10 })
-	assert.LessOrEqual(t, fresh.descriptors(), sockets)
-	leave()
+	eventually(t, func() bool { return fresh.descriptors() >= alone*9/10 })
+	assert.LessOrEqual(t, fresh.descriptors(), maxSockets)
+	disconnect()
 }
 
-// A SIGHUP to one process of a scheduler has the others read their configuration again too, once each.
-func TestAReloadAtOneProcessIsOneAtBoth(t *testing.T) {
-	rig := newUpgradeRig(t, "s-1")
-	all := []*instance{rig.start(), rig.start()}
+// SIGHUP to one process of a scheduler makes the others reload their configuration too, once each.
+func TestReloadInOneProcessReloadsAll(t *testing.T) {
+	h := newUpgradeHarness(t, "s-1")
+	all := []*instance{h.start(), h.start()}
 	const reloaded = "reload: taken over"
 	for i, process := range all {
 		require.NoError(t, process.cmd.Process.Signal(syscall.SIGHUP))
-		until(t, func() bool { return all[0].times(reloaded) == i+1 && all[1].times(reloaded) == i+1 })
+		eventually(t, func() bool { return all[0].countLogged(reloaded) == i+1 && all[1].countLogged(reloaded) == i+1 })
 	}
-	require.Equal(t, 200, all[0].disable("s-1"), "all that was told before has come round")
+	require.Equal(t, 200, all[0].disable("s-1"), "the earlier changes have reached both processes")
 	for _, process := range all {
-		assert.Equal(t, 2, process.times(reloaded))
+		assert.Equal(t, 2, process.countLogged(reloaded))
 	}
-	third := rig.start()
-	assert.Zero(t, third.times(reloaded))
+	third := h.start()
+	assert.Zero(t, third.countLogged(reloaded))
 }
 
-// A process that gets SIGHUP before it has read its configuration goes on.
-func TestSIGHUPWhileAProcessStarts(t *testing.T) {
-	rig := newUpgradeRig(t, "s-1")
+// A process survives SIGHUP before it has read its configuration.
+func TestSIGHUPDuringStart(t *testing.T) {
+	h := newUpgradeHarness(t, "s-1")
 	var all []*instance
 	for range 10 {
-		i := rig.launch()
-		untilAtOnce(t, i.bearsSIGHUP)
+		i := h.launch()
+		busyWait(t, i.handlesSIGHUP)
 		require.NoError(t, i.cmd.Process.Signal(syscall.SIGHUP))
 		all = append(all, i)
 	}
 	for _, i := range all {
-		until(t, func() bool { return i.call("GET", "/-/ready") == 200 })
+		eventually(t, func() bool { return i.sendAdmin("GET", "/-/ready") == 200 })
 	}
 }
 
-// bearsSIGHUP tells whether the process, and no longer its shell, ignores the signal or has a handler for it.
-func (i *instance) bearsSIGHUP() bool {
+// handlesSIGHUP reports whether the process has replaced its shell, and ignores or handles the signal.
+func (i *instance) handlesSIGHUP() bool {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", i.cmd.Process.Pid))
 	if err != nil || !strings.HasPrefix(string(status), "Name:\tcobaltflow\n") {
 		return false
@@ -361,9 +360,9 @@
 	return false
 }
 
-// untilAtOnce waits for a condition without a pause between looks.
-func untilAtOnce(t *testing.T, f func() bool) {
-	for end := time.Now().Add(patience); !f(); {
-		require.True(t, time.Now().Before(end), "the condition never came true")
+// busyWait waits for a condition without a pause between checks.
+func busyWait(t *testing.T, f func() bool) {
+	for end := time.Now().Add(testTimeout); !f(); {
+		require.True(t, time.Now().Before(end), "the condition did not become true")
 	}
 }
--- a/cmd/cobaltflow/upgrade_test.go
+++ b/cmd/cobaltflow/upgrade_test.go
@@ -21,25 +21,25 @@
 	"cobaltflow/internal/standin"
 )
 
-// drainGrace is the settings' grace of these tests: a worker that was taken out may be sent work for so long.
+// drainGrace is the drain grace set in these tests: a disabled worker may be sent jobs for that long.
 const drainGrace = 250 * time.Millisecond
 
-// sockets is the settings' limit on descriptors, for all processes of the scheduler together.
-const sockets = 160
-
-// upgradeRig is one scheduler as an operator sees it during upgrades: processes that share the clients' address and a
-// state folder, each with an operators' address of its own, and table workers that note when each job came.
-type upgradeRig struct {
-	t         *testing.T
-	binary    string
-	listen    string
-	discovery string
-	state     string // $TMPDIR of all processes
-	workers   []*jobRecorder
-	jobs      atomic.Int64
-	refused   atomic.Int64 // callbacks that a process answered with 503
-	lost      atomic.Int64 // callbacks that nobody took in all their tries
-	calls     int          // tries of a callback; 0: mostCalls
+// maxSockets is the configured limit on descriptors, for all processes of the scheduler together.
+const maxSockets = 160
+
+// upgradeHarness is one scheduler during upgrades: processes that share the clients' address and a state directory, each with
+// an admin address of its own, and table workers that record when each job arrived.
+type upgradeHarness struct {
+	t                *testing.T
+	binary           string
+	listen           string
+	discovery        string
+	stateDir         string // TMPDIR of all processes
+	workers          []*jobRecorder
+	jobsSent         atomic.Int64
+	refusedCallbacks atomic.Int64 // callbacks that a process refused, with 503
+	lostCallbacks    atomic.Int64 // callbacks that no process accepted in all their attempts
+	callbackAttempts int          // per callback; 0: defaultAttempts
 }
 
 // instance is one process of the scheduler.
@@ -48,57 +48,58 @@
 	admin string
 }
 
-// jobRecorder is a table worker that does every job at once, and notes when it came.
+// jobRecorder is a table worker that completes every job at once and records when it arrived.
 type jobRecorder struct {
 	*standin.Worker
-	mu   sync.Mutex
-	came []time.Time
+	mu         sync.Mutex
+	receivedAt []time.Time
 }
 
-func (w *jobRecorder) after(at time.Time) (jobs int) {
+// jobsAfter returns the number of jobs that arrived after a time.
+func (w *jobRecorder) jobsAfter(at time.Time) (jobs int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, came := range w.came {
-		if came.After(at) {
+	for _, receivedAt := range w.receivedAt {
+		if receivedAt.After(at) {
 			jobs++
 		}
 	}
 	return jobs
 }
 
-func newUpgradeRig(t *testing.T, workers ...string) *upgradeRig {
-	rig := &upgradeRig{t: t, binary: build(t), listen: freeAddress(t), discovery: freeAddress(t), state: t.TempDir()}
+func newUpgradeHarness(t *testing.T, workers ...string) *upgradeHarness {
+	h := &upgradeHarness{t: t, binary: build(t), listen: freeAddress(t), discovery: freeAddress(t), stateDir: t.TempDir()}
 	var list []map[string]any
 	for _, name := range workers {
 		w := &jobRecorder{}
 		w.Worker = standin.NewWorker(t, name, func(worker *standin.Worker, id string, rw http.ResponseWriter, _ *http.Request) {
 			w.mu.Lock()
-			w.came = append(w.came, time.Now())
+			w.receivedAt = append(w.receivedAt, time.Now())
 			w.mu.Unlock()
 			rw.WriteHeader(202)
-			go rig.callBack(worker.Name, id)
+			go h.sendCallback(worker.Name, id)
 		})
-		rig.workers = append(rig.workers, w)
+		h.workers = append(h.workers, w)
 		list = append(list, w.Entry("up"))
 	}
 	text, err := json.Marshal(map[string]any{"index": 1, "snapshot": true, "endpoints": list})
 	require.NoError(t, err)
-	targets := calls(t, rig.discovery, string(text))
+	targets := serveDiscovery(t, h.discovery, string(text))
 	go func() {
 		for range targets {
 		}
 	}()
-	return rig
+	return h
 }
 
-// callBack tells the scheduler that a job is done, on new connections until the process that has the job takes it.
-func (rig *upgradeRig) callBack(worker, id string) {
-	const mostCalls = 64 // each meets the other process as often as not
-	tries := cmp.Or(rig.calls, mostCalls)
+// sendCallback reports a job as done, each attempt on a new connection, until the process that has the job accepts it.
+func (h *upgradeHarness) sendCallback(worker, id string) {
+	const defaultAttempts = 64 // the kernel gives each attempt to either process
+	attempts := cmp.Or(h.callbackAttempts, defaultAttempts)
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-	for range tries {
+	for range attempts {
 		body := fmt.Sprintf(`{"id":%q,"from":%q,"state":"done","result":"ok"}`, id, worker)
-		r, err := client.Post("http://"+rig.listen+"/v1/job-events", "application/json", strings.NewReader(body))
+		r, err := client.Post("http://"+h.listen+"/v1/job-events", "application/json", strings.NewReader(body))
 		if err != nil {
 			continue
 		}
@@ -106,37 +107,37 @@
 		if r.StatusCode == 200 || r.StatusCode == 204 {
 			return
 		}
-		rig.refused.Add(1)
+		h.refusedCallbacks.Add(1)
 	}
-	rig.lost.Add(1)
+	h.lostCallbacks.Add(1)
 }
 
-// start starts a process of the scheduler and waits until it says at its operators' address that it is ready.
-func (rig *upgradeRig) start() *instance {
-	i := rig.launch()
-	until(rig.t, func() bool { return i.call("GET", "/-/ready") == 200 })
+// start starts a process of the scheduler and waits until it is ready at its admin address.
+func (h *upgradeHarness) start() *instance {
+	i := h.launch()
+	eventually(h.t, func() bool { return i.sendAdmin("GET", "/-/ready") == 200 })
 	return i
 }
 
-// launch starts a process of the scheduler.
-func (rig *upgradeRig) launch() *instance { return rig.launchAt(freeAddress(rig.t)) }
+// launch starts a process of the scheduler without waiting.
+func (h *upgradeHarness) launch() *instance { return h.launchAt(freeAddress(h.t)) }
 
-// launchAt starts a process of the scheduler with that operators' address.
-func (rig *upgradeRig) launchAt(admin string) *instance {
-	program := &program{t: rig.t, binary: rig.binary, limit: 1024, conf: filepath.Join(rig.t.TempDir(), "config.json")}
+// launchAt is launch with the given admin address.
+func (h *upgradeHarness) launchAt(admin string) *instance {
+	program := &program{t: h.t, binary: h.binary, limit: 1024, conf: filepath.Join(h.t.TempDir(), "config.json")}
 	i := &instance{program: program, admin: admin}
-	i.env = []string{"TMPDIR=" + rig.state}
-	require.NoError(rig.t, os.WriteFile(i.conf, fmt.Appendf(nil, `{"name":"n1","listen":%q,"discovery":%q,"admin":%q,
+	i.env = []string{"TMPDIR=" + h.stateDir}
+	require.NoError(h.t, os.WriteFile(i.conf, fmt.Appendf(nil, `{"name":"n1","listen":%q,"discovery":%q,"admin":%q,
 		"limits":{"sockets":%d},"known":{"index":0,"snapshot":true,"endpoints":[]},
 		"settings":{"discovery":"push","groupSize":1,"rules":{"drainGraceUs":%d},
 		"classes":[{"name":"move","effect":"once","deadlineUs":10000000}]}}`,
-		rig.listen, rig.discovery, i.admin, sockets, drainGrace.Microseconds()), 0o600))
+		h.listen, h.discovery, i.admin, maxSockets, drainGrace.Microseconds()), 0o600))
 	i.program.start()
 	return i
 }
 
-// call makes an operator's call and gives its status; 0: there was no answer within the second that a caller waits.
-func (i *instance) call(method, path string) int {
+// sendAdmin sends an admin request and returns its status, or 0 if there is no response within a second.
+func (i *instance) sendAdmin(method, path string) int {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	q, _ := http.NewRequest(method, "http://"+i.admin+path, nil)
 	r, err := client.Do(q)
@@ -148,10 +149,10 @@
 }
 
 func (i *instance) disable(worker string) int {
-	return i.call("POST", "/-/table-workers/"+worker+"/disable")
+	return i.sendAdmin("POST", "/-/table-workers/"+worker+"/disable")
 }
 
-// relayed is the process's own count of the attempts that it wrote to workers.
+// relayed returns the process's own count of attempts written to workers.
 func (i *instance) relayed() (n int) {
 	r, err := http.Get("http://" + i.admin + "/-/metrics")
 	if err != nil {
@@ -165,16 +166,16 @@
 	return n
 }
 
-// sendUntil has clients send jobs at the clients' address, each on a connection of its own, until stop says so.
-func (rig *upgradeRig) sendUntil(stop func() bool) {
+// sendUntil sends jobs to the clients' address, each on a connection of its own, until stop returns true.
+func (h *upgradeHarness) sendUntil(stop func() bool) {
 	const clients = 8
 	var all sync.WaitGroup
 	for range clients {
 		all.Go(func() {
-			client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+			client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 			for !stop() {
-				n := rig.jobs.Add(1)
-				q, _ := http.NewRequest("POST", fmt.Sprintf("http://%s/move/k%d", rig.listen, n), nil)
+				n := h.jobsSent.Add(1)
+				q, _ := http.NewRequest("POST", fmt.Sprintf("http://%s/move/k%d", h.listen, n), nil)
 				q.Header.Set("X-Correlation-Id", fmt.Sprintf("%016x", n))
 				q.Header.Set("X-Time-Left-Ms", "10000")
 				if r, err := client.Do(q); err == nil {
@@ -186,19 +187,19 @@
 	all.Wait()
 }
 
-// fileName is an address as it stands in the name of a file.
+// fileName returns an address in the form used in file names.
 func fileName(address string) string { return strings.ReplaceAll(address, ":", "_") }
 
-// sends has clients send jobs until each of the processes has written so many more to workers.
-func (rig *upgradeRig) sends(attempts int, by ...*instance) {
-	began := time.Now()
+// sendAttempts sends jobs until each of the processes has written the given number of further attempts to workers.
+func (h *upgradeHarness) sendAttempts(attempts int, by ...*instance) {
+	started := time.Now()
 	before := make([]int, len(by))
 	for i, process := range by {
 		before[i] = process.relayed()
 	}
-	rig.sendUntil(func() bool {
+	h.sendUntil(func() bool {
 		for i, process := range by {
-			if process.relayed() < before[i]+attempts && time.Since(began) < patience {
+			if process.relayed() < before[i]+attempts && time.Since(started) < testTimeout {
 				return false
 			}
 		}
@@ -209,38 +210,33 @@
 // terminate sends SIGTERM.
 func (i *instance) terminate() { require.NoError(i.t, i.cmd.Process.Signal(syscall.SIGTERM)) }
 
-// Incident: a table worker that an operator had taken out got a move 1.3 and 1.7 s after the scheduler's yes.
-//
-// Seen: an upgrade was under way. The second process had been started, the first had SIGTERM, and the operator's call
-// went to the second process's address 0.1 s later. For 2 s after SIGTERM the first process still takes jobs, and it sent
-// the worker one.
-// Cause: who was taken out stood in the memory of the process that heard the call. The other process of the same
-// scheduler read it from a file once, at its start.
-// Proof: after the yes the second process sends the worker nothing and the first one does, until it has ended; without a
-// second process, or with the call made at the first one before the second is started, nothing is sent.
-func TestAWorkerTakenOutInAnUpgradeGetsNothingFromEitherProcess(t *testing.T) {
-	rig := newUpgradeRig(t, "s-1", "s-2")
-	first := rig.start()
-	second := rig.start()
-	rig.sends(4, first, second)
+// Guards against an incident during an upgrade: a disabled worker was sent moves 1.3 s and 1.7 s after the disable was
+// confirmed. The disable went to the second process 0.1 s after SIGTERM to the first, which accepts jobs for 2 s after
+// SIGTERM. Disabled workers were kept in the memory of the process that got the request; the other process read them from a
+// file only once, at its start, and so went on sending.
+func TestWorkerDisabledDuringAnUpgradeGetsNoJobFromEitherProcess(t *testing.T) {
+	h := newUpgradeHarness(t, "s-1", "s-2")
+	first := h.start()
+	second := h.start()
+	h.sendAttempts(4, first, second)
 	first.terminate()
-	until(t, func() bool { return first.logged("a successor serves") })
+	eventually(t, func() bool { return first.logged("a successor serves") })
 	require.Equal(t, 200, second.disable("s-1"))
-	yes := time.Now()
-	rig.sendUntil(func() bool { return time.Since(yes) > 6*drainGrace })
-	assert.Zero(t, rig.workers[0].after(yes.Add(drainGrace)), "jobs came to a worker that an operator had taken out")
-	assert.NotZero(t, rig.workers[1].after(yes.Add(drainGrace)), "the other worker got jobs meanwhile")
+	confirmed := time.Now()
+	h.sendUntil(func() bool { return time.Since(confirmed) > 6*drainGrace })
+	assert.Zero(t, h.workers[0].jobsAfter(confirmed.Add(drainGrace)), "a disabled worker got jobs")
+	assert.NotZero(t, h.workers[1].jobsAfter(confirmed.Add(drainGrace)), "the other worker gets jobs meanwhile")
 }
 
-// The process that heard the call keeps to it by itself, and goes on doing so when the other has ended.
-func TestTheProcessThatHeardTheCallSendsNothing(t *testing.T) {
-	rig := newUpgradeRig(t, "s-1", "s-2")
-	first := rig.start()
-	second := rig.start()
-	rig.sends(4, first, second)
+// The process that got the disable request sends the worker nothing while the other process has ended.
+func TestProcessThatGotTheDisableSendsNoJobs(t *testing.T) {
+	h := newUpgradeHarness(t, "s-1", "s-2")
+	first := h.start()
+	second := h.start()
+	h.sendAttempts(4, first, second)
 	first.kill()
 	require.Equal(t, 200, second.disable("s-1"))
-	yes := time.Now()
-	rig.sends(50, second)
-	assert.Zero(t, rig.workers[0].after(yes.Add(drainGrace)))
+	confirmed := time.Now()
+	h.sendAttempts(50, second)
+	assert.Zero(t, h.workers[0].jobsAfter(confirmed.Add(drainGrace)))
 }
