--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -2,7 +2,8 @@
 
 import "cobaltflow/rules"
 
-// carryOut carries out what the decisions asked for in this turn, in the order they asked for it.
+// runPendingActions executes the actions that the Dispatchers requested in this turn, in the order of the requests, and
+// sends the messages to the other schedulers.
 func (c *Core) runPendingActions() {
 	for i := 0; i < len(c.pendingActions); i++ {
 		c.pendingActions[i]()
@@ -12,7 +13,8 @@
 	c.flushBroadcast()
 }
 
-// flushTold sends what was told. The front may have closed its socket since, in the same turn: then nobody can be told.
+// flushBroadcast sends the buffered messages to the other schedulers. If the front has closed its socket earlier in the
+// same turn, Broadcast is nil and the messages are dropped.
 func (c *Core) flushBroadcast() {
 	if len(c.broadcastBuffer) > 0 && c.Broadcast != nil {
 		c.Broadcast(c.broadcastBuffer)
@@ -20,74 +22,76 @@
 	c.broadcastBuffer = c.broadcastBuffer[:0]
 }
 
-// actions takes what the decisions ask for. Nothing is carried out within their call.
+// actions implements rules.Actions for the Dispatcher of a pool. Sends, cancellations, answers and probes are queued
+// during the Dispatcher's call and executed at the end of the turn.
 type actions struct{ pool *Pool }
 
-func (a actions) enqueue(f func()) {
-	a.pool.core.pendingActions = append(a.pool.core.pendingActions, f)
+func (a actions) enqueue(action func()) {
+	a.pool.core.pendingActions = append(a.pool.core.pendingActions, action)
 }
 
 // Send implements rules.Actions.
-func (a actions) Send(id rules.RequestID, until Time, w rules.WorkerID) {
+func (a actions) Send(id rules.RequestID, until Time, worker rules.WorkerID) {
 	c := a.pool.core
-	if t := c.byID[string(id)]; t != nil {
-		t.queuedSends++
+	if request := c.byID[string(id)]; request != nil {
+		request.queuedSends++
 	}
-	a.enqueue(func() { c.send(string(id), until, string(w)) })
+	a.enqueue(func() { c.send(string(id), until, string(worker)) })
 }
 
+// send hands a new attempt to the worker's transport and times it out at until, if that is set and before the deadline.
 func (c *Core) send(id string, until Time, worker string) {
-	t := c.byID[id]
-	if t == nil {
-		c.Log.Error("a send for a transaction that is not open", "id", id)
+	request := c.byID[id]
+	if request == nil {
+		c.Log.Error("send for an unknown request", "id", id)
 		return
 	}
-	p := &Attempt{Request: t, Worker: worker, Number: t.attempts, sentAt: c.Loop.now}
-	t.attempts++
-	t.queuedSends--
-	p.Ref = c.attempts.Add(p)
-	t.inFlight = append(t.inFlight, p.Ref)
-	w := t.Pool.list.workers[worker]
-	if t.closed || t.clientDetached || c.Loop.now >= t.Deadline || w == nil || w.transport == nil {
-		// It never left. The outcome comes in a later turn, as every other does.
-		c.Loop.Post(func() { c.AttemptEnded(p.Ref, rules.NotSent, nil, rules.Load{}) })
+	attempt := &Attempt{Request: request, Worker: worker, Number: request.attempts, sentAt: c.Loop.now}
+	request.attempts++
+	request.queuedSends--
+	attempt.Ref = c.attempts.Add(attempt)
+	request.inFlight = append(request.inFlight, attempt.Ref)
+	listed := request.Pool.list.workers[worker]
+	if request.closed || request.clientDetached || c.Loop.now >= request.Deadline || listed == nil || listed.transport == nil {
+		// The attempt is not sent. Its outcome follows in a later turn, as every other one does.
+		c.Loop.Post(func() { c.AttemptEnded(attempt.Ref, rules.NotSent, nil, rules.Load{}) })
 		return
 	}
 	c.Counts.Attempts++
-	c.traceAttempt(p)
-	p.transport = w.transport
-	if until > 0 && until < t.Deadline {
+	c.traceAttempt(attempt)
+	attempt.transport = listed.transport
+	if until > 0 && until < request.Deadline {
 		c.Loop.At(until, func() {
-			if _, out := c.attempts.Get(p.Ref); out {
+			if _, inFlight := c.attempts.Get(attempt.Ref); inFlight {
 				status := rules.TimedOut
-				if !p.transport.Cancel(p) {
+				if !attempt.transport.Cancel(attempt) {
 					status = rules.NotSent
 				}
-				c.endAttempt(p, status, nil, rules.Load{})
+				c.endAttempt(attempt, status, nil, rules.Load{})
 			}
 		})
 	}
-	p.transport.Send(p)
-	if agent, ok := t.Client.(AttemptObserver); ok {
-		agent.AttemptSent(t, p)
+	attempt.transport.Send(attempt)
+	if observer, ok := request.Client.(AttemptObserver); ok {
+		observer.AttemptSent(request, attempt)
 	}
 }
 
 // Cancel implements rules.Actions.
-func (a actions) Cancel(id rules.RequestID, attempt int) {
+func (a actions) Cancel(id rules.RequestID, number int) {
 	a.enqueue(func() {
 		c := a.pool.core
-		t := c.byID[string(id)]
-		if t == nil {
+		request := c.byID[string(id)]
+		if request == nil {
 			return
 		}
-		for _, ref := range t.inFlight {
-			p, ok := c.attempts.Get(ref)
-			if !ok || p.Number != attempt || p.transport == nil {
+		for _, ref := range request.inFlight {
+			attempt, ok := c.attempts.Get(ref)
+			if !ok || attempt.Number != number || attempt.transport == nil {
 				continue
 			}
 			status := rules.Cancelled
-			if !p.transport.Cancel(p) {
+			if !attempt.transport.Cancel(attempt) {
 				status = rules.NotSent
 			}
 			c.Loop.Post(func() { c.AttemptEnded(ref, status, nil, rules.Load{}) })
@@ -97,21 +101,21 @@
 }
 
 // Refuse implements rules.Actions.
-func (a actions) Refuse(id rules.RequestID, retryAfter Time, why rules.Reason) {
-	a.answer(id, newRefusal(retryAfter), why.String())
+func (a actions) Refuse(id rules.RequestID, retryAfter Time, reason rules.Reason) {
+	a.answer(id, newRefusal(retryAfter), reason.String())
 }
 
 // Fail implements rules.Actions.
-func (a actions) Fail(id rules.RequestID, why rules.Reason) {
-	a.answer(id, Answer{Kind: Failed}, why.String())
+func (a actions) Fail(id rules.RequestID, reason rules.Reason) {
+	a.answer(id, Answer{Kind: Failed}, reason.String())
 }
 
-func (a actions) answer(id rules.RequestID, answer Answer, why string) {
+func (a actions) answer(id rules.RequestID, answer Answer, reason string) {
 	a.enqueue(func() {
 		c := a.pool.core
-		if t := c.byID[string(id)]; t != nil {
-			c.answer(t, answer, why)
-			c.releaseIfDone(t)
+		if request := c.byID[string(id)]; request != nil {
+			c.answer(request, answer, reason)
+			c.releaseIfDone(request)
 		}
 	})
 }
@@ -128,19 +132,19 @@
 }
 
 // Probe implements rules.Actions.
-func (a actions) Probe(w rules.WorkerID) {
+func (a actions) Probe(worker rules.WorkerID) {
 	a.enqueue(func() {
 		c := a.pool.core
 		c.Counts.Probes++
-		if m := a.pool.list.workers[string(w)]; m != nil && m.transport != nil {
-			m.transport.Probe(string(w))
+		if listed := a.pool.list.workers[string(worker)]; listed != nil && listed.transport != nil {
+			listed.transport.Probe(string(worker))
 			return
 		}
-		c.Loop.Post(func() { c.Probed(string(w), rules.Unreachable, 0, rules.Load{}) })
+		c.Loop.Post(func() { c.Probed(string(worker), rules.Unreachable, 0, rules.Load{}) })
 	})
 }
 
-// Tell implements rules.Actions. What is told in one turn goes out together.
+// Broadcast implements rules.Actions. The messages of one turn are sent together, as far as MaxPeerMessageBytes allows.
 func (a actions) Broadcast(data []byte) {
 	c := a.pool.core
 	if c.Broadcast == nil || a.pool != c.mainPool {
@@ -152,10 +156,10 @@
 	c.broadcastBuffer = append(c.broadcastBuffer, data...)
 }
 
-// Watch implements rules.Actions. Discovery is watched from the start and for good.
+// Watch implements rules.Actions. It does nothing: discovery is watched as long as the process runs.
 func (a actions) Watch(bool) {}
 
-// Fetch implements rules.Actions. The watch holds the whole list.
+// Fetch implements rules.Actions. It does nothing: the watch keeps the whole list.
 func (a actions) Fetch() {}
 
 // Log implements rules.Actions.
--- a/internal/core/tell_test.go
+++ b/internal/core/broadcast_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// What was told in the turn in which the front closes its socket is lost, and nothing else happens.
-func TestToldInTheTurnOfTheClose(t *testing.T) {
+// A message queued in the turn in which the front closes its socket is dropped without a fault.
+func TestBroadcastInTheTurnOfTheClose(t *testing.T) {
 	sent := 0
 	c := &Core{Broadcast: func([]byte) { sent++ }}
 	c.mainPool = &Pool{core: c}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,7 +1,7 @@
-// Package core deals in transactions, proxy passes and outcomes. It owns the decision module's
-// Dispatcher and stands between it and the fronts: a front hands over a transaction and gets one
-// final answer; a carrier takes a proxy pass to a worker and reports how it ended. No wire's types
-// are known here, and neither front nor carrier calls the decisions.
+// Package core owns the open requests, their attempts, the list of workers and the Dispatcher of package rules, which
+// chooses a worker for each request and decides on retries and refusals. The fronts (the listeners of the client
+// protocols) hand it requests and get one final answer for each; a Transport sends its attempts to the workers and
+// reports how they ended. The package knows no protocol, and neither fronts nor transports call the Dispatcher.
 package core
 
 import (
@@ -10,149 +10,150 @@
 	"cobaltflow/rules"
 )
 
-// Work is what a transaction is about, in no wire's terms.
+// Job is what a request asks a worker to do, independent of the protocol it came by.
 type Job struct {
-	Class        int
-	Tenant       int    // whose share it counts against, as the settings number them from 1; 0: nobody's
-	Target       string // what is to be done, in the form of a path and query
-	Key          string // what it concerns; may be empty
-	Body         []byte // valid until the transaction's Released call
-	HeaderFields []byte // further header fields for the worker, in the form of HTTP/1.1's field lines; not for other transports
+	Class        int    // index into rules.Settings.Classes
+	Tenant       int    // counted from 1 in the order of rules.Settings.Tenants; 0: the job counts against no quota
+	Target       string // path and query
+	Key          string // the object that the job is about; may be empty
+	Body         []byte // valid until Client.Released is called
+	HeaderFields []byte // further HTTP/1.1 field lines for the worker; other transports ignore them
 }
 
-// Transaction is one request of a user agent.
+// Request is one request of a client.
 type Request struct {
-	ID             string
+	ID             string // unique among the requests that the core holds
 	Job            Job
-	Deadline       Time // the final answer is due by then
-	Slots          float64
-	Memory         float64
-	Hint           Time // the work that the agent expects, on a core of usual speed; 0: it says nothing
+	Deadline       Time    // the final answer is due by this time of the loop's clock
+	Slots          float64 // worker slots that the job occupies; 0: 1
+	Memory         float64 // worker memory that the job occupies, in the unit of rules.Load.FreeMem
+	Hint           Time    // running time on a core of average speed, as the client estimates it; 0: unknown
 	Client         Client
-	Pool           *Pool  // whose workers may run it; nil: the main one's
-	FetchingWorker string // a worker that asks for work; empty: none does
-	// Single is for a front that decides on other tries itself: the decisions end the transaction once it may
-	// have run, whatever its class. The core must have been made with SingleClasses.
+	Pool           *Pool  // the workers that may run the job; nil: the main pool
+	FetchingWorker string // a worker that is fetching work and should get the job first; empty: none
+	// AtMostOnce is set by a front that decides on retries itself: the Dispatcher ends the request as soon as it may have
+	// run, whatever its class allows. The core's settings must come from WithAtMostOnceClasses.
 	AtMostOnce bool
 
 	ref            Ref
-	closed         bool
-	clientDetached bool // its client has gone, and no further attempt begins
-	mayHaveRun     bool // an ended pass may have run
-	attempts       int  // sent so far
-	queuedSends    int  // sends that were decided on and are carried out at the end of this turn
-	inFlight       []Ref
-	timer          *Timer
+	closed         bool   // has its final answer, or the client cancelled it
+	clientDetached bool   // the client has gone and no further attempt begins
+	mayHaveRun     bool   // an ended attempt may have run
+	attempts       int    // made so far; the number of the next one
+	queuedSends    int    // sends the Dispatcher has decided on and that are executed at the end of this turn
+	inFlight       []Ref  // attempts that have not ended
+	timer          *Timer // fires at the deadline; nil: none is set
 }
 
-// Left is the time until the transaction's deadline.
-func (t *Request) TimeLeft(now Time) Time { return t.Deadline - now }
+// TimeLeft is the time until the request's deadline; negative once the deadline has passed.
+func (r *Request) TimeLeft(now Time) Time { return r.Deadline - now }
 
-// UserAgent is the client's side of a transaction.
+// Client receives the outcome of a request.
 type Client interface {
-	// Answer gives the final answer, once.
-	Answer(t *Request, a Answer)
-	// Released tells that no carrier holds the transaction's work any more. It comes after Answer or
-	// the hang-up, once, and from then on Work.Body may be overwritten; an agent may take it away with Answer, from when
-	// on no pass begins.
-	Released(t *Request)
+	// Answer delivers the final answer. It is called once, unless the client has disconnected before.
+	Answer(request *Request, answer Answer)
+	// Released is called once, after Answer or Core.ClientDisconnected, when no transport uses the request's job any
+	// more: Job.Body may be overwritten from then on. No attempt begins after Answer, so that a client may also take
+	// the body back within Answer.
+	Released(request *Request)
 }
 
-// Placed may be implemented by a UserAgent: it is told of each pass that a carrier takes.
+// AttemptObserver may be implemented by a Client that wants a call for each attempt handed to a transport.
 type AttemptObserver interface {
-	AttemptSent(t *Request, p *Attempt)
+	AttemptSent(request *Request, attempt *Attempt)
 }
 
-// AnswerKind is how a transaction ended.
+// AnswerKind is how a request ended.
 type AnswerKind uint8
 
-// The final answers.
+// The kinds of final answers.
 const (
 	Served  AnswerKind = iota
-	Refused            // refused: trying again is harmless
-	Failed             // promises nothing
+	Refused            // no worker ran the job, or running it again is harmless: the client may retry
+	Failed             // the job may or may not have run
 )
 
 var answerKindNames = [...]string{"served", "refused", "failed"}
 
-// String is the kind's name in the log.
+// String returns the kind's name in the log.
 func (k AnswerKind) String() string { return answerKindNames[k] }
 
-// Answer is a transaction's final answer.
+// Answer is the final answer to a request.
 type Answer struct {
 	Kind       AnswerKind
-	Result     []byte // of Served; valid during the call
-	RetryAfter Time   // of Unavailable: when to come back
+	Result     []byte // of Served; valid during the call of Client.Answer
+	RetryAfter Time   // of Refused: how long the client should wait before it retries
 }
 
-// unavailableAnswer is a refusal. The user agent is always told when to come back: a refusal that
-// gives no time would have it ask again at once.
+// newRefusal returns a refusal with a retry delay of at least minRetryAfter: a client that is given no delay retries at
+// once.
 func newRefusal(after Time) Answer {
 	return Answer{Kind: Refused, RetryAfter: max(after, minRetryAfter)}
 }
 
 const minRetryAfter = 50 * Millisecond
 
-// ProxyPass is one attempt of a transaction at a worker.
+// Attempt is one try to run a request at a worker.
 type Attempt struct {
 	Ref            Ref
 	Request        *Request
 	Worker         string
-	Number         int
-	TransportState any // the carrier's own
+	Number         int // among the attempts of the request, from 0
+	TransportState any // owned by the transport
 
-	transport Transport
+	transport Transport // nil: the attempt was never handed to one
 	sentAt    Time
 }
 
-// Carrier takes proxy passes to the workers that it has brought into the farm.
+// Transport sends attempts to the workers that it has reported with UpdateWorkerList. The core calls it on the loop
+// goroutine.
 type Transport interface {
-	// Carry starts a pass. Its end is reported with Core.Ended, once, never within the call.
-	Send(p *Attempt)
-	// Withdraw gives a pass up. It returns whether the pass may have reached the worker: if not, it
-	// never ran. Nothing more needs to be reported of the pass.
-	Cancel(p *Attempt) (mayHaveRun bool)
-	// Begun tells of a pass that is out whether anything of it may have left for the worker.
-	HasBegun(p *Attempt) bool
-	// Probe asks a worker for its load; the end is reported with Core.Probed.
+	// Send starts an attempt. The transport reports its end with Core.AttemptEnded, once and never within this call.
+	Send(attempt *Attempt)
+	// Cancel gives an attempt up and returns whether it may have reached the worker; if not, it never ran. The transport
+	// need not report the attempt's end afterwards.
+	Cancel(attempt *Attempt) (mayHaveRun bool)
+	// HasBegun returns whether any part of an attempt in flight may have left for the worker.
+	HasBegun(attempt *Attempt) bool
+	// Probe requests a load report of a worker. The transport reports the result with Core.Probed.
 	Probe(worker string)
 }
 
-// Core owns transactions, proxy passes, the farm and the Dispatcher. All methods are for the loop
+// Core owns the requests, the attempts, the worker list and the Dispatcher. Its methods must be called on the loop
 // goroutine.
 type Core struct {
 	Loop *Loop
 	Log  *slog.Logger
-	// Listed, where it is set, is called after each news of the main pool's workers.
+	// OnWorkerList, if set, is called after each update of the main pool's worker list.
 	OnWorkerList func()
-	// Tell, where it is set, sends a message to all other schedulers; it may be lost.
+	// Broadcast, if set, sends a message to all other schedulers. The message may be lost. Data is valid during the call.
 	Broadcast func(data []byte)
 
 	settings        rules.Settings
 	mainPool        *Pool
-	pools           []*Pool // the main one first
-	pendingActions  []func()
-	broadcastBuffer []byte // what is told at the end of this turn
+	pools           []*Pool  // the main pool first
+	pendingActions  []func() // decided on in this turn
+	broadcastBuffer []byte   // messages to the other schedulers, sent at the end of this turn
 
-	sites *siteWatch // nil: nothing is known of sites
+	sites *siteWatch // nil: sites are not watched
 
 	requests       SlotMap[*Request]
 	byID           map[string]*Request
-	openRequests   int // transactions that still need an answer
+	openRequests   int // requests without a final answer
 	attempts       SlotMap[*Attempt]
 	Counts         Counts
-	AnswersByClass []AnswerCounts // by the class of the work, counted as each final answer is given; grows to the classes seen
+	AnswersByClass []AnswerCounts // indexed by Job.Class; as long as the highest class answered so far requires
 }
 
-// Ends are the final answers of one class since the start.
+// AnswerCounts counts the final answers of one class since the process started.
 type AnswerCounts struct{ Served, Refused, Failed uint64 }
 
-// Counts are totals since the start.
+// Counts holds totals since the process started.
 type Counts struct {
 	Accepted, Served, Refused, Failed, Cancelled, Attempts, Probes uint64
 }
 
-// New makes the core. The first list must come before the first transaction.
+// New returns a core without workers. Its first worker list must be set before the first request is accepted.
 func New(loop *Loop, settings rules.Settings, seed uint64, log *slog.Logger) *Core {
 	c := &Core{Loop: loop, Log: log, settings: settings, byID: map[string]*Request{}}
 	loop.now = loop.clock()
@@ -161,7 +162,8 @@
 	return c
 }
 
-// SingleClasses gives settings in which each class stands a second time, for transactions that are Single.
+// WithAtMostOnceClasses returns the settings with a second copy of each class, appended in the same order, whose effect
+// is rules.Once. Requests with AtMostOnce set use the copies.
 func WithAtMostOnceClasses(s rules.Settings) rules.Settings {
 	classes := append([]rules.Class(nil), s.Classes...)
 	for _, class := range s.Classes {
@@ -172,263 +174,269 @@
 	return s
 }
 
-// Settings are those that the decisions were given.
+// Settings returns the settings that New got. They must not be changed.
 func (c *Core) Settings() *rules.Settings { return &c.settings }
 
-// Open is the number of transactions that still need an answer.
+// OpenRequests returns the number of requests without a final answer.
 func (c *Core) OpenRequests() int { return c.openRequests }
 
-// Passes is the number of proxy passes that are out.
+// InFlightAttempts returns the number of attempts that have not ended.
 func (c *Core) InFlightAttempts() int { return c.attempts.Len() }
 
-// Take opens a transaction; it will get exactly one final answer unless its agent hangs up. It gives
-// false where the id is already in use, and the transaction is then not taken.
-func (c *Core) Accept(t *Request) bool {
-	if c.byID[t.ID] != nil {
+// Accept takes a request over: it gets exactly one final answer unless its client disconnects before. Accept returns
+// false and does nothing if the core still holds a request with the same ID.
+func (c *Core) Accept(request *Request) bool {
+	if c.byID[request.ID] != nil {
 		return false
 	}
 	now := c.Loop.now
-	if t.Pool == nil {
-		t.Pool = c.mainPool
+	if request.Pool == nil {
+		request.Pool = c.mainPool
 	}
 	c.Counts.Accepted++
 	c.openRequests++
-	class := t.Job.Class
-	if t.AtMostOnce {
+	class := request.Job.Class
+	if request.AtMostOnce {
 		class += len(c.settings.Classes) / 2
 	}
-	t.ref = c.requests.Add(t)
-	c.byID[t.ID] = t
-	t.timer = c.Loop.At(t.Deadline, func() { c.deadlineExpired(t) })
-	t.Pool.dispatcher.Request(now, &rules.Request{
-		ID: rules.RequestID(t.ID), Class: class, Tenant: t.Job.Tenant - 1, Key: hashKey(t.Job.Key), HasKey: t.Job.Key != "",
-		Deadline: t.Deadline, Hint: t.Hint, Slots: t.Slots, Memory: t.Memory,
-		FetchingWorker: rules.WorkerID(t.FetchingWorker),
+	request.ref = c.requests.Add(request)
+	c.byID[request.ID] = request
+	request.timer = c.Loop.At(request.Deadline, func() { c.deadlineExpired(request) })
+	request.Pool.dispatcher.Request(now, &rules.Request{
+		ID: rules.RequestID(request.ID), Class: class, Tenant: request.Job.Tenant - 1,
+		Key: hashKey(request.Job.Key), HasKey: request.Job.Key != "",
+		Deadline: request.Deadline, Hint: request.Hint, Slots: request.Slots, Memory: request.Memory,
+		FetchingWorker: rules.WorkerID(request.FetchingWorker),
 	})
 	return true
 }
 
-// Known tells whether a transaction with the id is open.
+// HasRequest returns whether the core holds a request with the ID: one without a final answer, or with attempts that
+// have not ended.
 func (c *Core) HasRequest(id string) bool { return c.byID[id] != nil }
 
-// HangUp tells that the agent has gone away.
-func (c *Core) ClientDisconnected(t *Request) {
-	if t.closed {
+// ClientDisconnected cancels a request whose client has gone. The client gets no answer, and Client.Released once the
+// attempts have ended.
+func (c *Core) ClientDisconnected(request *Request) {
+	if request.closed {
 		return
 	}
 	c.Counts.Cancelled++
-	c.markClosed(t)
-	c.traceClientGone(t)
-	t.Pool.dispatcher.ClientDisconnected(c.Loop.now, rules.RequestID(t.ID))
-	c.releaseIfDone(t)
+	c.markClosed(request)
+	c.traceClientGone(request)
+	request.Pool.dispatcher.ClientDisconnected(c.Loop.now, rules.RequestID(request.ID))
+	c.releaseIfDone(request)
 }
 
-// overdue ends the passes of a transaction whose time is over. The decisions then give it up; where
-// they have not by the end of the slack, it is failed without them: the answer is owed in any case.
-func (c *Core) deadlineExpired(t *Request) {
-	if t.closed {
+// deadlineExpired ends the attempts of a request at its deadline. The Dispatcher then refuses or fails the request; if it
+// has not done so within AnswerSlack, the core fails it, since every request gets an answer.
+func (c *Core) deadlineExpired(request *Request) {
+	if request.closed {
 		return
 	}
-	c.TimeOutAttempts(t)
-	if t.closed {
+	c.TimeOutAttempts(request)
+	if request.closed {
 		return
 	}
-	t.timer = c.Loop.At(c.Loop.now+max(c.settings.AnswerSlack, 5*Millisecond), func() {
-		if !t.closed {
-			c.Log.Error("transaction given up without a decision", "id", t.ID)
-			c.answer(t, Answer{Kind: Failed}, reasonNoDecision)
-			t.Pool.dispatcher.ClientDisconnected(c.Loop.now, rules.RequestID(t.ID))
-			c.releaseIfDone(t)
+	request.timer = c.Loop.At(c.Loop.now+max(c.settings.AnswerSlack, 5*Millisecond), func() {
+		if !request.closed {
+			c.Log.Error("request failed: the dispatcher did not end it by its deadline", "id", request.ID)
+			c.answer(request, Answer{Kind: Failed}, reasonNoDecision)
+			request.Pool.dispatcher.ClientDisconnected(c.Loop.now, rules.RequestID(request.ID))
+			c.releaseIfDone(request)
 		}
 	})
 }
 
-// TimeOut ends the passes of a transaction that are out, as timed out or, where they never reached a worker, as
-// not sent. What becomes of it the decisions say.
-func (c *Core) TimeOutAttempts(t *Request) {
-	for _, ref := range append([]Ref(nil), t.inFlight...) {
-		if p, ok := c.attempts.Get(ref); ok && p.transport != nil {
+// TimeOutAttempts ends the attempts of a request that are in flight: as timed out or, where they never reached a worker,
+// as not sent. The Dispatcher decides what becomes of the request.
+func (c *Core) TimeOutAttempts(request *Request) {
+	for _, ref := range append([]Ref(nil), request.inFlight...) {
+		if attempt, ok := c.attempts.Get(ref); ok && attempt.transport != nil {
 			status := rules.TimedOut
-			if !p.transport.Cancel(p) {
+			if !attempt.transport.Cancel(attempt) {
 				status = rules.NotSent
 			}
-			c.endAttempt(p, status, nil, rules.Load{})
+			c.endAttempt(attempt, status, nil, rules.Load{})
 		}
 	}
 }
 
-// GiveUp answers all that is open of the agents named, at once, since the program ends: they are still
-// there to hear it, and those whose jobs may be asked for again can do so elsewhere. The decisions are not
-// asked any more; their rule for what may be refused holds.
-func (c *Core) AbortRequests(of func(Client) bool) {
-	c.requests.Each(func(_ Ref, t *Request) {
-		if t.closed || !of(t.Client) {
+// AbortRequests answers at once all open requests whose client matches, because the process ends: the clients are still
+// connected, and those that get a refusal can retry elsewhere. The Dispatcher is not consulted, but its rule for what may
+// be refused applies.
+func (c *Core) AbortRequests(match func(Client) bool) {
+	c.requests.Each(func(_ Ref, request *Request) {
+		if request.closed || !match(request.Client) {
 			return
 		}
-		for _, ref := range append([]Ref(nil), t.inFlight...) {
-			if p, ok := c.attempts.Get(ref); ok && p.transport != nil && p.transport.Cancel(p) {
-				t.mayHaveRun = true
+		for _, ref := range append([]Ref(nil), request.inFlight...) {
+			if attempt, ok := c.attempts.Get(ref); ok && attempt.transport != nil && attempt.transport.Cancel(attempt) {
+				request.mayHaveRun = true
 			}
 		}
-		c.answer(t, c.answerWithoutResult(t), reasonProcessEnds)
-		for _, ref := range append([]Ref(nil), t.inFlight...) {
-			if p, ok := c.attempts.Get(ref); ok {
-				c.endAttempt(p, rules.Cancelled, nil, rules.Load{})
+		c.answer(request, c.answerWithoutResult(request), reasonProcessEnds)
+		for _, ref := range append([]Ref(nil), request.inFlight...) {
+			if attempt, ok := c.attempts.Get(ref); ok {
+				c.endAttempt(attempt, rules.Cancelled, nil, rules.Load{})
 			}
 		}
-		t.Pool.dispatcher.ClientDisconnected(c.Loop.now, rules.RequestID(t.ID))
-		c.releaseIfDone(t)
+		request.Pool.dispatcher.ClientDisconnected(c.Loop.now, rules.RequestID(request.ID))
+		c.releaseIfDone(request)
 	})
 }
 
-// Ended reports the end of a pass. The first report counts: a pass that has ended, or that belonged to
-// an earlier holder of the slot, is let pass, so that the decisions get one outcome for each send.
+// AttemptEnded reports the end of an attempt. Only the first report counts, so that the Dispatcher gets one outcome for
+// each send: AttemptEnded returns false and does nothing if the attempt has already ended.
 func (c *Core) AttemptEnded(ref Ref, status rules.Status, result []byte, load rules.Load) bool {
-	p, ok := c.attempts.Get(ref)
+	attempt, ok := c.attempts.Get(ref)
 	if !ok {
 		return false
 	}
-	c.endAttempt(p, status, result, load)
+	c.endAttempt(attempt, status, result, load)
 	return true
 }
 
-func (c *Core) endAttempt(p *Attempt, status rules.Status, result []byte, load rules.Load) {
-	t := p.Request
-	c.attempts.Free(p.Ref)
-	for i, r := range t.inFlight {
-		if r == p.Ref {
-			t.inFlight = append(t.inFlight[:i], t.inFlight[i+1:]...)
+func (c *Core) endAttempt(attempt *Attempt, status rules.Status, result []byte, load rules.Load) {
+	request := attempt.Request
+	c.attempts.Free(attempt.Ref)
+	for i, ref := range request.inFlight {
+		if ref == attempt.Ref {
+			request.inFlight = append(request.inFlight[:i], request.inFlight[i+1:]...)
 			break
 		}
 	}
-	t.mayHaveRun = t.mayHaveRun || !status.NeverRan()
-	c.traceEnd(p, status)
+	request.mayHaveRun = request.mayHaveRun || !status.NeverRan()
+	c.traceEnd(attempt, status)
 	switch {
-	case t.closed:
+	case request.closed:
 	case status == rules.OK:
 		c.sites.addRetryCredit()
-		c.answer(t, Answer{Kind: Served, Result: result}, reasonDone)
-	case t.clientDetached && len(t.inFlight) == 0:
-		c.answer(t, c.answerWithoutResult(t), reasonClientGone)
+		c.answer(request, Answer{Kind: Served, Result: result}, reasonDone)
+	case request.clientDetached && len(request.inFlight) == 0:
+		c.answer(request, c.answerWithoutResult(request), reasonClientGone)
 	}
-	t.Pool.dispatcher.Outcome(c.Loop.now, &rules.Outcome{
-		Request: rules.RequestID(t.ID), Attempt: p.Number, Worker: rules.WorkerID(p.Worker), Status: status,
-		Latency: c.Loop.now - p.sentAt, Closed: t.closed, Load: load,
+	request.Pool.dispatcher.Outcome(c.Loop.now, &rules.Outcome{
+		Request: rules.RequestID(request.ID), Attempt: attempt.Number, Worker: rules.WorkerID(attempt.Worker), Status: status,
+		Latency: c.Loop.now - attempt.sentAt, Closed: request.closed, Load: load,
 	})
-	c.releaseIfDone(t)
+	c.releaseIfDone(request)
 }
 
-// Begin tells a carrier whether a pass may begin now, as its first byte is about to leave: the client may have gone
-// since, or the worker, or the time in which it may be repeated. A pass that may not ends as not sent, in a later turn.
+// BeginAttempt returns whether an attempt may begin. A transport calls it right before the first byte leaves: since the
+// send was decided on, the client or the worker may have gone, or the time in which the request may be retried may have
+// passed. An attempt that may not begin ends as not sent, in a later turn.
 func (c *Core) BeginAttempt(ref Ref) bool {
-	p, ok := c.attempts.Get(ref)
+	attempt, ok := c.attempts.Get(ref)
 	if !ok {
 		return false
 	}
-	if !p.Request.clientDetached && p.Request.Pool.dispatcher.Begin(c.Loop.now, rules.RequestID(p.Request.ID), p.Number) {
+	if !attempt.Request.clientDetached &&
+		attempt.Request.Pool.dispatcher.Begin(c.Loop.now, rules.RequestID(attempt.Request.ID), attempt.Number) {
 		return true
 	}
 	c.Loop.Post(func() { c.AttemptEnded(ref, rules.NotSent, nil, rules.Load{}) })
 	return false
 }
 
-// Started reports that a pass's job has started.
+// AttemptStarted reports that a worker has started an attempt's job.
 func (c *Core) AttemptStarted(ref Ref) {
-	if p, ok := c.attempts.Get(ref); ok {
-		c.reportProgress(p, true, 0)
+	if attempt, ok := c.attempts.Get(ref); ok {
+		c.reportProgress(attempt, true, 0)
 	}
 }
 
-// Progress reports the part of a pass's job that is done.
-func (c *Core) AttemptProgress(ref Ref, share float64) {
-	if p, ok := c.attempts.Get(ref); ok {
-		c.reportProgress(p, false, share)
+// AttemptProgress reports the fraction of an attempt's job that is done, from 0 to 1.
+func (c *Core) AttemptProgress(ref Ref, fraction float64) {
+	if attempt, ok := c.attempts.Get(ref); ok {
+		c.reportProgress(attempt, false, fraction)
 	}
 }
 
-func (c *Core) reportProgress(p *Attempt, started bool, share float64) {
-	p.Request.Pool.dispatcher.Progress(c.Loop.now, &rules.Progress{Request: rules.RequestID(p.Request.ID), Attempt: p.Number,
-		Worker: rules.WorkerID(p.Worker), Started: started, FractionDone: share})
+func (c *Core) reportProgress(attempt *Attempt, started bool, fraction float64) {
+	attempt.Request.Pool.dispatcher.Progress(c.Loop.now, &rules.Progress{Request: rules.RequestID(attempt.Request.ID),
+		Attempt: attempt.Number, Worker: rules.WorkerID(attempt.Worker), Started: started, FractionDone: fraction})
 }
 
-// MostTold is how many bytes a message between schedulers has at most.
+// MaxPeerMessageBytes is the largest message that schedulers send to each other, in bytes.
 const MaxPeerMessageBytes = 256
 
-// Peer takes a message of another scheduler, by its rank. Data is valid during the call.
+// PeerMessage handles a message of another scheduler, given by its rank. Data is valid during the call.
 func (c *Core) PeerMessage(from int, data []byte) {
 	if !c.mainPool.share.handleHeartbeat(from, data) {
 		c.mainPool.dispatcher.PeerMessage(c.Loop.now, from, data)
 	}
 }
 
-// Probed reports the end of a probe, to all pools that the worker is in.
-func (c *Core) Probed(worker string, status rules.Status, took Time, load rules.Load) {
-	for _, p := range c.pools {
-		if p.list.workers[worker] != nil || p == c.mainPool {
-			p.dispatcher.Probed(c.Loop.now, &rules.ProbeResult{Worker: rules.WorkerID(worker), Status: status, Latency: took, Load: load})
+// Probed reports the result of a probe to the main pool and to all other pools that list the worker.
+func (c *Core) Probed(worker string, status rules.Status, latency Time, load rules.Load) {
+	for _, pool := range c.pools {
+		if pool.list.workers[worker] != nil || pool == c.mainPool {
+			pool.dispatcher.Probed(c.Loop.now,
+				&rules.ProbeResult{Worker: rules.WorkerID(worker), Status: status, Latency: latency, Load: load})
 		}
 	}
 }
 
-// Find gives the pass that is out for a request id at a worker, if there is one.
+// FindAttempt returns the attempt of a request, given by its ID, that is in flight at a worker, and whether there is one.
 func (c *Core) FindAttempt(id, worker string) (*Attempt, bool) {
-	t := c.byID[id]
-	if t == nil {
+	request := c.byID[id]
+	if request == nil {
 		return nil, false
 	}
-	for _, ref := range t.inFlight {
-		if p, ok := c.attempts.Get(ref); ok && p.Worker == worker {
-			return p, true
+	for _, ref := range request.inFlight {
+		if attempt, ok := c.attempts.Get(ref); ok && attempt.Worker == worker {
+			return attempt, true
 		}
 	}
 	return nil, false
 }
 
-// answer gives a request its final answer; why is for the log.
-func (c *Core) answer(t *Request, a Answer, why string) {
-	if t.closed {
+// answer delivers the final answer of a request that has none; reason is for the log.
+func (c *Core) answer(request *Request, answer Answer, reason string) {
+	if request.closed {
 		return
 	}
-	c.markClosed(t)
-	c.traceAnswer(t, a, why)
-	for len(c.AnswersByClass) <= t.Job.Class {
+	c.markClosed(request)
+	c.traceAnswer(request, answer, reason)
+	for len(c.AnswersByClass) <= request.Job.Class {
 		c.AnswersByClass = append(c.AnswersByClass, AnswerCounts{})
 	}
-	e := &c.AnswersByClass[t.Job.Class]
-	switch a.Kind {
+	counts := &c.AnswersByClass[request.Job.Class]
+	switch answer.Kind {
 	case Served:
 		c.Counts.Served++
-		e.Served++
+		counts.Served++
 	case Refused:
 		c.Counts.Refused++
-		e.Refused++
+		counts.Refused++
 	default:
 		c.Counts.Failed++
-		e.Failed++
+		counts.Failed++
 	}
-	t.Client.Answer(t, a)
+	request.Client.Answer(request, answer)
 }
 
-func (c *Core) markClosed(t *Request) {
-	t.closed = true
+func (c *Core) markClosed(request *Request) {
+	request.closed = true
 	c.openRequests--
-	c.Loop.CancelTimer(t.timer)
-	t.timer = nil
+	c.Loop.CancelTimer(request.timer)
+	request.timer = nil
 }
 
-// settle lets go of a transaction that has its answer and no pass out. A pass that is out still, since it may not be
-// cancelled, is ended at the transaction's deadline: its worker may never say a word.
-func (c *Core) releaseIfDone(t *Request) {
+// releaseIfDone releases a closed request that has no attempt left. An attempt that may not be cancelled ends at the
+// request's deadline at the latest: its worker may never reply.
+func (c *Core) releaseIfDone(request *Request) {
 	switch {
-	case !t.closed:
-	case t.queuedSends > 0: // the pass that is made of it ends as not sent
-	case len(t.inFlight) > 0:
-		if t.timer == nil {
-			t.timer = c.Loop.At(max(t.Deadline, c.Loop.now), func() { c.TimeOutAttempts(t) })
+	case !request.closed:
+	case request.queuedSends > 0: // the attempt made of each ends as not sent, and calls this function again
+	case len(request.inFlight) > 0:
+		if request.timer == nil {
+			request.timer = c.Loop.At(max(request.Deadline, c.Loop.now), func() { c.TimeOutAttempts(request) })
 		}
-	case c.requests.Free(t.ref):
-		c.Loop.CancelTimer(t.timer)
-		delete(c.byID, t.ID)
-		t.Client.Released(t)
+	case c.requests.Free(request.ref):
+		c.Loop.CancelTimer(request.timer)
+		delete(c.byID, request.ID)
+		request.Client.Released(request)
 	}
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -9,23 +9,22 @@
 	"cobaltflow/rules"
 )
 
-// Time is a point on, or a length of, the loop's clock: whole monotonic microseconds.
+// Time is a point in time on the loop's clock, or a duration, in whole microseconds. The clock is monotonic.
 type Time = rules.Time
 
-// Lengths of time.
+// Durations.
 const (
 	Millisecond Time = 1_000
 	Second      Time = 1_000_000
 )
 
-// clockBase keeps the clock well above zero, so that a worker's start some time before ours is a
-// positive time: the decisions read zero as "long ago".
+// clockBase is the clock's value at the start of the loop: so far above zero that the start time of a worker that was
+// started before this process is positive too. The Dispatcher reads a start time of zero as "long ago".
 const clockBase Time = 1 << 42
 
-// Loop is the one goroutine that owns all state of the core and the fronts. Everything else (netpoll
-// callbacks, dials, writers) posts to its mailbox. A turn drains the mailbox, reads the clock once,
-// applies the events in the order of their arrival, then the deadlines that are due, then carries
-// out what was decided.
+// Loop is the event loop: one goroutine that owns all state of the core and the fronts. Everything else (netpoll
+// callbacks, dials, writers) posts events to its mailbox. A turn drains the mailbox, reads the clock once, runs the events
+// in the order of their arrival, then the timers that are due, then the actions that the Dispatcher decided on.
 type Loop struct {
 	mu      sync.Mutex
 	mailbox []func()
@@ -34,15 +33,15 @@
 
 	start     time.Duration // the monotonic clock at start
 	startUnix int64         // the wall clock at start, in Unix microseconds
-	now       Time
+	now       Time          // of the turn
 	timers    timerHeap
-	due       []*Timer
-	seq       uint64
-	onTurnEnd func()
-	afterTurn []func() // at the very end of each turn
+	due       []*Timer // buffer of turn
+	seq       uint64   // of the last timer
+	onTurnEnd func()   // runs the Dispatcher's actions
+	afterTurn []func() // run at the very end of each turn
 }
 
-// NewLoop makes a loop whose clock starts now.
+// NewLoop returns a loop whose clock starts now.
 func NewLoop() *Loop {
 	return &Loop{wake: make(chan struct{}, 1), start: clock.Monotonic(), startUnix: clock.Wall().UnixMicro(), now: clockBase}
 }
@@ -58,58 +57,58 @@
 	}
 }
 
-// Now is the time of the turn; for the loop goroutine only.
+// Now returns the time at which the current turn began. It must be called on the loop goroutine.
 func (l *Loop) Now() Time { return l.now }
 
-// FromUnix turns a wall-clock time in milliseconds into the loop's, by the two clocks as they were at the loop's start:
-// what happened before it is read so, whatever has been done to the wall clock since.
+// FromUnixMilli converts Unix time in milliseconds to the loop's time, by the difference of the two clocks at the loop's
+// start: the same Unix time always gives the same result, even if the wall clock was stepped since.
 func (l *Loop) FromUnixMilli(ms int64) Time { return clockBase + ms*Millisecond - l.startUnix }
 
-// Deadline is an entry of the loop's ordered deadlines.
+// Timer is a pending call of the loop; see At.
 type Timer struct {
 	at    Time
-	seq   uint64
-	index int // in the heap; -1: not in it
+	seq   uint64 // orders timers of the same time
+	index int    // in the heap; -1: not in it
 	fire  func()
 
 	cancelled bool
 }
 
-// At calls due in the first turn at or past the time. A deadline that is past comes due in the next
-// turn, never within the call.
-func (l *Loop) At(at Time, due func()) *Timer {
+// At calls fire in the first turn at or after the time. A timer whose time has passed fires in the next turn, never within
+// the call. At must be called on the loop goroutine or before Run.
+func (l *Loop) At(at Time, fire func()) *Timer {
 	l.seq++
-	d := &Timer{at: at, seq: l.seq, fire: due}
-	heap.Push(&l.timers, d)
-	return d
+	t := &Timer{at: at, seq: l.seq, fire: fire}
+	heap.Push(&l.timers, t)
+	return t
 }
 
-// Drop takes a deadline out; nil and one that has come due are let pass.
-func (l *Loop) CancelTimer(d *Timer) {
-	if d == nil {
+// CancelTimer stops a timer from firing. Nil and a timer that has fired are ignored.
+func (l *Loop) CancelTimer(t *Timer) {
+	if t == nil {
 		return
 	}
-	if d.cancelled = true; d.index >= 0 {
-		heap.Remove(&l.timers, d.index)
+	if t.cancelled = true; t.index >= 0 {
+		heap.Remove(&l.timers, t.index)
 	}
 }
 
-// AfterTurn has a function called at the end of each turn, when all that was decided is carried out.
+// AfterTurn registers a function to be called at the end of each turn, after the Dispatcher's actions.
 func (l *Loop) AfterTurn(f func()) { l.afterTurn = append(l.afterTurn, f) }
 
-// FromWall turns a date that somebody names into the loop's time: as long from now as it is by the wall clock now. It may
-// be called from any goroutine.
+// FromWall converts a wall-clock time to the loop's time: both are equally far from the present. It may be called from any
+// goroutine.
 func (l *Loop) FromWall(t time.Time) Time { return l.clock() + t.Sub(clock.Wall()).Microseconds() }
 
-// Wall turns a time of the loop into a date: as long from the wall clock's present date as it is from now.
+// ToWall converts a time of the loop to wall-clock time: both are equally far from the present.
 func (l *Loop) ToWall(at Time) time.Time {
 	return clock.Wall().Add(time.Duration(at-l.clock()) * time.Microsecond)
 }
 
-// Stop ends Run after the present turn.
+// Stop ends Run after the current turn. It must be called on the loop goroutine.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run turns until Stop.
+// Run runs turns on the calling goroutine until Stop.
 func (l *Loop) Run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -142,15 +141,15 @@
 	for _, event := range batch {
 		event()
 	}
-	// All that is due is taken out before any of it is run: a deadline set meanwhile, however early, waits
-	// for the next turn and holds up none of these.
+	// All due timers are removed from the heap before any of them fires: a timer that is set meanwhile waits for the next
+	// turn, however early its time, and delays none of these.
 	due := l.due[:0]
 	for len(l.timers) > 0 && l.timers[0].at <= l.now {
 		due = append(due, heap.Pop(&l.timers).(*Timer))
 	}
-	for _, d := range due {
-		if !d.cancelled { // by one that came before it
-			d.fire()
+	for _, t := range due {
+		if !t.cancelled { // by a timer that fired before it in this turn
+			t.fire()
 		}
 	}
 	clear(due)
@@ -177,15 +176,15 @@
 	h[i].index, h[j].index = i, j
 }
 func (h *timerHeap) Push(x any) {
-	d := x.(*Timer)
-	d.index = len(*h)
-	*h = append(*h, d)
+	t := x.(*Timer)
+	t.index = len(*h)
+	*h = append(*h, t)
 }
 func (h *timerHeap) Pop() any {
 	old := *h
-	d := old[len(old)-1]
+	t := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	d.index = -1
-	return d
+	t.index = -1
+	return t
 }
--- a/internal/core/ownership.go
+++ b/internal/core/ownership.go
@@ -5,21 +5,21 @@
 	"cobaltflow/rules"
 )
 
-// Discovered may be implemented by a Carrier whose workers all schedulers are told of, and which may therefore be
-// divided among them. Workers of others are this scheduler's alone and stay so.
+// DiscoveredTransport is implemented by a Transport whose workers are listed by all schedulers and may therefore be
+// divided among them. The workers of other transports belong to this scheduler alone.
 type DiscoveredTransport interface{ HasDiscoveredWorkers() }
 
-// fleetShare hands the decisions of the main pool this scheduler's share of the workers, as package ownership finds it.
-// The core goes on knowing all of them. A nil one is switched off: the decisions get the whole list.
+// workerShare limits the main pool's Dispatcher to this scheduler's share of the workers, as package ownership computes
+// it. The core keeps the whole list. A nil workerShare is switched off: the Dispatcher gets all workers.
 type workerShare struct {
 	core          *Core
 	table         *ownership.Table
-	changes       []rules.ListEntry // what a turn of the table changes
-	loggedLeftOut int               // workers over the bound, as last logged
+	changes       []rules.ListEntry // of the share, collected during a turn of the table
+	loggedLeftOut int               // workers over ownership.MostWorkers, as last logged
 }
 
-// DivideFleet has the core divide the main pool's workers among the schedulers. It is called before the first list; the
-// settings must have passed their Check.
+// EnableOwnership divides the main pool's workers among the schedulers. It must be called before the first worker list;
+// the settings must have passed their Check.
 func (c *Core) EnableOwnership(set ownership.Settings) {
 	s := &workerShare{core: c}
 	s.table = ownership.New(set, c.Loop.now, s)
@@ -27,38 +27,40 @@
 	s.turn()
 }
 
-// LeaveFleet tells the other schedulers that this one ends.
+// AnnounceLeaving notifies the other schedulers that this one is ending, so that they take its workers over.
 func (c *Core) AnnounceLeaving() {
 	if c.mainPool.share != nil {
 		c.mainPool.share.table.Leave()
 	}
 }
 
-// ShareFigures tell how the fleet is divided, as this scheduler sees it.
+// OwnershipStats describes how the workers are divided, as this scheduler sees it.
 type OwnershipStats struct {
-	LiveSchedulers            int     // schedulers taken to be alive
-	HeldWorkers, TotalWorkers int     // workers of the own share, and all
-	Span                      float64 // how far it goes beyond what it owns; 1: not at all
-	Weight                    float64 // of this scheduler against others; 1: as much
+	LiveSchedulers            int     // schedulers considered alive, this one included
+	HeldWorkers, TotalWorkers int     // in this scheduler's share, and in all shares
+	Span                      float64 // how far the share extends beyond the owned workers, see package ownership; 1: not at all
+	Weight                    float64 // of this scheduler relative to the others; 1: the same
 }
 
-// Share gives the figures of the division; false: the fleet is not divided.
+// Ownership returns how the workers are divided, and false if they are not.
 func (c *Core) Ownership() (OwnershipStats, bool) {
 	s := c.mainPool.share
 	if s == nil || !s.table.Divided() {
 		return OwnershipStats{}, false
 	}
-	held, size := s.table.Held()
-	return OwnershipStats{LiveSchedulers: s.table.Live(), HeldWorkers: held, TotalWorkers: size, Span: s.table.Span(), Weight: s.table.Weight()}, true
+	held, total := s.table.Held()
+	return OwnershipStats{LiveSchedulers: s.table.Live(), HeldWorkers: held, TotalWorkers: total, Span: s.table.Span(),
+		Weight: s.table.Weight()}, true
 }
 
+// turn runs a turn of the table, hands the changes of the share to the Dispatcher and sets the timer of the next turn.
 func (s *workerShare) turn() {
 	c := s.core
-	occupied := 0.0
+	utilization := 0.0
 	if s.table.Divided() {
-		occupied = c.mainPool.dispatcher.Utilization(c.Loop.now)
+		utilization = c.mainPool.dispatcher.Utilization(c.Loop.now)
 	}
-	next := s.table.Turn(c.Loop.now, occupied)
+	next := s.table.Turn(c.Loop.now, utilization)
 	if len(s.changes) > 0 {
 		c.mainPool.dispatcher.List(c.Loop.now, &rules.List{Entries: s.changes})
 		s.changes = s.changes[:0]
@@ -66,33 +68,34 @@
 	c.Loop.At(next, s.turn)
 }
 
-// divided gives the part of a list that the decisions of the pool are told: what is not in the share has gone, as far as
-// they know.
-func (p *Pool) ownedEntries(whole bool, entries []rules.ListEntry) []rules.ListEntry {
+// ownedEntries returns the entries that the pool's Dispatcher gets: a worker outside of the share is left out of a full
+// list and marked as gone in a change. It reuses the memory of entries.
+func (p *Pool) ownedEntries(full bool, entries []rules.ListEntry) []rules.ListEntry {
 	s := p.share
 	if s == nil {
 		return entries
 	}
-	s.table.Listed(p.core.Loop.now, s.toUpdate(whole, entries))
+	s.table.Listed(p.core.Loop.now, s.toUpdate(full, entries))
 	if n := s.table.LeftOut(); n > s.loggedLeftOut {
 		p.core.Log.Warn("ownership: too many workers; the last ones get no jobs", "left_out", n, "most", ownership.MostWorkers)
 		s.loggedLeftOut = n
 	}
-	kept := entries[:0]
+	owned := entries[:0]
 	for _, e := range entries {
 		if e.State != rules.Gone && !p.owns(string(e.Worker)) {
-			if whole {
+			if full {
 				continue
 			}
 			e.State = rules.Gone
 		}
-		kept = append(kept, e)
+		owned = append(owned, e)
 	}
-	return kept
+	return owned
 }
 
-func (s *workerShare) toUpdate(whole bool, entries []rules.ListEntry) ownership.Update {
-	u := ownership.Update{Whole: whole}
+// toUpdate returns the part of a list that concerns the workers divided among the schedulers.
+func (s *workerShare) toUpdate(full bool, entries []rules.ListEntry) ownership.Update {
+	u := ownership.Update{Whole: full}
 	for _, e := range entries {
 		switch name := string(e.Worker); {
 		case e.State == rules.Gone:
@@ -104,60 +107,61 @@
 	return u
 }
 
-// covers tells whether a worker is one of those that are divided.
+// isShared returns whether a listed worker is one of those divided among the schedulers.
 func (s *workerShare) isShared(worker string) bool {
-	m := s.core.mainPool.list.workers[worker]
-	if m == nil {
+	entry := s.core.mainPool.list.workers[worker]
+	if entry == nil {
 		return false
 	}
-	_, discovered := m.transport.(DiscoveredTransport)
+	_, discovered := entry.transport.(DiscoveredTransport)
 	return discovered
 }
 
-// holds tells whether the pool's decisions are told of a worker that is listed.
+// owns returns whether the pool's Dispatcher may use a listed worker.
 func (p *Pool) owns(worker string) bool {
 	return p.share == nil || !p.share.isShared(worker) || p.share.table.Holds(worker)
 }
 
-// Enter implements ownership.Actions.
+// Enter implements ownership.Actions: the worker joins the share.
 func (s *workerShare) Enter(worker string) {
-	if m := s.core.mainPool.list.workers[worker]; m != nil {
-		s.changes = append(s.changes, m.entry())
+	if entry := s.core.mainPool.list.workers[worker]; entry != nil {
+		s.changes = append(s.changes, entry.entry())
 	}
 }
 
-// Leave implements ownership.Actions.
+// Leave implements ownership.Actions: the worker leaves the share, and its running jobs go on.
 func (s *workerShare) Leave(worker string) {
-	if m := s.core.mainPool.list.workers[worker]; m != nil {
-		e := m.entry()
+	if entry := s.core.mainPool.list.workers[worker]; entry != nil {
+		e := entry.entry()
 		e.State = rules.Gone
 		s.changes = append(s.changes, e)
 	}
 }
 
-// Divide implements ownership.Actions.
+// Divide implements ownership.Actions: the division of a kind of workers has changed.
 func (s *workerShare) Divide(d ownership.Division) {
 	s.core.mainPool.dispatcher.SetSharing(d.Kind, d.Senders, d.Foreign)
 	if d.Kind == ownership.AllKinds {
-		held, size := s.table.Held()
-		s.core.Log.Info("ownership", "divided", d.Divided, "held", held, "workers", size, "schedulers", s.table.Live(),
+		held, total := s.table.Held()
+		s.core.Log.Info("ownership", "divided", d.Divided, "held", held, "workers", total, "schedulers", s.table.Live(),
 			"span", s.table.Span())
 	}
 }
 
-// Member implements ownership.Actions.
+// Member implements ownership.Actions: another scheduler is considered dead, or alive again.
 func (s *workerShare) Member(rank int, alive bool) {
 	s.core.Log.Info("ownership: scheduler lost or back", "rank", rank, "alive", alive)
 }
 
-// Broadcast implements ownership.Actions.
+// Broadcast implements ownership.Actions: it sends a heartbeat to all other schedulers.
 func (s *workerShare) Broadcast(h ownership.Heartbeat) {
 	if s.core.Broadcast != nil {
 		s.core.Broadcast(h.Append(nil))
 	}
 }
 
-// heard takes a message of another scheduler if it is a heartbeat.
+// handleHeartbeat handles a message of another scheduler if it is a heartbeat, and returns whether it was one. A nil
+// workerShare ignores heartbeats.
 func (s *workerShare) handleHeartbeat(from int, data []byte) bool {
 	h, err := ownership.ParseHeartbeat(data)
 	if s == nil || err != nil {
--- a/internal/core/ownership_test.go
+++ b/internal/core/ownership_test.go
@@ -10,14 +10,14 @@
 	"cobaltflow/rules"
 )
 
-// discovered is a transport whose workers all schedulers are told of.
+// discovered is a transport whose workers are listed by all schedulers.
 type discovered struct{ stub }
 
 func (*discovered) HasDiscoveredWorkers() {}
 
 const dividedWorkers = 400
 
-// newDividedCore makes a core that is one of two schedulers, before as many workers.
+// newDividedCore returns the core of the first of two schedulers that divide dividedWorkers workers, and their list.
 func newDividedCore(t *testing.T, s *discovered) (*Core, []ListedWorker) {
 	t.Helper()
 	c := newCore(t, &s.stub)
@@ -30,8 +30,8 @@
 	return c, list
 }
 
-// later has the share's turn come when time has gone by, as the loop would.
-func later(c *Core, by Time) {
+// advance moves the time forward and runs the turns of the share, as the loop would.
+func advance(c *Core, by Time) {
 	const step = 50 * Millisecond
 	for end := c.Loop.now + by; c.Loop.now < end; {
 		c.Loop.now += step
@@ -39,74 +39,77 @@
 	}
 }
 
-func TestJobsGoToTheOwnShareOnly(t *testing.T) {
+// Jobs are sent only to the workers of the scheduler's own share, while the core knows all workers.
+func TestJobsAreSentToTheOwnShareOnly(t *testing.T) {
 	s := &discovered{}
 	c, list := newDividedCore(t, s)
-	figures, divided := c.Ownership()
+	stats, divided := c.Ownership()
 	require.True(t, divided)
-	require.Equal(t, dividedWorkers, figures.TotalWorkers)
-	require.Equal(t, dividedWorkers, c.WorkerCount(), "the core goes on knowing all")
-	require.InDelta(t, dividedWorkers/2, figures.HeldWorkers, 60)
+	require.Equal(t, dividedWorkers, stats.TotalWorkers)
+	require.Equal(t, dividedWorkers, c.WorkerCount(), "the core keeps the whole list")
+	require.InDelta(t, dividedWorkers/2, stats.HeldWorkers, 60)
 	for i := range 300 {
-		take(c, &s.stub, fmt.Sprint("r", i))
+		accept(c, &s.stub, fmt.Sprint("r", i))
 	}
-	require.Len(t, s.carried, 300)
-	for _, p := range s.carried {
-		require.True(t, c.mainPool.share.table.Holds(p.Worker), "%s is another scheduler's", p.Worker)
+	require.Len(t, s.sent, 300)
+	for _, attempt := range s.sent {
+		require.True(t, c.mainPool.share.table.Holds(attempt.Worker), "%s belongs to the other scheduler", attempt.Worker)
 	}
-	// All that is listed anew, started again, is divided the same way.
+	// Updates of all workers do not change the share.
 	for i := range list {
 		list[i].Weight = 2
 	}
 	c.UpdateWorkerList(s, rules.ListDelta, list)
-	require.Equal(t, figures.HeldWorkers, c.mainPool.dispatcher.KnownWorkers())
+	require.Equal(t, stats.HeldWorkers, c.mainPool.dispatcher.KnownWorkers())
 }
 
-func TestWorkersOfADeadSchedulerAreTakenOver(t *testing.T) {
+// The workers of a scheduler that leaves join the share, and leave it again when the scheduler is back.
+func TestWorkersOfALeavingSchedulerAreTakenOver(t *testing.T) {
 	s := &discovered{}
 	c, _ := newDividedCore(t, s)
 	var sent [][]byte
 	c.Broadcast = func(data []byte) { sent = append(sent, append([]byte(nil), data...)) }
-	later(c, 3*Second)
-	require.NotEmpty(t, sent, "heartbeats go out")
+	advance(c, 3*Second)
+	require.NotEmpty(t, sent, "heartbeats are sent")
 	_, err := ownership.ParseHeartbeat(sent[0])
 	require.NoError(t, err)
 	half := c.mainPool.dispatcher.KnownWorkers()
 	require.Less(t, half, dividedWorkers)
 	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.AnyZone, Leaving: true}.Append(nil))
-	later(c, 2*Second)
+	advance(c, 2*Second)
 	require.Equal(t, dividedWorkers, c.mainPool.dispatcher.KnownWorkers())
 	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.AnyZone}.Append(nil))
-	later(c, 2*Second)
-	c.mainPool.dispatcher.TimerDue(c.Loop.now, 0) // those given back are let go of
+	advance(c, 2*Second)
+	c.mainPool.dispatcher.TimerDue(c.Loop.now, 0) // the Dispatcher forgets the workers that were given back
 	require.Equal(t, half, c.mainPool.dispatcher.KnownWorkers())
 }
 
-// A job that runs at a worker which is given back gets its answer from there.
-func TestJobsInHandGoOnWhereAWorkerIsGivenBack(t *testing.T) {
+// A job that runs at a worker when the worker leaves the share gets its answer from there.
+func TestRunningJobsGoOnWhenAWorkerLeavesTheShare(t *testing.T) {
 	s := &discovered{}
 	c, _ := newDividedCore(t, s)
 	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.AnyZone, Leaving: true}.Append(nil))
-	later(c, 2*Second)
+	advance(c, 2*Second)
 	for i := range 100 {
 		c.Accept(&Request{ID: fmt.Sprint("r", i), Deadline: c.Loop.now + 100*Second, Client: s})
 	}
 	c.runPendingActions()
 	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.AnyZone}.Append(nil))
-	later(c, Second+Millisecond)
-	given := 0
-	for _, p := range s.carried {
-		if !c.mainPool.share.table.Holds(p.Worker) {
-			given++
+	advance(c, Second+Millisecond)
+	givenBack := 0
+	for _, attempt := range s.sent {
+		if !c.mainPool.share.table.Holds(attempt.Worker) {
+			givenBack++
 		}
-		require.True(t, c.AttemptEnded(p.Ref, rules.OK, nil, rules.Load{}))
+		require.True(t, c.AttemptEnded(attempt.Ref, rules.OK, nil, rules.Load{}))
 	}
-	require.Positive(t, given)
-	require.Equal(t, len(s.carried), s.answers)
+	require.Positive(t, givenBack)
+	require.Equal(t, len(s.sent), s.answers)
 	require.Equal(t, uint64(100), c.Counts.Served)
 }
 
-func TestAWorkerOfAnotherShareMayBeHeldByHand(t *testing.T) {
+// A worker may be disabled while it belongs to another scheduler's share, and is still disabled when it joins this one's.
+func TestWorkersOfOtherSharesCanBeDisabled(t *testing.T) {
 	s := &discovered{}
 	c, list := newDividedCore(t, s)
 	for _, w := range list {
@@ -114,11 +117,11 @@
 	}
 	require.False(t, c.SetWorkerDisabled("unlisted", true))
 	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.AnyZone, Leaving: true}.Append(nil))
-	later(c, 2*Second)
-	require.Equal(t, dividedWorkers, c.WorkersOutOfRotation(), "what became ours is out as well")
+	advance(c, 2*Second)
+	require.Equal(t, dividedWorkers, c.WorkersOutOfRotation(), "the workers that joined the share are disabled as well")
 }
 
-// Workers that discovery does not tell of are this scheduler's alone.
+// Workers that do not come from discovery belong to this scheduler alone.
 func TestWorkersOfOtherTransportsAreNotDivided(t *testing.T) {
 	s, own := &discovered{}, &stub{}
 	c, _ := newDividedCore(t, s)
@@ -127,6 +130,6 @@
 	require.Equal(t, held+2, c.mainPool.dispatcher.KnownWorkers())
 	c.UpdateWorkerList(own, rules.ListFull, []ListedWorker{{Name: "session-1", Weight: 1}})
 	require.Equal(t, dividedWorkers+1, c.WorkerCount())
-	figures, _ := c.Ownership()
-	require.Equal(t, dividedWorkers, figures.TotalWorkers)
+	stats, _ := c.Ownership()
+	require.Equal(t, dividedWorkers, stats.TotalWorkers)
 }
--- a/internal/core/sites.go
+++ b/internal/core/sites.go
@@ -8,27 +8,28 @@
 	"cobaltflow/rules"
 )
 
-// Signs may be implemented by a Carrier that tells of its workers' signs of life, with Core.Asked and the calls beside
-// it. Workers of others are held for alive as long as they are listed.
+// Heartbeats is implemented by a Transport that reports signs of life of its workers with Core.ReplyExpected,
+// WorkerResponded, ConnectFailed and ReplyAbandoned. The workers of other transports count as alive while they are listed.
 type Heartbeats interface{ ReportsHeartbeats() }
 
+// The retry credit is the number of attempts at silent workers that may be ended and retried at once.
 const (
-	retryCreditPerAnswer = 0.1 // passes that may be tried again at once for each that is served, when their worker is lost
-	maxRetryCredit       = 20  // and how many of them may have been saved up
+	retryCreditPerAnswer = 0.1 // earned by each request that is served
+	maxRetryCredit       = 20  // the credit's upper bound, and its value at the start
 )
 
-// siteWatch carries out what package sites says of the main pool's workers. A nil one is switched off: nothing is known
-// of sites.
+// siteWatch applies the decisions of package sites (failover between sites) to the main pool's workers. A nil siteWatch
+// is switched off.
 type siteWatch struct {
 	core        *Core
 	machine     *sites.Machine
-	timer       *Timer
+	timer       *Timer // of the machine's next turn
 	retryCredit float64
-	stranded    []Ref // passes at workers that are out, which may be repeated as soon as the budget allows
+	stranded    []Ref // attempts at silent workers that may be retried and wait for retry credit
 	siteNames   []string
 }
 
-// WatchSites has the core know sites, which have these names. It is called before the first list.
+// WatchSites enables the failover between sites, given by their names. It must be called before the first worker list.
 func (c *Core) WatchSites(set sites.Settings, names []string, seed uint64) {
 	w := &siteWatch{core: c, retryCredit: maxRetryCredit, siteNames: names}
 	w.machine = sites.New(set, seed, c.Loop.now, w)
@@ -36,7 +37,7 @@
 	w.turn()
 }
 
-// Asked tells that something goes out to a worker that it has to answer.
+// ReplyExpected reports that something is sent to a worker that it has to reply to.
 func (c *Core) ReplyExpected(worker string) {
 	if c.sites != nil {
 		c.sites.machine.Asked(c.Loop.now, worker)
@@ -44,66 +45,67 @@
 	}
 }
 
-// Answered tells of a sign of life.
+// WorkerResponded reports a sign of life of a worker: a reply or anything else it sends.
 func (c *Core) WorkerResponded(worker string) {
 	if c.sites != nil {
 		c.sites.machine.Answered(c.Loop.now, worker)
 	}
 }
 
-// NotReached tells that a worker took no connection.
+// ConnectFailed reports that no connection to a worker could be established.
 func (c *Core) ConnectFailed(worker string) {
 	if c.sites != nil {
 		c.sites.machine.Refused(c.Loop.now, worker)
 	}
 }
 
-// Dropped tells that what was asked of a worker was given up by ourselves.
+// ReplyAbandoned reports that this process no longer waits for a worker's reply, so that its absence proves nothing.
 func (c *Core) ReplyAbandoned(worker string) {
 	if c.sites != nil {
 		c.sites.machine.Dropped(worker)
 	}
 }
 
-// SiteFigures are what is known of one site.
+// SiteStatus is the state of one site.
 type SiteStatus struct {
 	Name                string
 	State               sites.State
-	Since               Time
-	WorkersOut, Workers int
+	Since               Time // when the site entered the state
+	WorkersOut, Workers int  // listed workers of the site that get no new jobs, and all of them
 }
 
-// Sites tells of all sites; nil: they are not watched.
+// Sites returns the state of all sites; nil if sites are not watched.
 func (c *Core) Sites() (list []SiteStatus) {
 	if c.sites == nil {
 		return nil
 	}
 	for i, name := range c.sites.siteNames {
-		f := SiteStatus{Name: name}
-		f.State, f.Since = c.sites.machine.State(i)
-		f.WorkersOut, f.Workers = c.sites.machine.OutOf(i)
-		list = append(list, f)
+		status := SiteStatus{Name: name}
+		status.State, status.Since = c.sites.machine.State(i)
+		status.WorkersOut, status.Workers = c.sites.machine.OutOf(i)
+		list = append(list, status)
 	}
 	return list
 }
 
-// listed hands the list on.
+// updateMembers hands the ready workers to the machine, after each update of the main pool's worker list.
 func (w *siteWatch) updateMembers() {
 	if w == nil {
 		return
 	}
-	farm := w.core.mainPool.list.workers
-	var list []sites.Member
-	for _, name := range slices.Sorted(maps.Keys(farm)) {
-		m := farm[name]
-		if _, tells := m.transport.(Heartbeats); tells && m.State == rules.Ready {
-			list = append(list, sites.Member{Worker: name, Site: m.Zone})
+	workers := w.core.mainPool.list.workers
+	var members []sites.Member
+	for _, name := range slices.Sorted(maps.Keys(workers)) {
+		entry := workers[name]
+		if _, reports := entry.transport.(Heartbeats); reports && entry.State == rules.Ready {
+			members = append(members, sites.Member{Worker: name, Site: entry.Zone})
 		}
 	}
-	w.machine.Listed(w.core.Loop.now, list)
+	w.machine.Listed(w.core.Loop.now, members)
 }
 
-// soon has the machine's turn come before its idle time: something is out that may go unanswered.
+// scheduleSoon moves the machine's next turn forward to at most soonTurnDelay from now: a reply is expected that may not
+// come, and an idle machine would be called again too late.
 func (w *siteWatch) scheduleSoon() {
 	if w.timer != nil && w.timer.at > w.core.Loop.now+soonTurnDelay {
 		w.core.Loop.CancelTimer(w.timer)
@@ -118,82 +120,86 @@
 	w.retryStranded()
 }
 
-// served earns the right to repeat.
+// addRetryCredit adds the credit that a served request earns.
 func (w *siteWatch) addRetryCredit() {
 	if w != nil {
 		w.retryCredit = min(w.retryCredit+retryCreditPerAnswer, maxRetryCredit)
 	}
 }
 
-// Ask implements sites.Actions.
+// Ask implements sites.Actions: it probes a worker.
 func (w *siteWatch) Ask(worker string) { (actions{w.core.mainPool}).Probe(rules.WorkerID(worker)) }
 
-// Changed implements sites.Actions.
+// Changed implements sites.Actions: it logs the change of a site's state.
 func (w *siteWatch) Changed(site int, from, to sites.State) {
 	if from == sites.Suspect && to == sites.Whole || to == sites.Suspect {
-		return // now and then a worker is late; what it comes to is told
+		return // single late replies are frequent; only a change that has consequences is logged
 	}
 	out, all := w.machine.OutOf(site)
 	w.core.Log.Warn("site", "name", w.siteNames[site], "state", to.String(), "was", from.String(), "workers_out", out, "workers", all)
 }
 
-// Out implements sites.Actions: nothing new goes there, and what may be repeated is, in the order in which it is due.
+// Out implements sites.Actions: a silent worker gets no new jobs, and its attempts that may be retried are queued for
+// retryStranded.
 func (w *siteWatch) Out(worker string, siteLost bool) {
 	c := w.core
 	c.mainPool.dispatcher.SetDisabled(c.Loop.now, rules.WorkerID(worker), rules.BySites, true)
 	if !siteLost {
-		c.Log.Info("table worker is silent, and gets nothing new", "worker", worker)
+		c.Log.Info("worker is silent and gets no new jobs", "worker", worker)
 	}
-	c.attempts.Each(func(ref Ref, p *Attempt) {
-		if p.Worker == worker && p.Request.Pool == c.mainPool && !p.Request.closed && w.mayRepeat(p.Request) {
+	c.attempts.Each(func(ref Ref, attempt *Attempt) {
+		if attempt.Worker == worker && attempt.Request.Pool == c.mainPool && !attempt.Request.closed &&
+			w.mayRepeat(attempt.Request) {
 			w.stranded = append(w.stranded, ref)
 		}
 	})
 }
 
-func (w *siteWatch) mayRepeat(t *Request) bool {
-	return !t.AtMostOnce && w.core.settings.Classes[t.Job.Class].Effect == rules.Repeatable
+func (w *siteWatch) mayRepeat(request *Request) bool {
+	return !request.AtMostOnce && w.core.settings.Classes[request.Job.Class].Effect == rules.Repeatable
 }
 
-// Back implements sites.Actions. A worker that was away with its site may have been started anew before the list tells:
-// it is listed as started now, so that all schedulers keep to its cold budget.
+// Back implements sites.Actions: the worker gets jobs again. One that was away with its whole site may have been
+// restarted before the worker list shows it: if it is to be treated as cold, its start time is set to now, so that all
+// schedulers keep to its slow-start budget.
 func (w *siteWatch) Back(worker string, cold bool) {
 	c := w.core
-	if m := c.mainPool.list.workers[worker]; m != nil && cold && m.StartedAt < c.Loop.now-c.settings.SlowStartWindow {
-		m.StartedAt = c.Loop.now
-		c.mainPool.dispatcher.List(c.Loop.now, &rules.List{Entries: c.mainPool.ownedEntries(false, []rules.ListEntry{m.entry()})})
+	if entry := c.mainPool.list.workers[worker]; entry != nil && cold && entry.StartedAt < c.Loop.now-c.settings.SlowStartWindow {
+		entry.StartedAt = c.Loop.now
+		c.mainPool.dispatcher.List(c.Loop.now,
+			&rules.List{Entries: c.mainPool.ownedEntries(false, []rules.ListEntry{entry.entry()})})
 	}
 	c.mainPool.dispatcher.SetDisabled(c.Loop.now, rules.WorkerID(worker), rules.BySites, false)
 }
 
-// rescue ends stranded passes as far as the budget goes, those that are due first before the others, so that the
-// decisions try again elsewhere. The rest waits for the next turn; one whose worker has come back goes on.
+// retryStranded ends stranded attempts as far as the retry credit allows, those with the earliest deadline first, so that
+// the Dispatcher retries them at other workers. The rest waits for the next turn; an attempt whose worker is back goes on.
 func (w *siteWatch) retryStranded() {
 	if len(w.stranded) == 0 {
 		return
 	}
 	c := w.core
-	kept := w.stranded[:0]
+	waiting := w.stranded[:0]
 	for _, ref := range w.stranded {
-		if p, out := c.attempts.Get(ref); out && !p.Request.closed && w.machine.Out(p.Worker) {
-			kept = append(kept, ref)
+		if attempt, inFlight := c.attempts.Get(ref); inFlight && !attempt.Request.closed && w.machine.Out(attempt.Worker) {
+			waiting = append(waiting, ref)
 		}
 	}
-	slices.SortStableFunc(kept, func(a, b Ref) int {
-		p, _ := c.attempts.Get(a)
-		q, _ := c.attempts.Get(b)
-		return int(min(max(p.Request.Deadline-q.Request.Deadline, -1), 1))
+	slices.SortStableFunc(waiting, func(a, b Ref) int {
+		first, _ := c.attempts.Get(a)
+		second, _ := c.attempts.Get(b)
+		return int(min(max(first.Request.Deadline-second.Request.Deadline, -1), 1))
 	})
 	n := 0
-	for n < len(kept) && w.retryCredit >= 1 {
-		p, _ := c.attempts.Get(kept[n])
+	for n < len(waiting) && w.retryCredit >= 1 {
+		attempt, _ := c.attempts.Get(waiting[n])
 		n++
 		w.retryCredit--
 		status := rules.Reset
-		if p.transport != nil && !p.transport.Cancel(p) {
+		if attempt.transport != nil && !attempt.transport.Cancel(attempt) {
 			status = rules.NotSent
 		}
-		c.endAttempt(p, status, nil, rules.Load{})
+		c.endAttempt(attempt, status, nil, rules.Load{})
 	}
-	w.stranded = slices.Clone(kept[n:])
+	w.stranded = slices.Clone(waiting[n:])
 }
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -7,10 +7,10 @@
 	"cobaltflow/rules"
 )
 
-// The log at its debug level tells what becomes of each request: its attempts, how they ended, and why it was answered as
-// it was. An attempt behind the first is a retry, for the reason that the end before it tells.
+// At debug level the log shows the course of each request: its attempts, how they ended, and the reason of its answer. An
+// attempt after the first is a retry; the end of the attempt before it is the reason.
 
-// Why a request was answered where the decisions were not asked; rules.Reason has theirs.
+// Reasons of answers that the Dispatcher did not decide on; for its own see rules.Reason.
 const (
 	reasonDone        = "done"
 	reasonProcessEnds = "process-ends"
@@ -18,32 +18,33 @@
 	reasonNoDecision  = "no-decision"
 )
 
-// tracing tells whether single requests are logged. The lines' values would else be put together for nothing.
+// isTracing returns whether single requests are logged. The trace functions check it first to save the cost of collecting
+// the values of a line that is not written.
 func (c *Core) isTracing() bool { return c.Log.Enabled(context.Background(), slog.LevelDebug) }
 
-func (c *Core) traceAttempt(p *Attempt) {
+func (c *Core) traceAttempt(attempt *Attempt) {
 	if c.isTracing() {
-		c.Log.Debug("request: attempt", "id", p.Request.ID, "attempt", p.Number, "worker", p.Worker,
-			"left_ms", p.Request.TimeLeft(c.Loop.now)/Millisecond)
+		c.Log.Debug("request: attempt", "id", attempt.Request.ID, "attempt", attempt.Number, "worker", attempt.Worker,
+			"left_ms", attempt.Request.TimeLeft(c.Loop.now)/Millisecond)
 	}
 }
 
-func (c *Core) traceEnd(p *Attempt, status rules.Status) {
+func (c *Core) traceEnd(attempt *Attempt, status rules.Status) {
 	if c.isTracing() {
-		c.Log.Debug("request: attempt ended", "id", p.Request.ID, "attempt", p.Number, "worker", p.Worker,
-			"status", status.String(), "may_have_run", !status.NeverRan(), "after_ms", (c.Loop.now-p.sentAt)/Millisecond)
+		c.Log.Debug("request: attempt ended", "id", attempt.Request.ID, "attempt", attempt.Number, "worker", attempt.Worker,
+			"status", status.String(), "may_have_run", !status.NeverRan(), "after_ms", (c.Loop.now-attempt.sentAt)/Millisecond)
 	}
 }
 
-func (c *Core) traceAnswer(t *Request, a Answer, why string) {
+func (c *Core) traceAnswer(request *Request, answer Answer, reason string) {
 	if c.isTracing() {
-		c.Log.Debug("request: answered", "id", t.ID, "answer", a.Kind.String(), "reason", why, "attempts", t.attempts,
-			"may_have_run", t.mayHaveRun, "left_ms", t.TimeLeft(c.Loop.now)/Millisecond)
+		c.Log.Debug("request: answered", "id", request.ID, "answer", answer.Kind.String(), "reason", reason, "attempts",
+			request.attempts, "may_have_run", request.mayHaveRun, "left_ms", request.TimeLeft(c.Loop.now)/Millisecond)
 	}
 }
 
-func (c *Core) traceClientGone(t *Request) {
+func (c *Core) traceClientGone(request *Request) {
 	if c.isTracing() {
-		c.Log.Debug("request: client left", "id", t.ID, "attempts", t.attempts, "out", len(t.inFlight))
+		c.Log.Debug("request: client left", "id", request.ID, "attempts", request.attempts, "out", len(request.inFlight))
 	}
 }
