--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts instances of the decision module on the simulator's wire: batches on
-// standard input, replies on standard output.
+// Command wirehost runs Dispatchers of package rules for the simulator: it reads batches of events from standard input and
+// writes the actions of each batch to standard output, in the simulator's protocol (package wire).
 package main
 
 import (
@@ -14,14 +14,14 @@
 )
 
 func main() {
-	debug.SetGCPercent(400) // the batches are short-lived; collect less often
+	debug.SetGCPercent(400) // the batches are short-lived: collect less often
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
 }
 
-// run answers batches until input ends.
+// run replies to batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	dec, enc := wire.NewDecoder(in), wire.NewEncoder(out)
 	instances := map[string]*rules.Dispatcher{}
@@ -46,7 +46,8 @@
 	}
 }
 
-// apply hands one event to its instance; a panic of the module comes back as text.
+// apply hands one event to its instance. It returns the text of a panic of the Dispatcher, whose stack it writes to
+// standard error; empty: there was none.
 func apply(instances map[string]*rules.Dispatcher, enc *wire.Encoder, now rules.Time, e *wire.Event) (fault string) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -9,13 +9,14 @@
 	"cobaltflow/rules"
 )
 
+// attach returns the lines that start an instance with three workers.
 func attach(instance, seed string) string {
 	return "SELECT\t" + instance + "\nATTACH\t" + seed + "\tcaps.mostTries=3\tcaps.cancel=true\tclasses.count=1\t" +
 		"classes.0.aimUs=150000\tclasses.0.deadlineUs=5000000\tclasses.0.effect=once\tgroupSize=2\tkinds=a\tdcs=x\n" +
 		"VIEW\t1\tdisk\t3\nM\tw1\t0\t0\t0\tready\t1\t-\nM\tw2\t0\t0\t0\tready\t1\t-\nM\tw3\t0\t0\t0\tready\t1\t-\n"
 }
 
-// transcript plays a short day for the instances named and gives the replies.
+// transcript runs a short session for the instances and returns the lines of the replies by instance.
 func transcript(t *testing.T, instances ...string) map[string][]string {
 	t.Helper()
 	in := "CLOCK\t1000\nCOMMIT\nCLOCK\t2000\n"
@@ -53,11 +54,12 @@
 	return by
 }
 
-func TestInstancesShareNothing(t *testing.T) {
+// An instance acts the same whether or not another one runs beside it.
+func TestInstancesAreIndependent(t *testing.T) {
 	both, a, b := transcript(t, "scheduler/a", "scheduler/b"), transcript(t, "scheduler/a"), transcript(t, "scheduler/b")
 	for name, alone := range map[string][]string{"scheduler/a": a["scheduler/a"], "scheduler/b": b["scheduler/b"]} {
 		if fmt.Sprint(both[name]) != fmt.Sprint(alone) {
-			t.Errorf("%s acts otherwise beside another instance:\n%q\nalone:\n%q", name, both[name], alone)
+			t.Errorf("%s acts differently beside another instance:\n%q\nalone:\n%q", name, both[name], alone)
 		}
 		sends, ends := 0, 0
 		for _, l := range alone {
@@ -74,6 +76,7 @@
 	}
 }
 
+// Malformed input is an error and writes nothing to standard output; events for an unknown instance are ignored.
 func TestBadInput(t *testing.T) {
 	for _, in := range []string{"CLOCK\t1\nSELECT\ts/1\n", "CLOCK\tx\nCOMMIT\n", "nonsense\n",
 		"CLOCK\t1\nSELECT\ts/1\nORDER\trq\nCOMMIT\n"} {
@@ -95,12 +98,13 @@
 	}
 }
 
-// A panic in the module ends the day as BAIL_OUT, with nothing else of it on standard output.
-func TestAPanicBecomesAFault(t *testing.T) {
+// A panic of a Dispatcher is returned as a fault of one line, which run reports as BAIL_OUT, and nothing else of it is
+// written to standard output.
+func TestPanicIsReturnedAsFault(t *testing.T) {
 	var out strings.Builder
 	enc := wire.NewEncoder(&out)
 	enc.Select("scheduler/1")
-	e := wire.Event{Type: wire.Attach, Instance: "scheduler/1"} // no settings: New can't be reached
+	e := wire.Event{Type: wire.Attach, Instance: "scheduler/1"} // no settings: apply panics before it calls rules.New
 	text := apply(map[string]*rules.Dispatcher{}, enc, 1, &e)
 	if !strings.HasPrefix(text, "panic: ") || strings.Contains(text, "\n") {
 		t.Errorf("fault %q", text)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock owns the process's clocks. Deadlines, windows, waits and graces are spans of the monotonic clock, which
-// runs on whatever is done to the wall clock; the wall clock, which may be stepped by an hour, is only for what is told to
-// people and peers as a date. Nothing else in the scheduler asks the system for the time; a test holds it so.
+// Package clock owns the process's clocks; no other package of the scheduler reads the system's time, which a test enforces.
+// Deadlines, windows, waits and graces are measured on the monotonic clock, which the steps of the wall clock do not
+// affect. The wall clock may be stepped by an hour, and is used only for dates shown to people or sent to peers.
 package clock
 
 import (
@@ -12,11 +12,11 @@
 
 var start = time.Now()
 
-// Monotonic is the time since the process's start. It never goes back.
+// Monotonic returns the time since the process started. It never goes backwards.
 func Monotonic() time.Duration { return time.Since(start) }
 
-// Machine is the machine's monotonic clock in microseconds, which all its processes read alike. It begins anew when the
-// machine does. 0: the system does not tell.
+// MachineMicros returns the machine's monotonic clock (CLOCK_MONOTONIC) in microseconds. All processes of the machine
+// read the same clock, and it restarts when the machine does. The result is 0 if the clock cannot be read.
 func MachineMicros() uint64 {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
@@ -25,10 +25,10 @@
 	return uint64(now.Nano() / int64(time.Microsecond))
 }
 
-// Wall is the wall clock's time. Two readings may be in any order.
+// Wall returns the wall-clock time. A later reading may give an earlier time.
 func Wall() time.Time { return time.Now().Round(0).Add(time.Duration(wallStep.Load())) }
 
-var wallStep atomic.Int64
+var wallStep atomic.Int64 // nanoseconds
 
-// StepWall steps this process's wall clock, as an operator or a time service may step the machine's; for tests.
+// StepWall steps this process's wall clock, as an operator or a time service may step the machine's. It is for tests.
 func StepWall(by time.Duration) { wallStep.Add(int64(by)) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -15,17 +15,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// scheduler is what runs in a scheduler; the rig, the measurements and the stand-ins keep clocks of their own.
+// schedulerFolders are the packages that run in a scheduler. The test harness, the measurements and the fakes read clocks
+// of their own.
 var schedulerFolders = []string{"rules", "internal/config", "internal/core", "internal/directive", "internal/discovery",
 	"internal/faktory", "internal/front", "internal/gateway", "internal/http1", "internal/jobs", "internal/link", "internal/log",
 	"internal/ownership", "internal/platform", "internal/replica", "internal/sites"}
 
-// asks are the functions of package time that read a clock.
+// clockFuncs are the functions of package time that read a clock.
 var clockFuncs = []string{"Now", "Since", "Until"}
 
-// Nothing in the scheduler but this package reads a clock. A connection's deadline of the standard library, which takes a
-// date, is the exception: time.Now().Add within it is a span of the monotonic clock.
-func TestNothingElseReadsAClock(t *testing.T) {
+// No package of the scheduler but this one may read a clock: code that uses time.Now would depend on steps of the wall
+// clock. A deadline of a standard library connection, which is given as a date, would be harmless (time.Now().Add
+// contains the monotonic clock's reading), but the test does not allow for it.
+func TestNoOtherPackageReadsAClock(t *testing.T) {
 	for _, folder := range schedulerFolders {
 		err := filepath.WalkDir(filepath.Join("..", "..", folder), func(path string, _ os.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.Contains(path, "faktory/client") {
@@ -50,7 +52,8 @@
 	}
 }
 
-func TestAStepOfTheWallClockIsNoneOfTheOther(t *testing.T) {
+// A step of the wall clock changes Wall and leaves Monotonic alone.
+func TestWallClockStepLeavesMonotonicAlone(t *testing.T) {
 	for _, by := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second} {
 		monotonic, wall := Monotonic(), Wall()
 		StepWall(by)
--- a/internal/core/disconnect_test.go
+++ b/internal/core/disconnect_test.go
@@ -16,7 +16,9 @@
 // the Dispatcher gets the outcome of the queued send. Without that outcome a hundred such clients occupied the worker's
 // slots for good.
 func TestDisconnectInTheTurnOfTheRequestFreesTheSlot(t *testing.T) {
-	for name, disconnect := range map[string]func(*Core, *Request){"cancelled": (*Core).ClientDisconnected, "left": (*Core).DetachClient} {
+	for name, disconnect := range map[string]func(*Core, *Request){
+		"cancelled": (*Core).ClientDisconnected, "left": (*Core).DetachClient,
+	} {
 		t.Run(name, func(t *testing.T) {
 			s := &stub{}
 			c := newCore(t, s, "a")
--- a/internal/core/sites.go
+++ b/internal/core/sites.go
@@ -136,7 +136,8 @@
 		return // single late replies are frequent; only a change that has consequences is logged
 	}
 	out, all := w.machine.OutOf(site)
-	w.core.Log.Warn("site", "name", w.siteNames[site], "state", to.String(), "was", from.String(), "workers_out", out, "workers", all)
+	w.core.Log.Warn("site", "name", w.siteNames[site], "state", to.String(), "was", from.String(),
+		"workers_out", out, "workers", all)
 }
 
 // Out implements sites.Actions: a silent worker gets no new jobs, and its attempts that may be retried are queued for
@@ -164,7 +165,8 @@
 // schedulers keep to its slow-start budget.
 func (w *siteWatch) Back(worker string, cold bool) {
 	c := w.core
-	if entry := c.mainPool.list.workers[worker]; entry != nil && cold && entry.StartedAt < c.Loop.now-c.settings.SlowStartWindow {
+	if entry := c.mainPool.list.workers[worker]; entry != nil && cold &&
+		entry.StartedAt < c.Loop.now-c.settings.SlowStartWindow {
 		entry.StartedAt = c.Loop.now
 		c.mainPool.dispatcher.List(c.Loop.now,
 			&rules.List{Entries: c.mainPool.ownedEntries(false, []rules.ListEntry{entry.entry()})})
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -16,26 +16,28 @@
 	"cobaltflow/internal/replica"
 )
 
-// folderWait is how long a process that can't read what operators have told puts off to listen. Until it has, the process
-// would send to workers that are out by hand; meanwhile the one that it takes over from serves. A restarted scheduler has 6 s
-// to be ready, and waits up to 1 s of them for its list.
+// maxFolderWait is how long a process that cannot read the directives' folder waits before it listens. Without the
+// directives it would send jobs to workers that operators have disabled; during a handover the old process serves
+// meanwhile. A restarted scheduler has to be ready within 6 s, of which it may wait 1 s for the worker list.
 const maxFolderWait = 4 * time.Second
 
-// directives carries out what operators have told any process of this scheduler: package replica tells of it, the
-// decisions and the clients' front go by it. Its methods are the loop's.
+// directives applies the operators' directives, given to any process of this scheduler, to the core and the HTTP/1.1 front.
+// Package replica keeps them and exchanges them between the processes. Its methods must be called on the loop goroutine,
+// save for hasSuccessor and generation.
 type directives struct {
 	replica  *replica.Replica
 	core     *core.Core
 	front    *platform.Front
 	log      *slog.Logger
-	disabled map[string]bool // table workers that are out by hand
-	// reload has the configuration read again; nil: nobody can. asked counts the reloads that this process told of itself
-	// and that have not come round to it yet.
-	reload     func()
+	disabled map[string]bool // table workers that operators have disabled
+	// reload rereads the configuration; nil: reload directives are ignored.
+	reload func()
+	// ownReloads counts the reload directives of this process that replica has not reported back to it yet.
 	ownReloads int
 }
 
-// openDirectives joins the scheduler's other processes. A folder that can't be used is told in the log and tried again.
+// openDirectives joins the other processes of the scheduler. If the folder cannot be used, it logs the error and retries
+// for up to maxFolderWait; after that the replica goes on retrying in the background.
 func openDirectives(conf *config.Config, c *core.Core, front *platform.Front, log *slog.Logger) *directives {
 	d := &directives{core: c, front: front, log: log, disabled: map[string]bool{}}
 	period := replica.PollPeriodWithAdmin
@@ -51,20 +53,20 @@
 		OnProcessesChanged: func(others replica.OtherProcesses) { c.Loop.Post(func() { d.updateProcesses(others) }) },
 	})
 	if err != nil {
-		log.Warn("directive: the folder can't be used, it is tried again", "error", err, "start_waits_at_most", maxFolderWait)
+		log.Warn("directive: the folder cannot be used, retrying", "error", err, "start_waits_at_most", maxFolderWait)
 		err = d.replica.AwaitFirstScan(maxFolderWait)
 	}
 	if err == nil {
 		err = importDisabledWorkers(d.replica, stateFilePath(conf, "held"))
 	}
 	if err != nil {
-		log.Warn("directive: the folder can't be used, it is tried again", "error", err)
+		log.Warn("directive: the folder cannot be used, retrying", "error", err)
 	}
 	return d
 }
 
-// importHeld takes over the workers out by hand that an older version of the program kept, a name a line, and removes
-// its file, whose names would otherwise come back at each start.
+// importDisabledWorkers imports the disabled workers from the file of an older version of the program, which holds one
+// name per line. It then removes the file: otherwise the workers would be disabled again at each start.
 func importDisabledWorkers(r *replica.Replica, path string) error {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -85,8 +87,8 @@
 	return os.Remove(path)
 }
 
-// resume puts in force what was told before this process was started. It is called before the loop runs, when the core
-// has its first list.
+// applyInitial applies the directives that were set before this process started. It must be called before the loop runs
+// and after the core has got its first worker list.
 func (d *directives) applyInitial() {
 	for _, e := range d.replica.Active() {
 		d.log.Info("directive: in force from the start", "key", string(e.Key), "version", e.Version)
@@ -94,7 +96,7 @@
 	d.apply(d.replica.Active())
 }
 
-// apply puts entries in force in this process.
+// apply applies directives to this process.
 func (d *directives) apply(entries []directive.Entry) {
 	for _, e := range entries {
 		worker, isWorker := e.Key.Worker()
@@ -111,36 +113,37 @@
 	}
 }
 
-// tellReload has the scheduler's other processes read their configuration again too.
+// broadcastReload sets a directive that makes the scheduler's other processes reread their configuration.
 func (d *directives) broadcastReload() {
-	const within = time.Second // to be counted as failed; it is tried on
+	const timeout = time.Second // then the change counts as failed, but replica goes on retrying it
 	d.ownReloads++
-	d.replica.Change(directive.Reload, false, within, func(error) {})
+	d.replica.Change(directive.Reload, false, timeout, func(error) {})
 }
 
-// reloadAsTold reads the configuration again where another process was asked to.
+// reloadOnDirective rereads the configuration if the reload directive comes from another process.
 func (d *directives) reloadOnDirective() {
 	if d.ownReloads > 0 {
 		d.ownReloads--
 		return
 	}
-	d.log.Info("reload: as another process of this scheduler was asked to")
+	d.log.Info("reload: requested by another process of this scheduler")
 	if d.reload != nil {
 		d.reload()
 	}
 }
 
-func (d *directives) setDisabled(worker string, out bool) (listed bool) {
-	if out {
+// setDisabled disables or enables a worker and returns whether it is listed.
+func (d *directives) setDisabled(worker string, disabled bool) (listed bool) {
+	if disabled {
 		d.disabled[worker] = true
 	} else {
 		delete(d.disabled, worker)
 	}
-	return d.core.SetWorkerDisabled(worker, out)
+	return d.core.SetWorkerDisabled(worker, disabled)
 }
 
-// share has this process take its part of what the rules and the platform count for the scheduler: descriptors and memory
-// are divided among the processes that live, and the slow-start budgets are the latest one's.
+// updateProcesses adapts the limits that hold for the scheduler as a whole to the number of its live processes:
+// descriptors and memory are divided among them, and only the latest process uses the slow-start budgets.
 func (d *directives) updateProcesses(others replica.OtherProcesses) {
 	d.log.Info("other processes of this scheduler", "alive", others.Alive, "successor", others.HasSuccessor)
 	d.front.DivideLimits(1 + others.Alive)
@@ -148,16 +151,16 @@
 	d.core.SetSlowStartElsewhere(others.HasSuccessor)
 }
 
-// Change implements admin.Directives. What keeps work away is in force in this process at once, whatever the folder
-// does; what lets it back in, once the other processes' files were looked at.
-func (d *directives) Change(key directive.Key, on bool, within time.Duration, answer func(error)) {
+// Change implements admin.Directives. A directive that is turned on (a disabled worker, a drain) applies to this process at
+// once, even if the folder fails; one that is turned off applies after the other processes' files have been read.
+func (d *directives) Change(key directive.Key, on bool, timeout time.Duration, done func(error)) {
 	if on {
 		d.apply([]directive.Entry{{Key: key, On: true}})
 	}
-	d.replica.Change(key, on, within, func(err error) { d.core.Loop.Post(func() { answer(err) }) })
+	d.replica.Change(key, on, timeout, func(err error) { d.core.Loop.Post(func() { done(err) }) })
 }
 
-// Known implements admin.Directives: a worker that discovery lists, or that is out by hand.
+// IsKnownWorker implements admin.Directives. It returns whether a worker is listed by discovery or disabled.
 func (d *directives) IsKnownWorker(worker string) bool {
 	return d.disabled[worker] || d.core.IsListed(worker)
 }
@@ -165,8 +168,9 @@
 // Failures implements admin.Directives.
 func (d *directives) Failures() uint64 { return d.replica.Failures() }
 
-// hasSuccessor tells whether a later process of this scheduler lives and listens. It reads files: not for the loop.
+// hasSuccessor returns whether a later process of this scheduler is alive and listens. It reads files and must not be
+// called on the loop goroutine.
 func (d *directives) hasSuccessor() bool { return d.replica.HasSuccessor() }
 
-// generation names this process in the log.
+// generation returns the number of this process among those of the scheduler, as the log shows it.
 func (d *directives) generation() string { return fmt.Sprintf("%08d", d.replica.Generation()) }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway puts the parts of one scheduler together: the loop, the core, and the fronts that the
-// configuration asks for. It decides nothing and knows no wire.
+// Package gateway assembles one scheduler from its parts: the event loop, the core, and the fronts that the configuration
+// enables. Command cobaltflow starts, reloads and stops it.
 package gateway
 
 import (
@@ -24,18 +24,18 @@
 	Conf        *config.Config
 	Loop        *core.Loop
 	Core        *core.Core
-	Front       *platform.Front
-	Faktory     *faktory.Front // nil: off
-	HTTP2       *http2.Front   // nil: off
-	Admin       *admin.Front   // nil: there is no operators' address
+	Front       *platform.Front // HTTP/1.1
+	Faktory     *faktory.Front  // nil: off
+	HTTP2       *http2.Front    // nil: off
+	Admin       *admin.Front    // nil: no admin address is configured
 	log         *slog.Logger
-	closeChecks int
+	closeChecks int // how often closeFronts has waited for the HTTP/2 front
 
 	directives *directives
 	onReload   func()
 }
 
-// New makes a gateway; Start opens it.
+// New returns a gateway that does not listen yet; see Start.
 func New(conf *config.Config, log *slog.Logger) *Gateway {
 	g := &Gateway{Conf: conf, Loop: core.NewLoop(), log: log}
 	settings := conf.Settings
@@ -60,7 +60,7 @@
 	return g
 }
 
-// Start listens. It is called before Run; its error names the key of an address that can't be had.
+// Start opens the listeners. It must be called before Run. If an address cannot be used, the error names its settings key.
 func (g *Gateway) Start() error {
 	for _, note := range g.Conf.Notes {
 		g.log.Info("configuration", "note", note)
@@ -94,14 +94,14 @@
 		g.log.Info("faktory: serves", "address", g.Faktory.Address())
 	}
 	if err := writePIDFile(g.Conf); err != nil {
-		g.log.Warn("a predecessor of an older version will not know of this process", "error", err)
+		g.log.Warn("a predecessor of an older version will not detect this process", "error", err)
 	}
 	g.directives.replica.MarkServing()
 	g.directives.replica.Run()
 	return nil
 }
 
-// Run turns the loop until Stop has come to its end.
+// Run runs the loop until the shutdown that Stop begins is complete.
 func (g *Gateway) Run() {
 	g.Loop.Run()
 	g.directives.replica.Close()
@@ -110,15 +110,15 @@
 		"passes", n.Attempts, "probes", n.Probes)
 }
 
-// OnReload sets what is called, on the loop, when another process of this scheduler was asked to read its configuration
-// again; it must not block. It is called before Start.
+// OnReload sets the function that is called, on the loop goroutine, when another process of this scheduler was asked to
+// reread its configuration. The function must not block. OnReload must be called before Start.
 func (g *Gateway) OnReload(reload func()) { g.onReload = reload }
 
-// TellReload tells the scheduler's other processes that this one was asked to read its configuration again. It may be
-// called from any goroutine.
+// BroadcastReload makes the scheduler's other processes reread their configuration as well. It may be called from any
+// goroutine.
 func (g *Gateway) BroadcastReload() { g.Loop.Post(g.directives.broadcastReload) }
 
-// Reload takes a new configuration over; it may be called from any goroutine.
+// Reload applies a new configuration. It may be called from any goroutine.
 func (g *Gateway) Reload(next *config.Config) {
 	g.Loop.Post(func() {
 		g.Front.Reload(next)
@@ -126,19 +126,20 @@
 	})
 }
 
-// ReloadFailed logs why the old configuration stands.
+// ReloadFailed logs why the old configuration is kept. It may be called from any goroutine.
 func (g *Gateway) ReloadFailed(err error) {
-	// By the loop, which runs no event once the log is closed.
+	// Logged on the loop goroutine, since the loop runs no event after the log is closed.
 	g.Loop.Post(func() { g.log.Warn("reload: the old configuration is kept", "error", err) })
 }
 
-// Stop has the gateway end in order: what was taken is answered first. It may be called from any goroutine.
+// Stop begins a graceful shutdown: all accepted requests are answered first. It may be called from any
+// goroutine.
 func (g *Gateway) Stop() {
-	// Read before the loop is asked: the loop does no I/O of its own.
+	// Called before the event is posted, since hasSuccessor reads files and the loop goroutine must not block on I/O.
 	handOver := g.directives.hasSuccessor()
 	g.Loop.Post(func() {
 		if handOver {
-			g.log.Info("a successor serves at the same address: the clients are sent over")
+			g.log.Info("a successor serves at the same address, clients are drained to it")
 			g.Front.HandOver()
 		}
 		g.Core.AnnounceLeaving()
@@ -152,12 +153,17 @@
 	})
 }
 
-// end closes the other fronts when the first has nothing left: their jobs are the core's too, so that only answers
-// may still be on their way, for a bounded time.
+const (
+	closeCheckPeriod = 20 * core.Millisecond // also the time between the fronts' close and the end of the loop
+	maxCloseChecks   = 100
+)
+
+// closeFronts closes the other fronts once the HTTP/1.1 front has ended. The core then has no open requests, theirs
+// included, and only answers may still be unsent: the HTTP/2 front gets up to maxCloseChecks periods to send them.
 func (g *Gateway) closeFronts() {
-	if g.HTTP2 != nil && !g.HTTP2.Done() && g.closeChecks < 100 {
+	if g.HTTP2 != nil && !g.HTTP2.Done() && g.closeChecks < maxCloseChecks {
 		g.closeChecks++
-		g.Loop.At(g.Loop.Now()+20*core.Millisecond, g.closeFronts)
+		g.Loop.At(g.Loop.Now()+closeCheckPeriod, g.closeFronts)
 		return
 	}
 	if g.Faktory != nil {
@@ -169,13 +175,13 @@
 	if g.Admin != nil {
 		g.Admin.Close()
 	}
-	g.Loop.At(g.Loop.Now()+20*core.Millisecond, g.Loop.Stop)
+	g.Loop.At(g.Loop.Now()+closeCheckPeriod, g.Loop.Stop)
 }
 
-// KeepWithin sets the runtime's own limits.
+// ApplyLimits sets the Go runtime's limits (GOMAXPROCS, the memory limit and the collector's pace) from the configured ones.
 func ApplyLimits(l config.Limits) {
-	// A poller that sleeps in a system call holds a proc until the runtime takes it back, which can
-	// take milliseconds: with one proc more than the cores nothing waits for that.
+	// A poller that sleeps in a system call keeps its P until the runtime retakes it, which can take milliseconds. With
+	// one P more than there are cores no goroutine has to wait for that.
 	runtime.GOMAXPROCS(int(l.Cores+0.999) + 1)
 	debug.SetMemoryLimit(int64(l.MemoryMB) << 20 / 3 * 2)
 	memoryLimit.Store(int64(l.MemoryMB) << 20)
@@ -188,25 +194,27 @@
 	startGCHook sync.Once
 )
 
-// pace has the collector run next when the heap has grown by a part of the limit, not of what lives: with little
-// alive the usual ratio has it run all the time, and with much it lets the heap double.
+// adjustGCPercent makes the next collection start when the heap has grown by a fraction of the memory limit, instead of a
+// fraction of the live heap: with the default ratio the collector would run all the time while little is live, and let
+// the heap double while much is. The growth is an eighth of what the limit leaves above the live heap, at least a
+// sixteenth of the limit; the percentage is kept from 20 to 1600.
 func adjustGCPercent() {
 	sample := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(sample)
-	most, live := memoryLimit.Load(), max(int64(sample[0].Value.Uint64()), 1<<20)
-	debug.SetGCPercent(int(min(max(max(most/16, most/8-live/8)*100/live, 20), 1600)))
+	limit, live := memoryLimit.Load(), max(int64(sample[0].Value.Uint64()), 1<<20)
+	debug.SetGCPercent(int(min(max(max(limit/16, limit/8-live/8)*100/live, 20), 1600)))
 }
 
-// afterEachCollection calls f after each run of the collector, on a goroutine of the runtime's: an object that
-// nobody holds is found by each run.
+// afterEachGC calls f after each collection, on the runtime's finalizer goroutine: each collection finalizes an
+// unreachable object, whose finalizer calls f and creates the next one.
 func afterEachGC(f func()) {
 	type sentinel struct{ _ *byte }
-	var arm func()
-	arm = func() {
+	var armNext func()
+	armNext = func() {
 		runtime.SetFinalizer(&sentinel{}, func(*sentinel) {
 			f()
-			arm()
+			armNext()
 		})
 	}
-	arm()
+	armNext()
 }
--- a/internal/gateway/statefile.go
+++ b/internal/gateway/statefile.go
@@ -9,33 +9,34 @@
 	"cobaltflow/internal/config"
 )
 
-// The platform starts a new version beside the old one, with the same addresses and the same $TMPDIR, and sends the old
-// one SIGTERM once the new one is ready (a handover). Package replica carries between the two what operators told either
-// of them, and tells the old one of the new one, so that it sends its clients over at once.
+// Handover: the platform starts a new version of the program beside the old one, with the same addresses and the same
+// $TMPDIR, and sends the old one SIGTERM once the new one is ready. Package replica exchanges the operators' directives
+// between the two processes, and lets the old one detect the new one, so that it drains its clients at once.
 
-// stateFile names a file or folder of a scheduler, by what it holds and by the scheduler's name and clients' address,
-// which an old and a new version share: cobaltflow-KIND-NAME-ADDRESS in $TMPDIR (os.TempDir) or the configured folder,
-// with any other character than a letter, digit, '-' or '.' written '_'. An address whose port the kernel picks is shared
-// with no other process, so the process's id stands behind it.
+// stateFilePath returns the path of a file or folder that the processes of one scheduler share:
+// cobaltflow-KIND-NAME-ADDRESS in $TMPDIR (os.TempDir) or the configured folder. Kind is what the file holds; name and
+// address are the scheduler's, and equal in an old and a new version. Characters other than letters, digits, '-' and '.'
+// are replaced by '_'. An address whose port the kernel chooses is shared with no other process, so the process ID is
+// appended.
 func stateFilePath(conf *config.Config, kind string) string {
-	clean := strings.Map(func(r rune) rune {
+	suffix := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '.' {
 			return r
 		}
 		return '_'
 	}, conf.Name+"-"+conf.Listen)
 	if strings.HasSuffix(conf.Listen, ":0") {
-		clean += "-" + strconv.Itoa(os.Getpid())
+		suffix += "-" + strconv.Itoa(os.Getpid())
 	}
 	folder := conf.StateFolder
 	if folder == "" {
 		folder = os.TempDir()
 	}
-	return filepath.Join(folder, "cobaltflow-"+kind+"-"+clean)
+	return filepath.Join(folder, "cobaltflow-"+kind+"-"+suffix)
 }
 
-// writePIDFile writes this process's id where an older version of the program looks for its successor; it is called once
-// the process listens. The error is for the log.
+// writePIDFile writes the process ID to the file by which an older version of the program detects its successor. It must
+// be called after the process has begun to listen. The error is only logged.
 func writePIDFile(conf *config.Config) error {
 	path := stateFilePath(conf, "up")
 	temporary := path + "." + strconv.Itoa(os.Getpid())
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,5 +1,5 @@
-// Package hangup catches SIGHUP from the program's first moments: left to the runtime the signal ends the process, and the
-// platform may send it to one that it has just started. Built with cgo, as deployed, it has the signal ignored until the
+// Package hangup catches SIGHUP from the start of the process: by default the signal ends the process, and the platform may
+// send it to a process that it has just started. In a build with cgo, as deployed, the signal is ignored until the Go
 // runtime can catch it.
 package hangup
 
@@ -9,7 +9,8 @@
 	"syscall"
 )
 
-// Received gets each SIGHUP; one that waits is enough, since the configuration is read after it was taken.
+// Received receives SIGHUP, which asks for a reload of the configuration. A buffer of one signal is enough, since the
+// configuration is read after the signal has been taken out.
 var Received = make(chan os.Signal, 1)
 
 func init() { signal.Notify(Received, syscall.SIGHUP) }
--- a/internal/log/log.go
+++ b/internal/log/log.go
@@ -1,5 +1,5 @@
-// Package log makes the program's structured log: log/slog over a writer that never makes the caller wait,
-// since a slow reader of the log must not hold up the loop. It decides nothing and knows no wire.
+// Package log provides the program's structured log: log/slog over a writer that never blocks, since a slow reader of the
+// log must not stall the event loop. All packages of the scheduler log through the logger that it returns.
 package log
 
 import (
@@ -11,41 +11,43 @@
 	"sync/atomic"
 )
 
-// Formats of the log.
+// Values of Settings.Format.
 const (
 	Text = "text" // key=value
-	JSON = "json" // one object a line
+	JSON = "json" // one object per line
 )
 
-// Settings of the log. Zero values stand for text and info.
+// Settings configures the log.
 type Settings struct {
-	Format string // Text or JSON
-	Level  string // debug, info, warn or error
+	Format string // Text or JSON; empty: Text
+	Level  string // debug, info, warn or error; empty: info
 }
 
-const maxQueuedLines = 1024 // lines that may wait to be written; past it they are dropped and counted
+// maxQueuedLines is the number of lines that may wait to be written. Further lines are dropped and counted.
+const maxQueuedLines = 1024
 
-// New makes a logger over a background writer to w. Close the writer when nothing is logged any more.
+// New returns a logger that writes to w in the background, and its writer, which must be closed after the last line is
+// logged. The error names the setting that is invalid.
 func New(w io.Writer, s Settings) (*slog.Logger, *Writer, error) {
 	var level slog.Level
 	if s.Level != "" {
 		if err := level.UnmarshalText([]byte(strings.ToUpper(s.Level))); err != nil {
-			return nil, nil, fmt.Errorf("log.level: %q is none of debug, info, warn, error", s.Level)
+			return nil, nil, fmt.Errorf("log.level: %q is not one of debug, info, warn, error", s.Level)
 		}
 	}
-	sink := NewWriter(w)
+	writer := NewWriter(w)
 	options := &slog.HandlerOptions{Level: level}
 	switch s.Format {
 	case "", Text:
-		return slog.New(slog.NewTextHandler(sink, options)), sink, nil
+		return slog.New(slog.NewTextHandler(writer, options)), writer, nil
 	case JSON:
-		return slog.New(slog.NewJSONHandler(sink, options)), sink, nil
+		return slog.New(slog.NewJSONHandler(writer, options)), writer, nil
 	}
 	return nil, nil, fmt.Errorf("log.format: %q is neither text nor json", s.Format)
 }
 
-// Writer writes lines in the background. A Write never blocks: lines beyond what is kept are dropped, and
-// their number is told in the next line.
+// Writer writes lines in the background. Write never blocks: lines that do not fit into the queue are dropped, and their
+// number is logged before the next line that is written.
 type Writer struct {
 	mu      sync.Mutex
 	closed  bool
@@ -54,7 +56,7 @@
 	done    sync.WaitGroup
 }
 
-// NewWriter starts a writer to w.
+// NewWriter returns a writer to w and starts its goroutine, which runs until Close.
 func NewWriter(w io.Writer) *Writer {
 	l := &Writer{lines: make(chan []byte, maxQueuedLines)}
 	l.done.Go(func() {
@@ -68,7 +70,7 @@
 	return l
 }
 
-// Write queues a line. It always succeeds: a log that can't be written is no reason to stop.
+// Write queues a copy of a line. It never returns an error, since the program must go on if the log cannot be written.
 func (l *Writer) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +85,7 @@
 	return len(line), nil
 }
 
-// Close writes out what is queued. What is logged later is let pass.
+// Close waits until the queued lines are written. Lines logged later are discarded.
 func (l *Writer) Close() {
 	l.mu.Lock()
 	l.closed = true
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
-// Package wire is the codec of the simulator's wire: tab-separated lines, batches and settings to
-// and from the types of package rules. It decides nothing.
+// Package wire is the codec of the simulator's protocol: it converts tab-separated lines, batches and settings to and from
+// the types of package rules. Command wirehost uses it, and package config reads its settings with ParseSettings.
 package wire
 
 import (
@@ -15,10 +15,10 @@
 	"cobaltflow/rules"
 )
 
-// EventType names the events of a batch.
+// EventType is the kind of an Event.
 type EventType uint8
 
-// The events of the wire, in the words of package rules.
+// The event types, by the names of package rules.
 const (
 	Attach EventType = iota
 	Destroy
@@ -33,44 +33,44 @@
 	PeerMessage
 )
 
-// Event is one line of a batch, with the instance it is for. Only the field of its type is set.
+// Event is one line of a batch. Instance and Type are always set, of the others only the fields of the type.
 type Event struct {
 	Type         EventType
-	Instance     string
-	Seed         uint64
-	Settings     *rules.Settings
+	Instance     string          // the Dispatcher that the event is for
+	Seed         uint64          // of Attach
+	Settings     *rules.Settings // of Attach
 	List         *rules.List
 	Request      rules.Request
-	Outcome      rules.Outcome // also Streaming: request, attempt, worker, latency
+	Outcome      rules.Outcome // of Outcome; of Streaming only request, attempt, worker and latency
 	Progress     rules.Progress
 	Probed       rules.ProbeResult
-	Disconnected rules.RequestID
-	Token        uint64
-	From         int    // of Peer
-	Data         []byte // of Peer
+	Disconnected rules.RequestID // of ClientDisconnected
+	Token        uint64          // of TimerDue
+	From         int             // of PeerMessage: the sender's rank
+	Data         []byte          // of PeerMessage
 }
 
-// Batch is what one CLOCK ... COMMIT holds.
+// Batch holds the events between a CLOCK line, which gives their time, and the next COMMIT.
 type Batch struct {
 	Now    rules.Time
 	Events []Event
 }
 
-// Decoder reads batches.
+// Decoder reads batches from a stream.
 type Decoder struct {
 	in         *bufio.Reader
-	line       int
-	instance   string
-	fields     []string
+	line       int      // number of the last line read, from 1
+	instance   string   // named by the last SELECT of the batch
+	fields     []string // of the last line; reused
 	lineBuffer []byte
 }
 
-// NewDecoder reads from r.
+// NewDecoder returns a decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
 	return &Decoder{in: bufio.NewReaderSize(r, 1<<18), fields: make([]string, 0, 64)}
 }
 
-// next gives the fields of the next line.
+// next returns the fields of the next line. They are valid until the next call.
 func (d *Decoder) next() ([]string, error) {
 	d.lineBuffer = d.lineBuffer[:0]
 	for {
@@ -101,8 +101,8 @@
 	}
 }
 
-// Next reads one batch into b. It gives io.EOF where input ends between batches; any other error
-// names the line and the fault.
+// Next reads one batch into b, whose events it overwrites. It returns io.EOF if the input ends between two batches. Any other
+// error names the line and the fault.
 func (d *Decoder) Next(b *Batch) error {
 	err := d.batch(b)
 	if err == nil || errors.Is(err, io.EOF) {
@@ -118,7 +118,7 @@
 	b.Events = b.Events[:0]
 	d.instance = ""
 	f, err := d.next()
-	for err == nil && len(f) == 1 && f[0] == "" { // blank lines may part batches
+	for err == nil && len(f) == 1 && f[0] == "" { // blank lines may separate batches
 		f, err = d.next()
 	}
 	if err != nil {
@@ -149,10 +149,10 @@
 	}
 }
 
-// reader takes the values of one line in turn and keeps the first fault.
+// lineReader reads the values of one line in order and keeps the first error. The text "-" stands for an absent value.
 type lineReader struct {
 	fields []string
-	at     int
+	at     int // index of the last value read; field 0 is the event's name
 	err    error
 }
 
@@ -167,7 +167,7 @@
 	return r.fields[r.at]
 }
 
-// id is a value that must be there.
+// id reads a value that must not be absent.
 func (r *lineReader) id() string {
 	s := r.text()
 	if (s == "-" || s == "") && r.err == nil {
@@ -191,7 +191,7 @@
 func (r *lineReader) index() int {
 	n := r.integer()
 	if (n < 0 || n > math.MaxInt32) && r.err == nil {
-		r.err = fmt.Errorf("value %d: %d is no index", r.at, n)
+		r.err = fmt.Errorf("value %d: %d is not an index", r.at, n)
 		return 0
 	}
 	return int(n)
@@ -229,6 +229,7 @@
 	"skipped": rules.NotSent,
 }
 
+// status reads the name of an attempt's status; unknown names are rules.Unknown.
 func (r *lineReader) status() rules.Status {
 	s, known := statusesByName[r.id()]
 	if !known {
@@ -237,6 +238,7 @@
 	return s
 }
 
+// load reads a load report, written as name:value pairs with commas between them. Unknown names are skipped.
 func (r *lineReader) load() (l rules.Load) {
 	text := r.text()
 	if text == "-" || text == "" {
@@ -249,7 +251,7 @@
 		v, err := parseNumber(value)
 		if !ok || err != nil {
 			if r.err == nil {
-				r.err = fmt.Errorf("value %d: %q is no load figure", r.at, pair)
+				r.err = fmt.Errorf("value %d: %q is not a load value", r.at, pair)
 			}
 			return l
 		}
@@ -269,6 +271,7 @@
 	return l
 }
 
+// event appends the event of a line to the batch, or handles a SELECT.
 func (d *Decoder) event(f []string, b *Batch) error {
 	r := lineReader{fields: f}
 	e := Event{Instance: d.instance}
@@ -306,7 +309,7 @@
 		if key != "-" {
 			k, err := strconv.ParseUint(key, 10, 64)
 			if err != nil {
-				return fmt.Errorf("value %d: %q is no key", r.at, key)
+				return fmt.Errorf("value %d: %q is not a key", r.at, key)
 			}
 			q.Key, q.HasKey = k, true
 		}
@@ -345,7 +348,7 @@
 		case 2:
 			n.FractionDone = value
 		default:
-			return r.err // a kind of note not known yet
+			return r.err // an unknown kind of progress is skipped
 		}
 	case "HANGUP":
 		e.Type = ClientDisconnected
@@ -369,7 +372,7 @@
 		}
 		e.Data = data
 	default:
-		return nil // an event not known yet, or one that nothing here needs
+		return nil // events that are unknown or not needed are skipped
 	}
 	if r.err == nil && e.Instance == "" {
 		return errors.New("no SELECT before it")
@@ -382,6 +385,7 @@
 	"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Gone,
 }
 
+// view reads a worker list: the rest of the VIEW line and the M lines that follow it.
 func (d *Decoder) view(r *lineReader) (*rules.List, error) {
 	r.integer()
 	form, n := r.id(), r.index()
@@ -399,7 +403,7 @@
 	case "error":
 		l.Form = rules.ListFailed
 	default:
-		return nil, fmt.Errorf("%q is no form of a list", form)
+		return nil, fmt.Errorf("%q is not a list form", form)
 	}
 	for range n {
 		f, err := d.next()
@@ -407,13 +411,13 @@
 			return nil, err
 		}
 		if f[0] != "M" {
-			return nil, fmt.Errorf("%d entries told, then %q", n, f[0])
+			return nil, fmt.Errorf("%d entries announced, then %q", n, f[0])
 		}
 		m := lineReader{fields: f}
 		e := rules.ListEntry{Worker: rules.WorkerID(m.id()), Zone: m.index(), Kind: m.index(), Cell: m.index()}
 		state, known := statesByName[m.id()]
 		if !known {
-			state = rules.Draining // a phase not known yet: nothing new goes there
+			state = rules.Draining // unknown state: no new jobs are sent there
 		}
 		e.State, e.Weight, e.StartedAt = state, m.number(), m.integer()
 		if m.err != nil {
@@ -429,13 +433,13 @@
 	if err == nil {
 		return n, nil
 	}
-	return 0, fmt.Errorf("%q is no whole number", s)
+	return 0, fmt.Errorf("%q is not a whole number", s)
 }
 
 func parseNumber(s string) (float64, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		return 0, fmt.Errorf("%q is no number", s)
+		return 0, fmt.Errorf("%q is not a number", s)
 	}
 	return v, nil
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -10,31 +10,33 @@
 	"cobaltflow/rules"
 )
 
-// Encoder writes replies. Select names the instance whose actions follow.
+// Encoder writes replies: the actions of each instance, then FINISHED. It implements rules.Actions for the instance that
+// Select has named.
 type Encoder struct {
 	out            *bufio.Writer
 	instance       string
-	contextWritten bool
-	num            []byte
+	contextWritten bool   // whether the CONTEXT line of the instance has been written
+	num            []byte // buffer of integer
 }
 
-// NewEncoder writes to w.
+// NewEncoder returns an encoder that writes to w.
 func NewEncoder(w io.Writer) *Encoder { return &Encoder{out: bufio.NewWriterSize(w, 1<<16)} }
 
-// Select makes the instance the one whose actions follow.
+// Select sets the instance whose actions follow. An instance without actions does not appear in the reply.
 func (e *Encoder) Select(instance string) {
 	if instance != e.instance {
 		e.instance, e.contextWritten = instance, false
 	}
 }
 
-// Finish ends the reply and flushes it.
+// Finish ends the reply and flushes it. It returns the first error of a write.
 func (e *Encoder) Finish() error {
 	e.instance, e.contextWritten = "", false
 	e.out.WriteString("FINISHED\n")
 	return e.out.Flush()
 }
 
+// begin starts the line of an action, after the CONTEXT line if that is due.
 func (e *Encoder) begin(action string) {
 	if !e.contextWritten {
 		e.out.WriteString("CONTEXT\t")
@@ -107,7 +109,7 @@
 	e.end()
 }
 
-// Tell implements rules.Actions.
+// Broadcast implements rules.Actions.
 func (e *Encoder) Broadcast(data []byte) {
 	e.begin("POST")
 	e.text("*")
@@ -140,7 +142,7 @@
 	e.end()
 }
 
-// Fault declares the decision code of the selected instance broken.
+// Fault reports that the Dispatcher of the selected instance has failed.
 func (e *Encoder) Fault(text string) {
 	e.begin("BAIL_OUT")
 	e.text(oneLine.Replace(text))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,10 +8,11 @@
 	"cobaltflow/rules"
 )
 
-// lists whose length is told by a .count and whose items are numbered.
+// maxListLength is the largest length of a list whose items are numbered and whose length is given by a .count setting.
 const maxListLength = 4096
 
-// params reads the path=value settings of an ATTACH. Unknown paths are skipped.
+// params reads the path=value settings of an ATTACH and keeps the first error. Unknown paths are skipped; a value that is
+// missing, empty or "-" is absent.
 type params struct {
 	values map[string]string
 	err    error
@@ -69,7 +70,7 @@
 	return strings.Split(v, ",")
 }
 
-// item gives the i-th of a list of plain values, the last serving for the rest.
+// itemOrLast returns the i-th item of a list of plain values, or the last one if the list is shorter.
 func itemOrLast(list []string, i int) string {
 	if len(list) == 0 {
 		return ""
@@ -98,7 +99,7 @@
 	return n
 }
 
-// ParseSettings reads settings given as path=value.
+// ParseSettings parses settings given as path=value. The error names the path of the first invalid one.
 func ParseSettings(fields []string) (rules.Settings, error) {
 	p := &params{values: make(map[string]string, len(fields))}
 	for _, f := range fields {
@@ -173,7 +174,7 @@
 			c.Group = rules.GroupCell
 		case "all":
 			c.Group = rules.GroupAll
-		default: // an unknown group: the smallest one is the safest reading
+		default: // unknown group: the smallest one is the safest interpretation
 			c.Group = rules.GroupCell
 		}
 		s.Classes = append(s.Classes, c)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,7 +18,8 @@
 
 func lines(l ...string) string { return strings.Join(l, "\n") + "\n" }
 
-func TestEvents(t *testing.T) {
+// Each kind of line decodes to its event; unknown and absent values get their defaults.
+func TestDecodeEvents(t *testing.T) {
 	for _, c := range []struct {
 		name, line string
 		want       Event
@@ -40,7 +41,7 @@
 			Progress: rules.Progress{Request: "rq_a", Worker: "w1", FractionDone: 0.25}}},
 		{"probe", "STATUS_BACK\tw1\tetimedout\t400\t-", Event{Type: Probed,
 			Probed: rules.ProbeResult{Worker: "w1", Status: rules.TimedOut, Latency: 400}}},
-		{"hang-up", "HANGUP\trq_a", Event{Type: ClientDisconnected, Disconnected: "rq_a"}},
+		{"disconnect", "HANGUP\trq_a", Event{Type: ClientDisconnected, Disconnected: "rq_a"}},
 		{"timer", "TICK_DUE\t77", Event{Type: TimerDue, Token: 77}},
 		{"stream", "FLOWING\trq_a\t0\tw1\t9", Event{Type: Streaming,
 			Outcome: rules.Outcome{Request: "rq_a", Worker: "w1", Latency: 9}}},
@@ -58,7 +59,8 @@
 	}
 }
 
-func TestList(t *testing.T) {
+// A list decodes with all fields; a worker with an unknown state counts as draining.
+func TestDecodeWorkerList(t *testing.T) {
 	b, err := decode(lines("CLOCK\t1", "SELECT\ts/1", "VIEW\t41\tdisk\t3", "M\twa\t0\t1\t2\tready\t1\t-",
 		"M\twb\t1\t0\t0\tdraining\t1.5\t6100000", "M\twc\t1\t0\t0\tsleeping\t-\t-", "COMMIT"))
 	if err != nil {
@@ -67,14 +69,15 @@
 	want := &rules.List{Form: rules.ListCached, Entries: []rules.ListEntry{
 		{Worker: "wa", Kind: 1, Cell: 2, Weight: 1},
 		{Worker: "wb", Zone: 1, State: rules.Draining, Weight: 1.5, StartedAt: 6100000},
-		{Worker: "wc", Zone: 1, State: rules.Draining}, // a phase not known: nothing new goes there
+		{Worker: "wc", Zone: 1, State: rules.Draining}, // unknown state: no new jobs are sent there
 	}}
 	if !reflect.DeepEqual(b.Events[0].List, want) {
 		t.Errorf("got %+v", b.Events[0].List)
 	}
 }
 
-func TestSettings(t *testing.T) {
+// Settings are read by their paths; unknown paths are skipped and unknown words get the safest interpretation.
+func TestParseSettings(t *testing.T) {
 	b, err := decode(lines("CLOCK\t1", "SELECT\ts/1", "ATTACH\t7\tcaps.probes=true\tcaps.mostTries=5\tclasses.count=2\t"+
 		"classes.0.effect=by_key\tclasses.0.group=cell\tclasses.0.aimUs=150000\tclasses.0.windowUs=9\tclasses.1.effect=odd\t"+
 		"specifics.classKind=-1,2\tspecifics.classStretch=1.5\ttenants.count=1\ttenants.0.quotaRps=190.5\tgroupSize=3\t"+
@@ -89,7 +92,7 @@
 	}
 	want := []rules.Class{
 		{Effect: rules.Keyed, Group: rules.GroupCell, LatencyTarget: 150000, Window: 9, Kind: -1, TargetStretch: 1.5},
-		{Effect: rules.Once, Group: rules.GroupCell, Kind: 2, TargetStretch: 1.5}, // unknown words: the safest reading
+		{Effect: rules.Once, Group: rules.GroupCell, Kind: 2, TargetStretch: 1.5}, // unknown words: the safest interpretation
 	}
 	if !reflect.DeepEqual(s.Classes, want) {
 		t.Errorf("classes %+v", s.Classes)
@@ -99,6 +102,7 @@
 	}
 }
 
+// Events and kinds of progress that are unknown are skipped.
 func TestUnknownEventsAreSkipped(t *testing.T) {
 	b, err := decode(lines("CLOCK\t1", "SELECT\ts/1", "NOVELTY\t1\t2", "HEARTBEAT\tr\t0\tw\t9\t1", "HANGUP\tr", "COMMIT"))
 	if err != nil || len(b.Events) != 1 || b.Events[0].Type != ClientDisconnected {
@@ -106,7 +110,8 @@
 	}
 }
 
-func TestMessagesOfPeers(t *testing.T) {
+// Messages of other schedulers are base64 on the wire, in both directions.
+func TestPeerMessages(t *testing.T) {
 	b, err := decode(lines("CLOCK\t1", "SELECT\ts/1", "DATAGRAM\t2\taGk=", "COMMIT"))
 	if err != nil || len(b.Events) != 1 || b.Events[0].Type != PeerMessage || b.Events[0].From != 2 || string(b.Events[0].Data) != "hi" {
 		t.Errorf("%v, %+v", err, b.Events)
@@ -121,22 +126,23 @@
 	}
 }
 
+// A malformed line is an error that names the line and the fault; only an end of input between batches is io.EOF.
 func TestMalformedLines(t *testing.T) {
 	for _, c := range []struct{ name, line, fault string }{
 		{"missing field", "ORDER\trq_a\t0", "missing"},
 		{"bad number", "ORDER\trq_a\tx\t0\t1\t5\t-\t1\t-\t0\t0\t0", "line 3"},
-		{"bad key", "ORDER\trq_a\t0\t0\tkey\t5\t-\t1\t-\t0\t0\t0", "no key"},
-		{"negative index", "ORDER\trq_a\t-3\t0\t1\t5\t-\t1\t-\t0\t0\t0", "no index"},
+		{"bad key", "ORDER\trq_a\t0\t0\tkey\t5\t-\t1\t-\t0\t0\t0", "not a key"},
+		{"negative index", "ORDER\trq_a\t-3\t0\t1\t5\t-\t1\t-\t0\t0\t0", "not an index"},
 		{"bad message", "DATAGRAM\t2\t?", "illegal base64"},
 		{"bad flag", "RESPONSE\trq_a\t0\tw\tdone\t1\tyes\t-\t-", "neither 0 nor 1"},
-		{"bad report", "RESPONSE\trq_a\t0\tw\tdone\t1\t1\t-\twaiting", "load figure"},
-		{"not a number", "STATUS_BACK\tw\tdone\t1\tx0:NaN", "load figure"},
+		{"bad report", "RESPONSE\trq_a\t0\tw\tdone\t1\t1\t-\twaiting", "not a load value"},
+		{"not a number", "STATUS_BACK\tw\tdone\t1\tx0:NaN", "not a load value"},
 		{"absent id", "HANGUP\t-", "absent"},
 		{"list cut short", "VIEW\t1\tsnapshot\t2\nM\tw\t0\t0\t0\tready\t1\t-", "then"},
-		{"unknown form", "VIEW\t1\tpartial\t0", "no form"},
+		{"unknown form", "VIEW\t1\tpartial\t0", "not a list form"},
 		{"bad setting", "ATTACH\t1\tgroupSize=many", "groupSize"},
 		{"setting without value", "ATTACH\t1\tgroupSize", "path=value"},
-		{"token", "TICK_DUE\t1.5", "whole number"},
+		{"token", "TICK_DUE\t1.5", "not a whole number"},
 	} {
 		_, err := decode(lines("CLOCK\t1", "SELECT\ts/1", c.line, "COMMIT"))
 		if err == nil || !strings.Contains(err.Error(), c.fault) || !strings.HasPrefix(err.Error(), "line ") {
@@ -154,13 +160,14 @@
 	}
 }
 
-func TestReply(t *testing.T) {
+// A reply holds the actions of each instance, in order, after its CONTEXT line; an instance without actions is left out.
+func TestEncodeReply(t *testing.T) {
 	var out strings.Builder
 	e := NewEncoder(&out)
 	e.Select("scheduler/3")
 	e.Send("rq_a", 8492250, "w1")
 	e.Timer(500000, 77)
-	e.Select("scheduler/4") // does nothing: not named
+	e.Select("scheduler/4") // without actions: not in the reply
 	e.Select("scheduler/5")
 	e.Cancel("rq_b", 1)
 	e.Refuse("rq_c", 250, rules.Shed)
@@ -181,6 +188,7 @@
 	}
 }
 
+// Whatever the input, the decoder does not panic and every event has an instance.
 func FuzzDecoder(f *testing.F) {
 	f.Add("CLOCK\t1\nSELECT\ts/1\nATTACH\t1\tgroupSize=2\nVIEW\t1\tdisk\t1\nM\tw\t0\t0\t0\tready\t1\t-\nCOMMIT\n")
 	f.Add("CLOCK\t1\nSELECT\ts/1\nRESPONSE\tr\t0\tw\tdone\t1\t1\t-\tx0:1\nHEARTBEAT\tr\t0\tw\t1\t-\nCOMMIT\n\nCLOCK\t2\nCOMMIT\n")
