--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,7 @@
-// Package http1 reads and writes HTTP/1.1 messages. Parsers are given all that has been read of a
-// message so far and either give the message, whose parts are slices of that buffer, or say how much
-// is needed before another try is of use. Nothing is kept between calls.
+// Package http1 parses and builds HTTP/1.1 messages for the fronts, for the connections to workers and for the discovery
+// client; it does no I/O and keeps no state between calls. A parser gets everything that has been read of a message so
+// far, and returns either the message, whose slices point into that buffer, or the number of bytes that the buffer must
+// hold before another call can succeed.
 package http1
 
 import (
@@ -8,16 +9,18 @@
 	"strconv"
 )
 
-// Limits of a message.
+// Limits of a message, in bytes unless stated otherwise.
 const (
-	MaxHead    = 16 << 10
-	MaxBody    = 64 << 10
-	maxHeaders = 64
+	MaxHead    = 16 << 10 // first line and header section
+	MaxBody    = 64 << 10 // body without its framing
+	maxHeaders = 64       // number of header fields, and of trailer fields
 
-	MaxMessage = MaxHead + 2*MaxBody // with a chunked body's framing
+	maxLeadingBytes = 4 // CR and LF bytes that are skipped before a request line
+
+	MaxMessage = MaxHead + 2*MaxBody // a whole message, the framing of a chunked body included
 )
 
-// Error is a message that can't be taken, with the status that its sender is told.
+// Error reports a message that is malformed or over a limit, with the status code to answer it with.
 type Error struct {
 	Status int
 	Text   string
@@ -25,21 +28,22 @@
 
 func (e *Error) Error() string { return e.Text }
 
+// malformed returns an Error for a message that breaks the syntax of HTTP/1.1.
 func malformed(text string) *Error { return &Error{400, text} }
 
-// Header is one field of a head.
+// Header is one field of a header section.
 type Header struct{ Name, Value []byte }
 
-// Message is what requests and responses share. All slices are parts of the buffer that was parsed,
-// but for a chunked body, which is put together anew.
+// Message holds what requests and responses have in common. All slices point into the parsed buffer, except for a
+// chunked body, which is copied to join its chunks.
 type Message struct {
 	Headers   []Header
 	Body      []byte
-	KeepAlive bool
-	Size      int // bytes of the buffer that the message took
+	KeepAlive bool // the connection may be used again after this message
+	Size      int  // bytes of the buffer that the message occupies
 }
 
-// Get gives the value of a header, nil where there is none.
+// Get returns the value of the first header with this name, compared without regard to case, or nil if there is none.
 func (m *Message) Get(name string) []byte {
 	for i := range m.Headers {
 		if equalFold(m.Headers[i].Name, name) {
@@ -49,7 +53,7 @@
 	return nil
 }
 
-// Count is how often a header stands in the head.
+// Count returns the number of headers with this name, compared without regard to case.
 func (m *Message) Count(name string) (n int) {
 	for i := range m.Headers {
 		if equalFold(m.Headers[i].Name, name) {
@@ -59,26 +63,26 @@
 	return n
 }
 
-// Request is a request message.
+// Request is a parsed request.
 type Request struct {
 	Message
 	Method []byte
-	Target []byte // path and query as they came
-	Path   []byte
+	Target []byte // path and query, as received
+	Path   []byte // Target up to the query
 }
 
-// Response is a response message.
+// Response is a parsed response.
 type Response struct {
 	Message
 	Status int
 }
 
-// ParseRequest parses the request at the start of buf. A need above zero says that the buffer has to
-// hold that many bytes at least before the request can be whole.
-func ParseRequest(buf []byte, q *Request) (need int, err *Error) {
-	*q = Request{Message: Message{Headers: q.Headers[:0]}}
+// ParseRequest parses the request at the start of buf. A need above zero is the least number of bytes that buf must hold
+// before the request can be complete.
+func ParseRequest(buf []byte, req *Request) (need int, err *Error) {
+	*req = Request{Message: Message{Headers: req.Headers[:0]}}
 	skip := 0
-	for skip < len(buf) && skip < 4 && (buf[skip] == '\r' || buf[skip] == '\n') { // blank lines before a request
+	for skip < len(buf) && skip < maxLeadingBytes && (buf[skip] == '\r' || buf[skip] == '\n') {
 		skip++
 	}
 	line, at, need, err := nextLine(buf, skip)
@@ -94,42 +98,43 @@
 	if err != nil {
 		return 0, err
 	}
-	q.Method, q.Target = method, target
-	q.Path, _, _ = bytes.Cut(target, question)
-	need, err = q.parseHeadersAndBody(buf, at, minor, false)
-	if need == 0 && err == nil && minor == 1 && q.Count("Host") != 1 {
+	req.Method, req.Target = method, target
+	req.Path, _, _ = bytes.Cut(target, question)
+	need, err = req.parseHeadersAndBody(buf, at, minor, false)
+	if need == 0 && err == nil && minor == 1 && req.Count("Host") != 1 {
 		return 0, malformed("a request has one Host")
 	}
 	return need, err
 }
 
-// ParseResponse parses the response at the start of buf; ended tells that no more will come, which
-// ends a body that has no length of its own.
-func ParseResponse(buf []byte, p *Response, ended bool) (need int, err *Error) {
-	at, need, err := ParseHead(buf, p)
+// ParseResponse parses the response at the start of buf; need is as in ParseRequest. The flag ended says that the
+// connection has ended, which also ends a body without a length.
+func ParseResponse(buf []byte, resp *Response, ended bool) (need int, err *Error) {
+	at, need, err := ParseHead(buf, resp)
 	if need > 0 || err != nil {
 		return need, err
 	}
-	if p.Status/100 == 1 || p.Status == 204 || p.Status == 304 {
-		p.Size = at
+	if resp.Status/100 == 1 || resp.Status == 204 || resp.Status == 304 {
+		resp.Size = at
 		return 0, nil
 	}
-	if p.Count("Content-Length") == 0 && p.Count("Transfer-Encoding") == 0 {
+	if resp.Count("Content-Length") == 0 && resp.Count("Transfer-Encoding") == 0 {
 		if !ended {
 			if len(buf)-at > MaxBody {
 				return 0, &Error{413, "body too large"}
 			}
 			return len(buf) + 1, nil
 		}
-		p.Body, p.Size, p.KeepAlive = buf[at:], len(buf), false
+		resp.Body, resp.Size, resp.KeepAlive = buf[at:], len(buf), false
 		return 0, nil
 	}
-	return p.parseBody(buf, at)
+	return resp.parseBody(buf, at)
 }
 
-// ParseHead parses no more than a response's head and gives where its body begins.
-func ParseHead(buf []byte, p *Response) (at, need int, err *Error) {
-	*p = Response{Message: Message{Headers: p.Headers[:0]}}
+// ParseHead parses the status line and the headers of the response at the start of buf; at is the offset of its body and
+// need is as in ParseRequest.
+func ParseHead(buf []byte, resp *Response) (at, need int, err *Error) {
+	*resp = Response{Message: Message{Headers: resp.Headers[:0]}}
 	line, at, need, err := nextLine(buf, 0)
 	if need > 0 || err != nil {
 		return 0, need, err
@@ -146,15 +151,15 @@
 		if c < '0' || c > '9' {
 			return 0, 0, malformed("malformed status")
 		}
-		p.Status = 10*p.Status + int(c-'0')
+		resp.Status = 10*resp.Status + int(c-'0')
 	}
-	if p.Status < 100 {
+	if resp.Status < 100 {
 		return 0, 0, malformed("malformed status")
 	}
-	if need, err = p.parseHeadersAndBody(buf, at, minor, true); need > 0 || err != nil {
+	if need, err = resp.parseHeadersAndBody(buf, at, minor, true); need > 0 || err != nil {
 		return 0, need, err
 	}
-	return p.Size, 0, nil
+	return resp.Size, 0, nil
 }
 
 var (
@@ -163,7 +168,7 @@
 	crlf     = []byte("\r\n")
 )
 
-// firstLine gives the line that starts at from and where the next one does.
+// nextLine returns the line that starts at from, without its CR LF, and the offset of the line after it.
 func nextLine(buf []byte, from int) (line []byte, at, need int, err *Error) {
 	i := bytes.IndexByte(buf[from:min(len(buf), from+MaxHead)], '\n')
 	if i < 0 {
@@ -178,7 +183,8 @@
 	return buf[from : from+i-1], from + i + 1, 0, nil
 }
 
-// rest parses headers and, unless headOnly, the body. Size is where it stopped.
+// parseHeadersAndBody parses the headers from at on and, unless headOnly is set, the body. It sets Size to the offset at
+// which it stopped.
 func (m *Message) parseHeadersAndBody(buf []byte, at, minor int, headOnly bool) (need int, err *Error) {
 	m.KeepAlive = minor == 1
 	for {
@@ -227,9 +233,9 @@
 	return m.parseBody(buf, at)
 }
 
-// Length tells how the body's end is found: it is chunked, or has a length in bytes, of which anything past 2^31 counts
-// as that; below zero: the head says nothing. A message with two lengths, or a length and a coding, is refused whole: two
-// parties that read it differently would see different requests in it.
+// BodyLength returns how the body is framed: chunked, or by its length n in bytes. A length above 2^31 is returned as
+// 2^31, and n is -1 if the headers give neither. A message with two lengths, or with a length and a transfer coding, is an
+// error, since two parties that resolve the conflict differently would see different requests in it (request smuggling).
 func (m *Message) BodyLength() (n int, chunked bool, err *Error) {
 	codings, lengths := m.Count("Transfer-Encoding"), m.Count("Content-Length")
 	switch {
@@ -250,7 +256,7 @@
 	return n, false, nil
 }
 
-// body finds the body.
+// parseBody parses the body that starts at at, and sets Body and Size.
 func (m *Message) parseBody(buf []byte, at int) (need int, err *Error) {
 	n, chunked, err := m.BodyLength()
 	switch {
@@ -272,32 +278,34 @@
 	return 0, nil
 }
 
+// parseChunkedBody joins the chunks from at on and skips the trailers behind them.
 func (m *Message) parseChunkedBody(buf []byte, at int) (need int, err *Error) {
 	m.Body = nil
-	var whole []byte
+	var joined []byte
 	for {
 		data, next, need, err := ParseChunk(buf, at)
 		if need > 0 || err != nil {
 			return need, err
 		}
-		// The second bound is on the framing: chunks of a byte each would be read over and over.
-		if len(whole)+len(data) > MaxBody || next > MaxMessage {
+		// The second bound limits the framing: a body in chunks of one byte would be parsed from the start over and over.
+		if len(joined)+len(data) > MaxBody || next > MaxMessage {
 			return 0, &Error{413, "body too large"}
 		}
 		at = next
 		if data == nil {
 			break
 		}
-		whole = append(whole, data...)
+		joined = append(joined, data...)
 	}
 	if at, need, err = ParseTrailers(buf, at); need > 0 || err != nil {
 		return need, err
 	}
-	m.Body, m.Size = whole, at
+	m.Body, m.Size = joined, at
 	return 0, nil
 }
 
-// Trailers reads over what follows the last chunk, from its place on, and gives where the message ends.
+// ParseTrailers skips the trailers behind the last chunk, which start at from, and returns the offset at which the
+// message ends; need is as in ParseRequest.
 func ParseTrailers(buf []byte, from int) (next, need int, err *Error) {
 	for lines := 0; ; lines++ {
 		line, next, need, err := nextLine(buf, from)
@@ -316,7 +324,8 @@
 	}
 }
 
-// Chunk parses the chunk that starts at from; the last one has nil data.
+// ParseChunk parses the chunk that starts at from. The last chunk, of size zero, has nil data; next is the offset behind
+// the chunk and need is as in ParseRequest.
 func ParseChunk(buf []byte, from int) (data []byte, next, need int, err *Error) {
 	n, at, need, err := ParseChunkSize(buf, from)
 	if need > 0 || err != nil {
@@ -337,18 +346,18 @@
 	return buf[at : at+n], next, 0, nil
 }
 
-// MaxChunk is the size from which on a chunk is refused wherever it stands, in bytes.
+// MaxChunkSize is the size in bytes from which on a chunk is an error in every message, also in a body without a limit.
 const MaxChunkSize = 1 << 31
 
-// ChunkSize parses the line that begins a chunk, and gives the size of its data and where that starts. The last chunk
-// has none.
+// ParseChunkSize parses the size line of a chunk. It returns the size of the chunk's data in bytes, zero for the last
+// chunk, and the offset next at which the data starts; need is as in ParseRequest.
 func ParseChunkSize(buf []byte, from int) (size, next, need int, err *Error) {
-	const longest = 256 // of a size line with its extensions
+	const maxLine = 256 // bytes of a size line with its extensions
 	i := bytes.IndexByte(buf[from:], '\n')
-	if i < 0 && len(buf)-from < longest {
+	if i < 0 && len(buf)-from < maxLine {
 		return 0, 0, len(buf) + 1, nil
 	}
-	if i < 1 || i > longest || buf[from+i-1] != '\r' {
+	if i < 1 || i > maxLine || buf[from+i-1] != '\r' {
 		return 0, 0, 0, malformed("malformed chunk size")
 	}
 	text, _, _ := bytes.Cut(buf[from:from+i-1], []byte(";"))
@@ -362,7 +371,7 @@
 	return size, from + i + 1, 0, nil
 }
 
-// ChunkEnd parses what stands behind a chunk's data.
+// ParseChunkEnd parses the CR LF behind a chunk's data, and returns the offset behind it; need is as in ParseRequest.
 func ParseChunkEnd(buf []byte, from int) (next, need int, err *Error) {
 	next = from + len(crlf)
 	if next > len(buf) {
@@ -374,6 +383,7 @@
 	return next, 0, nil
 }
 
+// parseVersion returns the minor version of an HTTP/1 version, 0 or 1.
 func parseVersion(v []byte) (minor int, err *Error) {
 	if len(v) != 8 || string(v[:7]) != "HTTP/1." || v[7] != '0' && v[7] != '1' {
 		return 0, malformed("unknown version")
@@ -381,7 +391,7 @@
 	return int(v[7] - '0'), nil
 }
 
-// digits reads a number without sign or space; anything past 2^31 counts as that.
+// parseUint parses a number without sign or space, and returns one above 2^31 as 2^31.
 func parseUint(s []byte, base int) (n int, ok bool) {
 	for _, c := range s {
 		d := 99
@@ -401,6 +411,7 @@
 	return n, len(s) > 0
 }
 
+// isTarget reports whether s is a request target in origin form without spaces or control characters.
 func isTarget(s []byte) bool {
 	if len(s) == 0 || s[0] != '/' {
 		return false
@@ -413,6 +424,7 @@
 	return true
 }
 
+// isToken reports whether s is a token as RFC 9110 defines it.
 func isToken(s []byte) bool {
 	for _, c := range s {
 		switch {
@@ -425,6 +437,7 @@
 	return len(s) > 0
 }
 
+// equalFold compares without regard to the case of ASCII letters.
 func equalFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
@@ -444,12 +457,13 @@
 	return true
 }
 
+// reasonPhrases are the reason phrases of the status codes that AppendResponse is called with; others get an empty one.
 var reasonPhrases = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 413: "Content Too Large", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 503: "Service Unavailable", 504: "Gateway Timeout"}
 
-// AppendResponse appends a whole response. Extra headers come as name, value, name, value.
-func AppendResponse(b []byte, status int, keepAlive bool, body []byte, extra ...string) []byte {
+// AppendResponse appends a complete response to b. Further headers are given as alternating names and values.
+func AppendResponse(b []byte, status int, keepAlive bool, body []byte, headers ...string) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(append(append(b, ' '), reasonPhrases[status]...), crlf...)
@@ -459,28 +473,29 @@
 	if !keepAlive {
 		b = append(b, "Connection: close\r\n"...)
 	}
-	b = appendHeaders(b, extra)
+	b = appendHeaders(b, headers)
 	return append(append(b, crlf...), body...)
 }
 
-// AppendRequest appends the head of a request whose body has the given length; below zero: none. Lines are further
-// field lines, as they are to stand there.
-func AppendRequest(b []byte, method, target, host string, length int, lines []byte, extra ...string) []byte {
+// AppendRequest appends the head of a request to b. The length is that of the body in bytes, or negative for a request
+// without a body. Further headers are given as alternating names and values, and as complete field lines, which are
+// copied as they are.
+func AppendRequest(b []byte, method, target, host string, length int, lines []byte, headers ...string) []byte {
 	b = append(append(append(append(b, method...), ' '), target...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, host...), crlf...)
 	if length >= 0 {
 		b = appendLength(b, length)
 	}
-	return append(append(appendHeaders(b, extra), lines...), crlf...)
+	return append(append(appendHeaders(b, headers), lines...), crlf...)
 }
 
 func appendLength(b []byte, n int) []byte {
 	return append(strconv.AppendInt(append(b, "Content-Length: "...), int64(n), 10), crlf...)
 }
 
-func appendHeaders(b []byte, extra []string) []byte {
-	for i := 0; i+1 < len(extra); i += 2 {
-		b = append(append(append(append(b, extra[i]...), ": "...), extra[i+1]...), crlf...)
+func appendHeaders(b []byte, headers []string) []byte {
+	for i := 0; i+1 < len(headers); i += 2 {
+		b = append(append(append(append(b, headers[i]...), ": "...), headers[i+1]...), crlf...)
 	}
 	return b
 }
--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -12,10 +12,12 @@
 	"cobaltflow/internal/link"
 )
 
-// budget shares out the descriptors that the process may hold, by party.
+// connBudget is the number of connections to clients and to workers that the process may hold.
 type connBudget struct{ clients, workers int }
 
-// share leaves room for the listeners, the poller, the watch, the log and the other fronts.
+// divideSockets splits the descriptors of the scheduler into budgets. It reserves an eighth, or at least 24, for the
+// listeners, the poller, the watch and the log, and as many as the other fronts may open; of the rest the workers get two
+// fifths.
 func divideSockets(sockets, others int) connBudget {
 	spare := max(24, sockets/8)
 	spare += others
@@ -23,7 +25,7 @@
 	return connBudget{clients: sockets - spare - workers, workers: workers}
 }
 
-// others is the number of connections that the other fronts may have.
+// otherFrontSockets returns the number of connections that the other fronts may have open.
 func (f *Front) otherFrontSockets() (n int) {
 	if f.conf.Faktory.On() {
 		n = f.conf.Faktory.MaxSessions
@@ -37,7 +39,8 @@
 	return n
 }
 
-// shareOut sets the budgets by the limits, and by how many processes share them. The loop keeps the clients' one.
+// applyBudgets computes the budgets from the limits and from the number of processes that divide them. The loop enforces
+// the clients' budget, see enforceClientBudget.
 func (f *Front) applyBudgets() {
 	f.budget = divideSockets(f.conf.Limits.Sockets, f.otherFrontSockets())
 	f.spareSockets = f.conf.Limits.Sockets - f.budget.clients - f.budget.workers
@@ -46,122 +49,129 @@
 	f.updateAcceptLimit()
 }
 
-// ShareLimits divides the limits among so many processes of this scheduler, which the platform counts as one.
+// DivideLimits divides the limits by the number of processes of this scheduler, which the platform counts as one.
 func (f *Front) DivideLimits(processes int) {
 	f.processes = processes
 	f.applyBudgets()
 }
 
-// Limits are the configured ones with this process's part of the memory.
+// Limits returns the configured limits, with this process's part of the memory.
 func (f *Front) Limits() config.Limits {
 	limits := f.conf.Limits
 	limits.MemoryMB /= f.processes
 	return limits
 }
 
-// bound sets what the poller lets in: all that the workers leave free at present, but for half of the spare
-// part. A burst, which the loop brings back to the budget as it turns, costs no usual client its place then.
+// updateAcceptLimit sets the number of connections that the poller admits: everything that the workers leave free at
+// present, and half of the reserve. A burst then does not displace connections in use before the loop has reduced it to
+// the clients' budget.
 func (f *Front) updateAcceptLimit() {
 	free := (f.spareSockets - f.otherFrontSockets()) / 2 / f.processes
 	used := f.pool.links.Len() + f.pool.pendingDials
 	f.acceptLimit.Store(int64(f.budget.clients + f.budget.workers + free - used))
 }
 
+// connKey is the context key of a connection's *clientConn.
 type connKey struct{}
 
-// bounded turns away what comes faster than the loop turns, or the descriptors would run out.
+// limitedListener closes connections above the accept limit. Without it, connections that arrive faster than the loop
+// turns would use up the descriptors.
 type limitedListener struct {
 	netpoll.Listener
 	f *Front
 }
 
-// Accept runs on the poller; nothing accepted and no error tells it to go on.
+// Accept runs on the poller, which goes on after a result without a connection and without an error.
 func (l limitedListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	if c == nil || err != nil || l.f.acceptedConns.Load() < l.f.acceptLimit.Load() {
-		return c, err
+	nc, err := l.Listener.Accept()
+	if nc == nil || err != nil || l.f.acceptedConns.Load() < l.f.acceptLimit.Load() {
+		return nc, err
 	}
-	peer := c.RemoteAddr().String()
-	c.Close()
+	peer := nc.RemoteAddr().String()
+	nc.Close()
 	l.f.loop.Post(func() {
 		link.LogEnd(l.f.log, "agent", peer, link.OverBudget, 0, 0)
 	})
 	return nil, nil
 }
 
-// prepare runs on the poller, before anything of the connection can be read.
+// onAccept registers a new connection. It runs on the poller, before anything is read from the connection.
 func (f *Front) onAccept(nc netpoll.Connection) context.Context {
 	f.acceptedConns.Add(1)
-	a := &clientConn{front: f}
-	a.Init(nc, "agent", nc.RemoteAddr().String(), 0)
-	a.OnClose = func() {
-		if a.inFlight != nil {
-			f.core.ClientDisconnected(a.inFlight)
+	c := &clientConn{front: f}
+	c.Init(nc, "agent", nc.RemoteAddr().String(), 0)
+	c.OnClose = func() {
+		if c.inFlight != nil {
+			f.core.ClientDisconnected(c.inFlight)
 		}
 	}
 	nc.AddCloseCallback(func(netpoll.Connection) error {
-		f.loop.Post(func() { f.onConnClosed(a) })
+		f.loop.Post(func() { f.onConnClosed(c) })
 		return nil
 	})
 	f.loop.Post(func() {
-		if a.Ended {
+		if c.Ended {
 			return
 		}
-		a.Opened, a.lastUsed, a.partialSince = f.loop.Now(), f.loop.Now(), f.loop.Now()
-		a.ref = f.clients.Add(a)
+		c.Opened, c.lastUsed, c.partialSince = f.loop.Now(), f.loop.Now(), f.loop.Now()
+		c.ref = f.clients.Add(c)
 		if f.clients.Len() > f.budget.clients {
-			f.enforceClientBudget(a)
+			f.enforceClientBudget(c)
 		}
 	})
-	return context.WithValue(context.Background(), connKey{}, a)
+	return context.WithValue(context.Background(), connKey{}, c)
 }
 
-// shed closes a connection so that the budget holds: first one that is to be closed in any case or has
-// said nothing for a while, then one that never brought a job, then one that is new, then an idle one, of
-// each the oldest; where all are busy it is the newest. So those who flood or stay silent take no place
-// from those who ask.
+// enforceClientBudget closes one connection if there are more than the budget allows. It prefers, in this order, one that
+// is closing anyway or has been silent for a while, one that never brought a job, a new one, and an idle one, and among
+// equals the one that was used least recently; if all are busy it closes the newest. Connections that flood or stay silent
+// thus do not displace clients with jobs.
 func (f *Front) enforceClientBudget(newest *clientConn) {
 	victim, best, over := newest, busyRank, f.clients.Len()-f.budget.clients
-	f.clients.Each(func(_ core.Ref, a *clientConn) {
-		if a.ClosedLocally || a.CloseReason == link.OverBudget {
-			over-- // it is going already
+	f.clients.Each(func(_ core.Ref, c *clientConn) {
+		if c.ClosedLocally || c.CloseReason == link.OverBudget {
+			over-- // it is closing already
 			return
 		}
-		if rank := a.evictionRank(); a != newest && rank < busyRank && (rank < best || rank == best && a.lastUsed < victim.lastUsed) {
-			victim, best = a, rank
+		if rank := c.evictionRank(); c != newest && rank < busyRank && (rank < best || rank == best && c.lastUsed < victim.lastUsed) {
+			victim, best = c, rank
 		}
 	})
-	if over > 0 && !(victim == newest && newest.HasPendingMessage()) { // whose request has come whole is served: the poller's bound holds
-		f.log.Info("a client's connection is closed for another", "peer", victim.Peer, "rank", best, "unread", victim.Conn.Reader().Len(),
+	// A newest connection whose request is complete is served: the accept limit still bounds the connections.
+	if over > 0 && !(victim == newest && newest.HasPendingMessage()) {
+		f.log.Info("client connection evicted", "peer", victim.Peer, "rank", best, "unread", victim.Conn.Reader().Len(),
 			"clients", f.clients.Len(), "budget", f.budget.clients, "processes", f.processes)
 		f.evictClient(victim)
 	}
 }
 
-// closeForAnother ends a connection whose place is wanted. Where some of a request has been read the client is told: it
-// could not tell the bare end from a request that was taken and lost. The answer's connection lingers within what the
-// poller lets in.
-func (f *Front) evictClient(a *clientConn) {
-	if a.Conn.Reader().Len() > 0 {
-		f.rejectAndClose(a, link.OverBudget, 503, "too many connections; try again\n", "Retry-After", "1")
+// evictClient closes a connection to make room in the budget. If part of a request has been read the client gets a 503,
+// since it could not tell a close without an answer from a request that was accepted and lost. The connection then stays
+// open until the answer is sent, which the accept limit allows for.
+func (f *Front) evictClient(c *clientConn) {
+	if c.Conn.Reader().Len() > 0 {
+		f.rejectAndClose(c, link.OverBudget, 503, "too many connections; try again\n", "Retry-After", "1")
 		return
 	}
-	a.Close(link.OverBudget)
+	c.Close(link.OverBudget)
 }
 
-const busyRank = 5 // the rank of a connection that is kept
+// busyRank is the rank of a connection that is never evicted.
+const busyRank = 5
 
-func (a *clientConn) evictionRank() int {
-	unread := a.Conn.Reader().Len()
-	silent := a.MessageCount == 0 && unread == 0
+// evictionRank orders connections for eviction, lowest first: 0 is closing or has been silent for too long, 1 has brought
+// no job, 2 is new, 3 is idle, 4 has unread input and busyRank has a request or an answer in flight.
+func (c *clientConn) evictionRank() int {
+	unread := c.Conn.Reader().Len()
+	silent := c.MessageCount == 0 && unread == 0
 	switch {
-	case a.inFlight != nil || a.HasPendingMessage() || !a.IsWriterIdle() || a.isCallback && unread > 0:
-		return busyRank // it owes an answer, or has not given it whole
-	case a.CloseReason != "" || silent && a.front.loop.Now()-a.Opened > firstRequestGrace:
+	case c.inFlight != nil || c.HasPendingMessage() || !c.IsWriterIdle() || c.isCallback && unread > 0:
+		return busyRank // a request is unanswered, or its answer is not written completely
+	case c.CloseReason != "" || silent && c.front.loop.Now()-c.Opened > firstRequestGrace:
 		return 0
-	case a.jobCount == 0 && !a.isCallback && !silent:
+	case c.jobCount == 0 && !c.isCallback && !silent:
 		return 1
-	case silent: // but new: a usual client's first bytes come with the connection
+	case silent: // and new: a well-behaved client's first bytes follow the connection closely
 		return 2
 	case unread == 0:
 		return 3
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -6,17 +6,23 @@
 	"cobaltflow/rules"
 )
 
-// ending is what happens when after SIGTERM, by how soon the platform may kill us.
+// shutdownPollInterval is the interval of pollShutdown, and the delay from closing the last connections to onStopped.
+const shutdownPollInterval = 20 * core.Millisecond
+
+// shutdownSchedule holds the steps of a shutdown, each as the time after SIGTERM. It ends before the platform may kill the
+// process.
 type shutdownSchedule struct {
-	// For acceptOn requests are taken as ever, and connections kept: clients go on using those they have, and where
-	// all schedulers of a zone are restarted in turn there may be nobody else yet.
+	// Until acceptUntil requests are admitted and connections are kept as before: clients go on using the connections they
+	// have, and in a rolling restart of a zone there may be no other scheduler to go to yet.
 	acceptUntil core.Time
-	// With a successor beside us, jobs that come later than takeLast are refused, and the listener is closed at
-	// answerBy: the kernel would go on giving us half of all new connections until the kill.
+	// If a successor serves at the same address, jobs that arrive after refuseJobsAfter are refused, and the listener is
+	// closed at answerBy, since until the kill the kernel would go on assigning half of all new connections to this process.
 	refuseJobsAfter core.Time
-	answerBy        core.Time // what is open is answered then
+	answerBy        core.Time // requests that are still open are answered at this time
 }
 
+// newShutdownSchedule derives the schedule from the longest deadline of the classes, or from maxCountedDeadline if no class
+// has a deadline.
 func newShutdownSchedule(classes []rules.Class) shutdownSchedule {
 	longest := core.Time(0)
 	for _, c := range classes {
@@ -26,125 +32,127 @@
 		longest = maxCountedDeadline
 	}
 	answerBy := min(longest, maxCountedDeadline) + killDelay - killMargin
-	acceptOn := max(answerBy*11/30, min(newConnectionWindow, answerBy*3/4))
-	return shutdownSchedule{acceptUntil: acceptOn, refuseJobsAfter: max(answerBy*17/30, (3*acceptOn+answerBy)/4), answerBy: answerBy}
+	acceptUntil := max(answerBy*11/30, min(newConnectionWindow, answerBy*3/4))
+	return shutdownSchedule{acceptUntil: acceptUntil, refuseJobsAfter: max(answerBy*17/30, (3*acceptUntil+answerBy)/4), answerBy: answerBy}
 }
 
-// Stop begins the end after SIGTERM. New connections are taken for as long as the platform's front
-// may still send some; then idle ones are closed, all that was taken is answered, and the listener,
-// to which the workers call back, stays open until then. done is called when nothing is left.
+// Stop starts the shutdown after SIGTERM. New connections are accepted as long as the platform's front may still send
+// some. After that, idle connections are closed and every admitted request is answered; the listener stays open until then,
+// since the workers send their callbacks to it. done is called when nothing is left open.
 func (f *Front) Stop(done func()) { f.StopSince(f.loop.Now(), done) }
 
-// StopSince is Stop for a SIGTERM that came at since, not later than now; what is due by then is done at once.
+// StopSince is Stop for a SIGTERM that was received at since; a later time than now counts as now. Steps that are overdue
+// are taken at once.
 func (f *Front) StopSince(since core.Time, done func()) {
 	if f.stoppingSince == 0 {
 		f.stoppingSince, f.onStopped = min(since, f.loop.Now()), done
 		f.log.Info("stopping", "open", f.core.OpenRequests())
 		f.loop.At(f.stoppingSince+f.shutdownTimes.acceptUntil, f.pollShutdown)
 		f.loop.At(f.stoppingSince+f.shutdownTimes.answerBy, func() {
-			f.core.AbortRequests(func(u core.Client) bool { _, ours := u.(*clientConn); return ours })
+			f.core.AbortRequests(func(client core.Client) bool { _, isOwn := client.(*clientConn); return isOwn })
 		})
 	}
 }
 
-// AnswersWithin is how long after SIGTERM all that is open is answered at the latest.
+// AnswerTimeout returns the time after SIGTERM by which every open request is answered.
 func (f *Front) AnswerTimeout() core.Time { return f.shutdownTimes.answerBy }
 
-// HandOver has SIGTERM end the front as soon as may be: a successor serves at the same address. Clients are
-// drained at once, jobs that come after takeLast are refused, and the listener closes at answerBy.
+// HandOver prepares the front for its end while a successor serves at the same address. Clients are drained at once; after
+// SIGTERM, jobs that arrive later than refuseJobsAfter are refused and the listener closes at answerBy.
 func (f *Front) HandOver() {
 	f.isHandingOver = true
 	f.Drain()
 }
 
-// Drain has the clients go elsewhere: the readiness check at their address says no from now on, each
-// connection is closed as soon as it holds no job, and the job it holds is answered with Connection: close.
-// The workers' call-backs go on. Twice is once.
+// Drain sends the clients to other schedulers: the readiness check fails from now on, each connection is closed as soon as
+// it has no open request, and the answer to an open request says Connection: close. Callbacks of the workers continue. A
+// second call has no effect.
 func (f *Front) Drain() {
 	if f.drainingSince == 0 {
 		f.drainingSince = f.loop.Now()
-		f.log.Info("drain: clients are sent away", "open", f.core.OpenRequests(), "connections", f.clients.Len())
+		f.log.Info("drain: started", "open", f.core.OpenRequests(), "connections", f.clients.Len())
 		f.closeIdleClients(f.drainingSince)
 	}
 }
 
-// Resume takes clients again after a drain; not in a process that its successor has taken over from.
+// Resume ends a drain. It has no effect on a process that has handed over to its successor.
 func (f *Front) Resume() {
 	if f.drainingSince > 0 && !f.isHandingOver {
 		f.drainingSince = 0
-		f.log.Info("drain: over, clients are taken again")
+		f.log.Info("drain: ended, clients are accepted again")
 	}
 }
 
-// letGo closes, while a drain is on, each client's connection that holds nothing: no job, nothing unread,
-// nothing to write. A new one is given the moment in which its first request comes with it.
+// closeIdleClients closes the client connections without an open request, unread input or unsent output during a drain. A
+// new connection stays open for firstRequestGrace.
 func (f *Front) closeIdleClients(now core.Time) {
-	f.clients.Each(func(_ core.Ref, a *clientConn) {
-		if !a.isCallback && !a.awaitsFirstRequest(now) {
-			a.closeIfIdle(link.Shutdown)
+	f.clients.Each(func(_ core.Ref, c *clientConn) {
+		if !c.isCallback && !c.awaitsFirstRequest(now) {
+			c.closeIfIdle(link.Shutdown)
 		}
 	})
 }
 
-// fresh tells of a connection whose first request may still be on its way.
-func (a *clientConn) awaitsFirstRequest(now core.Time) bool {
-	return a.MessageCount == 0 && now-a.Opened < firstRequestGrace
+// awaitsFirstRequest reports whether the first request of the connection may still be on its way.
+func (c *clientConn) awaitsFirstRequest(now core.Time) bool {
+	return c.MessageCount == 0 && now-c.Opened < firstRequestGrace
 }
 
-// letGo ends our side of a connection that holds nothing: no job, nothing unread or to write. What arrives between the
-// look and the end is never taken. On a connection that has brought nothing yet that would be a first request, whose
-// client takes a bare end for a loss: it gets its refusal in advance.
-func (a *clientConn) closeIfIdle(reason string) {
-	if a.inFlight != nil || a.CloseReason != "" || a.Conn.Reader().Len() > 0 || !a.IsWriterIdle() {
+// closeIfIdle closes the write side of a connection that has no open request, no unread input and no unsent output. Input
+// that arrives between this check and the close is discarded. On a connection without any message so far that could be the
+// first request, whose client would take a close without an answer for a lost request: such a connection gets a 503 first.
+func (c *clientConn) closeIfIdle(reason string) {
+	if c.inFlight != nil || c.CloseReason != "" || c.Conn.Reader().Len() > 0 || !c.IsWriterIdle() {
 		return
 	}
-	if a.front.beforeIdleClose != nil {
-		a.front.beforeIdleClose()
+	if c.front.beforeIdleClose != nil {
+		c.front.beforeIdleClose()
 	}
-	if a.MessageCount == 0 {
-		a.front.rejectAndClose(a, reason, 503, "this connection ends; try again\n", "Retry-After", "0")
+	if c.MessageCount == 0 {
+		c.front.rejectAndClose(c, reason, 503, "this connection ends; try again\n", "Retry-After", "0")
 		return
 	}
-	a.CloseWrite(a.front.loop, reason)
+	c.CloseWrite(c.front.loop, reason)
 }
 
-// drain looks, from acceptOn after SIGTERM on, whether anything is still owed, and ends the front when nothing is. The
-// listener is closed first and all is looked at once more: what was accepted until then is served too.
+// pollShutdown runs every shutdownPollInterval from acceptUntil after SIGTERM on. Once nothing is pending it closes the
+// listener; connections that were accepted until then are served too, so the front ends only at a later run that finds
+// nothing pending either.
 func (f *Front) pollShutdown() {
-	now, owed := f.loop.Now(), 0
-	over := now >= f.stoppingSince+f.shutdownTimes.answerBy
-	f.clients.Each(func(_ core.Ref, a *clientConn) {
+	now, pending := f.loop.Now(), 0
+	isPastAnswers := now >= f.stoppingSince+f.shutdownTimes.answerBy
+	f.clients.Each(func(_ core.Ref, c *clientConn) {
 		switch {
-		case a.isCallback:
-		case a.IsWriteClosed():
-			if !over { // else only its peer's end is to come
-				owed++
+		case c.isCallback:
+		case c.IsWriteClosed():
+			if !isPastAnswers { // afterwards only the peer's close is missing
+				pending++
 			}
-		case a.awaitsFirstRequest(now) && !(f.isHandingOver && over): // its first request may be on its way
-			owed++
+		case c.awaitsFirstRequest(now) && !(f.isHandingOver && isPastAnswers):
+			pending++
 		default:
-			owed++
-			a.closeIfIdle(link.Shutdown)
+			pending++
+			c.closeIfIdle(link.Shutdown)
 		}
 	})
-	owed += f.core.OpenRequests() + f.pool.inUse
-	owed += int(f.acceptedConns.Load()) - f.clients.Len() // accepted, and not heard of yet
-	if owed == 0 && f.isListenerClosed {
+	pending += f.core.OpenRequests() + f.pool.inUse
+	pending += int(f.acceptedConns.Load()) - f.clients.Len() // accepted, and not registered on the loop yet
+	if pending == 0 && f.isListenerClosed {
 		f.log.Info("stopped taking", "foreign_call_backs", f.unknownCallbacks, "passed_on", f.forwardedCallbacks)
-		f.clients.Each(func(_ core.Ref, a *clientConn) { a.Close(link.Shutdown) })
+		f.clients.Each(func(_ core.Ref, c *clientConn) { c.Close(link.Shutdown) })
 		f.pool.close()
 		f.watch.stop()
 		if f.peers != nil {
 			f.peers.close()
 		}
-		f.loop.At(now+20*core.Millisecond, f.onStopped)
+		f.loop.At(now+shutdownPollInterval, f.onStopped)
 		return
 	}
-	// With a successor, the listener closes at answerBy whatever is open: what comes later could not end in
-	// time. A connection that is closed under a request unread is the client's to send again, to the successor.
-	if !f.isListenerClosed && (owed == 0 || f.isHandingOver && over) {
+	// With a successor the listener closes at answerBy whatever is pending: a request that arrives later could not end in
+	// time. If a connection is closed with an unread request, the client sends that again, to the successor.
+	if !f.isListenerClosed && (pending == 0 || f.isHandingOver && isPastAnswers) {
 		f.isListenerClosed = true
 		f.listener.Close()
 	}
-	f.loop.At(now+20*core.Millisecond, f.pollShutdown)
+	f.loop.At(now+shutdownPollInterval, f.pollShutdown)
 }
--- a/internal/platform/events.go
+++ b/internal/platform/events.go
@@ -10,63 +10,63 @@
 	"cobaltflow/rules"
 )
 
-// JobEvent is what a worker tells of a job.
+// JobEvent is the body of a worker's callback about a job.
 type JobEvent struct {
-	ID     string          `json:"id"`
-	From   string          `json:"from"`
-	State  string          `json:"state"`
-	Share  float64         `json:"share"`
-	Result json.RawMessage `json:"result"`
-	Load   json.RawMessage `json:"load"`
+	ID     string          `json:"id"`     // of the job
+	From   string          `json:"from"`   // name of the worker
+	State  string          `json:"state"`  // started, running, done, failed, returned or lost
+	Share  float64         `json:"share"`  // progress of a running job, 0 to 1
+	Result json.RawMessage `json:"result"` // of a job that is done
+	Load   json.RawMessage `json:"load"`   // the worker's load report, see parseLoad
 }
 
-// event takes a callback. One of a job that is no longer of use gets its 204 like any other, or the
-// worker would try it again. One of an id never seen here is passed on to the scheduler's other processes, if there are any;
-// where nobody knows it, it gets 503 and the connection is closed, and the worker's tries end after ten. It tells whether the
-// connection waits for an answer that is given later.
-func (f *Front) handleCallback(a *clientConn, q *http1.Request) (waits bool) {
-	a.isCallback = true
-	var e JobEvent
-	if err := json.Unmarshal(q.Body, &e); err != nil || e.ID == "" || e.From == "" || e.State == "" {
-		f.rejectRequest(a, 400, "not a job event")
+// handleCallback applies a worker's callback. A callback for a job that has ended is answered 204 as well, since the worker
+// would retry it otherwise. One for an ID that this process has never seen is forwarded to the scheduler's other processes,
+// if there are any. If no process knows the ID it is answered 503 and the connection is closed; the worker retries ten
+// times at most. The result reports whether the callback is answered later.
+func (f *Front) handleCallback(c *clientConn, req *http1.Request) (waits bool) {
+	c.isCallback = true
+	var event JobEvent
+	if err := json.Unmarshal(req.Body, &event); err != nil || event.ID == "" || event.From == "" || event.State == "" {
+		f.rejectRequest(c, 400, "not a job event")
 		return false
 	}
-	p, out := f.core.FindAttempt(e.ID, e.From)
-	if !out && !f.admission.Seen(e.ID) {
-		if f.forwardCallback(a, q) {
+	attempt, inFlight := f.core.FindAttempt(event.ID, event.From)
+	if !inFlight && !f.admission.Seen(event.ID) {
+		if f.forwardCallback(c, req) {
 			return true
 		}
-		f.refuseUnknownCallback(a)
+		f.refuseUnknownCallback(c)
 		return false
 	}
-	f.reply(a, 204, nil, q.KeepAlive)
-	f.core.WorkerResponded(e.From)
-	if !out {
-		return false // ended or withdrawn
+	f.reply(c, 204, nil, req.KeepAlive)
+	f.core.WorkerResponded(event.From)
+	if !inFlight {
+		return false // the attempt has ended or was cancelled
 	}
-	c, _ := p.TransportState.(*attemptState)
-	if c == nil || c.state < stateWriting {
-		return false // not a pass that this worker can have got: it is none of ours
+	state, _ := attempt.TransportState.(*attemptState)
+	if state == nil || state.state < stateWriting {
+		return false // the request was never written to this worker, so the callback is about another one
 	}
-	load := parseLoad(e.Load)
-	switch e.State {
+	load := parseLoad(event.Load)
+	switch event.State {
 	case "started":
-		f.core.AttemptStarted(p.Ref)
+		f.core.AttemptStarted(attempt.Ref)
 	case "running":
-		f.core.AttemptProgress(p.Ref, e.Share)
+		f.core.AttemptProgress(attempt.Ref, event.Share)
 	case "done":
-		f.endAttempt(p, rules.OK, resultBody(e.Result), load)
+		f.endAttempt(attempt, rules.OK, resultBody(event.Result), load)
 	case "failed":
-		f.endAttempt(p, rules.Error, nil, load)
+		f.endAttempt(attempt, rules.Error, nil, load)
 	case "returned":
-		f.endAttempt(p, rules.Refused, nil, load)
+		f.endAttempt(attempt, rules.Refused, nil, load)
 	case "lost":
-		f.endAttempt(p, rules.Reset, nil, load)
+		f.endAttempt(attempt, rules.Reset, nil, load)
 	}
 	return false
 }
 
-// result is the body for the client: the text itself where the result is one, else its JSON.
+// resultBody returns the body of the client's answer: the text of a result that is a JSON string, else the JSON itself.
 func resultBody(raw json.RawMessage) []byte {
 	var s string
 	if len(raw) > 0 && raw[0] == '"' && json.Unmarshal(raw, &s) == nil {
@@ -75,14 +75,15 @@
 	return raw
 }
 
-// parseLoad reads a load report in either form: an object, or the text of the load header.
+// parseLoad parses a load report in either of its forms: a JSON object, or the name=value pairs of the load header. Unknown
+// names and unusable values are skipped.
 func parseLoad(raw []byte) (l rules.Load) {
 	text := strings.TrimSpace(string(raw))
 	text = strings.TrimPrefix(text, "JSON ")
 	if strings.HasPrefix(text, "{") {
-		var figures map[string]any
-		if json.Unmarshal([]byte(text), &figures) == nil {
-			for name, v := range figures {
+		var values map[string]any
+		if json.Unmarshal([]byte(text), &values) == nil {
+			for name, v := range values {
 				if n, ok := v.(float64); ok {
 					setLoad(&l, name, n)
 				}
@@ -99,11 +100,11 @@
 	return l
 }
 
-// mostLoad is past any count that a worker can truly report. One that is believed once stays in the means
-// for long, so a figure that can't be is no figure.
+// maxLoadValue is above any count that a worker can really have. A larger value is ignored, since one implausible value
+// would distort the moving averages for a long time.
 const maxLoadValue = 1e6
 
-// addLoad knows the figures by the protocol's names and by the settings'.
+// setLoad sets one value of a load report by the protocol's name or by the name used in the settings.
 func setLoad(l *rules.Load, name string, v float64) {
 	if !(v >= 0 && v <= maxLoadValue) {
 		return
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -1,5 +1,6 @@
-// Package platform is the HTTP/1.1 front: clients and workers' callbacks on one listener, the
-// pool of connections to the workers, probes, and the watch on discovery.
+// Package platform is the HTTP/1.1 front: a listener for clients and for the workers' callbacks, the pool of connections
+// on which attempts and probes are sent to the workers, and the watch on discovery. Package gateway creates one Front for
+// each process and starts, reloads, drains and stops it; package core calls it as a transport.
 package platform
 
 import (
@@ -19,7 +20,7 @@
 	"cobaltflow/rules"
 )
 
-// Paths and headers of the platform's protocol.
+// Paths and header names of the protocol that clients, workers and discovery speak.
 const (
 	PathReady   = "/-/ready"
 	PathHealthy = "/-/healthy"
@@ -37,106 +38,112 @@
 )
 
 const (
-	sweepInterval     = 50 * core.Millisecond
-	firstRequestGrace = 200 * core.Millisecond // in which a new connection brings its first bytes, where we end
-	// The platform kills a scheduler no sooner after SIGTERM than the longest deadline, counted as killMost where it
-	// is longer, and killLater more. What is still open killMargin before that gets its answer while there is time
-	// for it to arrive.
+	sweepInterval = 50 * core.Millisecond
+	// firstRequestGrace is how long a drain or a shutdown leaves a new connection open for the first bytes of its first
+	// request.
+	firstRequestGrace = 200 * core.Millisecond
+	// The platform kills a scheduler, at the earliest, the longest class deadline plus killDelay after SIGTERM; a longest
+	// deadline above maxCountedDeadline counts as that. Requests that are still open killMargin before the kill are
+	// answered then, so that their answers have time to arrive.
 	maxCountedDeadline  = 3 * core.Second
 	killDelay           = 700 * core.Millisecond
 	killMargin          = 150 * core.Millisecond
-	newConnectionWindow = 450 * core.Millisecond // for so long after SIGTERM new connections may come
-	// firstList is how long readiness waits for the agent's list at the start: it may be silent, and ready we must be.
+	newConnectionWindow = 450 * core.Millisecond // after SIGTERM, in which new connections may still arrive
+	// initialListTimeout bounds the wait for the first worker list at startup: the local discovery server may not
+	// respond, and the front must become ready nonetheless.
 	initialListTimeout = core.Second
-	// Within messageTime a message has to come to its end, and a connection to its first job: those that say
-	// nothing, or half of something, take no place from others for longer.
+	// messageTimeout bounds the time from the first byte of a message to its last, and from the start of a connection to
+	// its first job, so that idle and slow peers do not use up the connection budget.
 	messageTimeout = 2 * core.Second
 )
 
-// Front is the HTTP/1.1 front and the carrier to the workers that discovery tells of.
+// Front is the HTTP/1.1 front, and the core's transport to the workers that discovery lists. Its methods run on the
+// loop unless their comments say otherwise.
 type Front struct {
 	admission    *admission.Controller
 	loop         *core.Loop
 	core         *core.Core
 	conf         *config.Config
 	log          *slog.Logger
-	dialFailures log.FailureThrottle // peers that could not be reached
-	ready        bool
+	dialFailures log.FailureThrottle // limits the log lines of peers that can't be reached
+	ready        bool                // startup is over, see markReady
 
 	listener      netpoll.Listener
 	server        netpoll.EventLoop
 	clients       core.SlotMap[*clientConn]
 	budget        connBudget
-	spareSockets  int          // descriptors in no budget
-	acceptedConns atomic.Int64 // connections, also those the loop has not heard of yet
-	acceptLimit   atomic.Int64 // of them: past it a new one is closed by the poller
+	spareSockets  int          // descriptors outside of both budgets
+	acceptedConns atomic.Int64 // open accepted connections, including those not yet registered on the loop
+	acceptLimit   atomic.Int64 // bound of acceptedConns, above which the poller closes new connections
 
 	pool          connPool
 	watch         *discoveryWatch
 	shutdownTimes shutdownSchedule
 
-	listLimits      discovery.Limits     // of what discovery sends
-	workerStarts    discovery.StartTimes // of the workers
-	hasReceivedList bool                 // discovery has told what there was before we ran
+	listLimits      discovery.Limits     // bounds of the lists that discovery sends
+	workerStarts    discovery.StartTimes // when each listed worker's process started
+	hasReceivedList bool                 // discovery has sent a list since this process started
 
-	peers *peers // nil: there are none to talk to
+	peers *peers // nil: no peers are configured
 
-	stoppingSince    core.Time // SIGTERM came then; 0: it has not
-	onStopped        func()
-	drainingSince    core.Time // an operator asked for a drain then; 0: none is on
-	isHandingOver    bool      // a successor serves at our address: SIGTERM ends us as soon as may be
-	isListenerClosed bool      // the listener is closed
-	beforeIdleClose  func()    // for tests: called between the last look at a resting connection and its end
-	relayed          uint64    // requests written whole to the workers
-	// processes is how many of this scheduler live, this one among them: the limits are divided among them.
+	stoppingSince    core.Time // time of SIGTERM; 0: none was received
+	onStopped        func()    // called once when the shutdown is complete
+	drainingSince    core.Time // start of the operator's drain; 0: none is in force
+	isHandingOver    bool      // a successor serves at this address: after SIGTERM this process ends as early as it can
+	isListenerClosed bool
+	beforeIdleClose  func() // test hook: runs between the check that a connection is idle and its close; nil: none
+	relayed          uint64 // requests written completely to the workers
+	// processes is the number of live processes of this scheduler, this one included, which divide its limits.
 	processes          int
-	unknownCallbacks   uint64 // callbacks of ids that no process knows, refused
-	forwarding         int    // callbacks that are being passed on to the scheduler's other processes
-	forwardedCallbacks uint64 // callbacks that another process of the scheduler took
+	unknownCallbacks   uint64 // callbacks refused because no process knows their job ID
+	forwarding         int    // callbacks being forwarded to the scheduler's other processes
+	forwardedCallbacks uint64 // callbacks that another process of the scheduler accepted
 }
 
-// notUp logs a connection that never came up: at a peer's first failure, then at growing intervals with a
-// count, since one that is gone is tried again and again.
+// recordDialFailure logs a connection that could not be established: the first failure of a peer, and then a count of
+// failures at growing intervals, since a peer that is down is dialled again and again.
 func (f *Front) recordDialFailure(party, peer string, age core.Time) {
-	if n, tell := f.dialFailures.Failed(peer, f.loop.Now()); tell {
+	if n, isDue := f.dialFailures.Failed(peer, f.loop.Now()); isDue {
 		link.LogEnd(f.log, party, peer, link.ConnectFailed, 0, age, "failures", n)
 	}
 }
 
-// isUp ends a peer's failures.
+// recordDialSuccess resets a peer's failure count and logs that a peer with several failures is reachable again.
 func (f *Front) recordDialSuccess(peer string) {
 	if n := f.dialFailures.Reached(peer); n > 1 {
-		f.log.Info("peer is back", "peer", peer, "failures", n)
+		f.log.Info("peer reachable again", "peer", peer, "failures", n)
 	}
 }
 
-// clientLink is an accepted connection: a client's, or a worker's that calls back.
+// clientConn is an accepted connection: from a client, or from a worker that sends callbacks.
 type clientConn struct {
 	link.Link
 	ref          core.Ref
 	front        *Front
-	request      http1.Request // in hand, while the loop holds the buffer
-	inFlight     *core.Request
-	isCallback   bool
-	jobCount     int       // transactions that it has brought
-	lastUsed     core.Time // when it was last of use
-	partialSince core.Time // the message that is coming was first seen then; 0: none is
+	request      http1.Request // the last parsed request, valid while the loop holds the read buffer
+	inFlight     *core.Request // the request that is not answered yet; nil: none
+	isCallback   bool          // a worker's connection: it has sent a callback
+	jobCount     int           // requests that were admitted
+	lastUsed     core.Time     // when the last message arrived or the last request was released
+	partialSince core.Time     // when an incomplete message was first seen; 0: there is none
 }
 
-// New makes the front; Start opens it.
+// New returns a front that is not listening yet; Start opens it.
 func New(c *core.Core, conf *config.Config, controller *admission.Controller, logger *slog.Logger) *Front {
-	f := &Front{loop: c.Loop, core: c, conf: conf, admission: controller, log: logger, listLimits: discovery.DefaultLimits, processes: 1, shutdownTimes: newShutdownSchedule(conf.Settings.Classes)}
+	f := &Front{loop: c.Loop, core: c, conf: conf, admission: controller, log: logger, listLimits: discovery.DefaultLimits,
+		processes: 1, shutdownTimes: newShutdownSchedule(conf.Settings.Classes)}
 	f.pool = newConnPool(f)
 	f.applyBudgets()
 	return f
 }
 
-// Start takes the last known list, watches discovery and listens. It is called before the loop runs.
+// Start loads the last known worker list, opens the watch on discovery and listens for connections. It is called before
+// the loop runs. An address that can't be listened on is reported as a *config.Error.
 func (f *Front) Start() error {
 	list, err := discovery.ParseList(f.conf.Known, f.listFormat())
 	if err != nil {
 		if len(f.conf.Known) > 0 {
-			f.log.Warn("known list is kept out", "error", err)
+			f.log.Warn("known worker list ignored", "error", err)
 		}
 		list = &discovery.Update{}
 	}
@@ -153,8 +160,8 @@
 	f.server, err = netpoll.NewEventLoop(onRequest,
 		netpoll.WithOnPrepare(f.onAccept),
 		netpoll.WithOnDisconnect(func(ctx context.Context, _ netpoll.Connection) {
-			a := ctx.Value(connKey{}).(*clientConn)
-			f.loop.Post(func() { f.onConnClosed(a) })
+			c := ctx.Value(connKey{}).(*clientConn)
+			f.loop.Post(func() { f.onConnClosed(c) })
 		}))
 	if err != nil {
 		return err
@@ -175,15 +182,17 @@
 	return nil
 }
 
-// informed makes the front ready: the list that its agent holds has come, or was waited for long enough. What the agent
-// holds counts as told from the process's first moment, and the list known at the start may be older.
+// markReady ends the startup: the list of the local discovery server has arrived, or initialListTimeout is over. Readiness
+// waits for it since everything that server holds counts as known from the start of this process, and the list loaded at
+// startup may be older.
 func (f *Front) markReady() { f.ready = true }
 
-// Reload takes a new configuration over, within one event: the watch goes to its discovery at once, and
-// the budgets follow its limits. All that is open lives on, and so does what is known of the workers.
+// Reload applies the discovery address and the limits of a new configuration within one event: the watch moves to the new
+// address at once, and the connection budgets are recomputed. Open connections and requests continue, and what is known
+// of the workers is kept. Other keys keep their values; those that differ are logged.
 func (f *Front) Reload(next *config.Config) {
 	for _, key := range f.conf.Unchangeable(next) {
-		f.log.Warn("reload: a key can't change while the program runs; the old one is kept", "key", key)
+		f.log.Warn("reload: key can't be changed at run time, old value kept", "key", key)
 	}
 	kept := *f.conf
 	kept.Discovery, kept.Limits = next.Discovery, next.Limits
@@ -193,38 +202,38 @@
 	f.log.Info("reload: taken over")
 }
 
-// Address is where the front listens.
+// Address returns the address that the front listens on. Any goroutine may call it once Start has returned.
 func (f *Front) Address() string { return f.listener.Addr().String() }
 
-// sweep looks after connections now and then: floods, peers that are slow or say nothing, idle worker
-// connections. netpoll reads on whatever we do, so what a peer may send ahead, and what all may together,
-// is bounded here, by the configured memory.
+// sweep runs every sweepInterval and closes connections that flood, that are slow or silent, or that are idle. netpoll
+// keeps reading whatever the loop does, so the unread bytes are bounded here: for each connection by MaxReadAheadBytes
+// behind a message, and for all together by an eighth of the configured memory.
 func (f *Front) sweep() {
-	now, all := f.loop.Now(), 0
+	now, totalUnread := f.loop.Now(), 0
 	var largest *clientConn
-	most := 0
-	f.clients.Each(func(_ core.Ref, a *clientConn) {
-		unread := a.Conn.Reader().Len()
-		if all += unread; unread > most {
-			largest, most = a, unread
+	largestUnread := 0
+	f.clients.Each(func(_ core.Ref, c *clientConn) {
+		unread := c.Conn.Reader().Len()
+		if totalUnread += unread; unread > largestUnread {
+			largest, largestUnread = c, unread
 		}
 		switch {
-		case a.inFlight != nil:
-			if unread > a.request.Size+link.MaxReadAheadBytes {
-				a.Close(link.Flooding)
+		case c.inFlight != nil:
+			if unread > c.request.Size+link.MaxReadAheadBytes {
+				c.Close(link.Flooding)
 			}
-		case a.CloseReason != "":
+		case c.CloseReason != "":
 		case unread > http1.MaxMessage+link.MaxReadAheadBytes:
-			a.Close(link.Flooding)
-		case unread > 0 && a.partialSince == 0:
-			a.partialSince = now
-		case a.partialSince > 0 && now-a.partialSince > messageTimeout:
-			f.rejectAndClose(a, link.SlowInput, 408, "no whole request came in time\n")
-		case a.partialSince == 0 && a.jobCount == 0 && !a.isCallback && now-a.lastUsed > messageTimeout:
-			a.closeIfIdle(link.IdleTimeout)
+			c.Close(link.Flooding)
+		case unread > 0 && c.partialSince == 0:
+			c.partialSince = now
+		case c.partialSince > 0 && now-c.partialSince > messageTimeout:
+			f.rejectAndClose(c, link.SlowInput, 408, "no whole request came in time\n")
+		case c.partialSince == 0 && c.jobCount == 0 && !c.isCallback && now-c.lastUsed > messageTimeout:
+			c.closeIfIdle(link.IdleTimeout)
 		}
 	})
-	if all > f.Limits().MemoryMB<<20/8 {
+	if totalUnread > f.Limits().MemoryMB<<20/8 {
 		largest.Close(link.Flooding)
 	}
 	if f.drainingSince > 0 {
@@ -237,8 +246,8 @@
 	f.loop.At(now+sweepInterval, f.sweep)
 }
 
-// Ready tells whether the front takes new clients: it has started, and neither a drain nor SIGTERM is on.
+// Ready reports whether the front accepts new clients: startup is over, no drain is in force and SIGTERM was not received.
 func (f *Front) Ready() bool { return f.ready && f.drainingSince == 0 && f.stoppingSince == 0 }
 
-// Relayed is the number of requests written whole to the workers since the start.
+// Relayed returns the number of requests written completely to the workers since the start.
 func (f *Front) Relayed() uint64 { return f.relayed }
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -12,80 +12,81 @@
 	"cobaltflow/internal/link"
 )
 
-// onRequest runs on a goroutine of netpoll's; package link says who holds the buffer.
+// onRequest parses what has been read of a connection. It runs on a netpoll goroutine; package link documents which
+// goroutine owns the buffer.
 func onRequest(ctx context.Context, _ netpoll.Connection) error {
-	a := ctx.Value(connKey{}).(*clientConn)
-	f, told := a.front, false
+	c := ctx.Value(connKey{}).(*clientConn)
+	f, hasContinued := c.front, false
 	var fault *http1.Error
-	return a.Read(f.loop, func(buf []byte) (int, int, bool) {
+	return c.Read(f.loop, func(buf []byte) (int, int, bool) {
 		var need int
-		need, fault = http1.ParseRequest(buf, &a.request)
-		if fault == nil && need > 0 && !told && string(a.request.Get("Expect")) == "100-continue" {
-			told = true
-			f.loop.Post(func() { a.Send(f.loop, link.Outgoing{Message: []byte("HTTP/1.1 100 Continue\r\n\r\n")}) })
+		need, fault = http1.ParseRequest(buf, &c.request)
+		if fault == nil && need > 0 && !hasContinued && string(c.request.Get("Expect")) == "100-continue" {
+			hasContinued = true
+			f.loop.Post(func() { c.Send(f.loop, link.Outgoing{Message: []byte("HTTP/1.1 100 Continue\r\n\r\n")}) })
 		}
-		return a.request.Size, need, fault != nil
-	}, func() { f.handleMessage(a, fault) })
+		return c.request.Size, need, fault != nil
+	}, func() { f.handleMessage(c, fault) })
 }
 
-// take has a whole message in hand, or a fault in it.
-func (f *Front) handleMessage(a *clientConn, fault *http1.Error) {
-	a.MessageCount++
-	a.lastUsed, a.partialSince = f.loop.Now(), 0
-	if a.Ended || a.CloseReason != "" {
-		a.ReleaseBuffer()
+// handleMessage serves a complete message, or answers one that could not be parsed with the status of its fault.
+func (f *Front) handleMessage(c *clientConn, fault *http1.Error) {
+	c.MessageCount++
+	c.lastUsed, c.partialSince = f.loop.Now(), 0
+	if c.Ended || c.CloseReason != "" {
+		c.ReleaseBuffer()
 		return
 	}
-	q := &a.request
+	req := &c.request
 	if fault != nil {
-		f.rejectAndClose(a, link.BadInput, fault.Status, fault.Text)
-		a.ReleaseBuffer()
+		f.rejectAndClose(c, link.BadInput, fault.Status, fault.Text)
+		c.ReleaseBuffer()
 		return
 	}
-	path := string(q.Path)
+	path := string(req.Path)
 	r, fixed := routes[path]
 	if !fixed && f.isTooLateForJobs() {
-		// Its job could not end before we do: the client tries again elsewhere. Refused at once, as the rule on
-		// given-up requests wants.
-		a.CloseReason = link.Shutdown
-		f.reply(a, 503, []byte("this process ends; try again\n"), false, "Retry-After", "0")
-		a.ReleaseBuffer()
+		// The job could not end before this process does. It is refused at once, so that the client retries elsewhere.
+		c.CloseReason = link.Shutdown
+		f.reply(c, 503, []byte("this process ends; try again\n"), false, "Retry-After", "0")
+		c.ReleaseBuffer()
 		return
 	}
 	if !fixed {
-		if f.admit(a, q, path) {
-			return // the transaction holds the buffer
+		if f.admit(c, req, path) {
+			return // the buffer is released with the request
 		}
-	} else if m := string(q.Method); m == r.method || m == "HEAD" && r.method == "GET" {
-		if r.handle(f, a, q) {
-			return // it is released with its answer
+	} else if m := string(req.Method); m == r.method || m == "HEAD" && r.method == "GET" {
+		if r.handle(f, c, req) {
+			return // the buffer is released with the answer
 		}
 	} else {
-		f.rejectRequest(a, 405, r.method)
+		f.rejectRequest(c, 405, r.method)
 	}
-	a.ReleaseBuffer()
+	c.ReleaseBuffer()
 }
 
-// endsSoon tells that a job that comes now could not end before we do: all that is open was answered already, or a
-// successor at our address has the time that we have not.
+// isTooLateForJobs reports whether a job that arrives now could not end before this process does: the open requests have
+// been answered already, or, with a successor at the same address, the time left is better spent there.
 func (f *Front) isTooLateForJobs() bool {
 	since := f.loop.Now() - f.stoppingSince
 	return f.stoppingSince > 0 && (since >= f.shutdownTimes.answerBy || f.isHandingOver && since > f.shutdownTimes.refuseJobsAfter)
 }
 
+// route serves a fixed path. A handler that returns waits answers later and releases the buffer then.
 type route struct {
 	method string
-	handle func(f *Front, a *clientConn, q *http1.Request) (waits bool)
+	handle func(f *Front, c *clientConn, req *http1.Request) (waits bool)
 }
 
-// routes are the fixed paths; any other is a class's.
+// routes are the fixed paths; any other path names a class.
 var routes = map[string]route{
 	PathReady:   {"GET", (*Front).handleHealth},
 	PathHealthy: {"GET", (*Front).handleHealth},
 	PathEvents:  {"POST", (*Front).handleCallback},
 }
 
-// Routes lists method and path of all that is served; the last two stand for the classes.
+// Routes returns method and path of everything that is served, sorted; the last two stand for the classes.
 func Routes() (out []string) {
 	for path, r := range routes {
 		out = append(out, r.method+" "+path)
@@ -94,118 +95,121 @@
 	return append(out, "POST /{class}", "POST /{class}/{key}")
 }
 
-func (f *Front) handleHealth(a *clientConn, q *http1.Request) (waits bool) {
+// handleHealth answers 200 while new clients are accepted, else 503.
+func (f *Front) handleHealth(c *clientConn, req *http1.Request) (waits bool) {
 	if f.Ready() {
-		f.reply(a, 200, nil, q.KeepAlive)
+		f.reply(c, 200, nil, req.KeepAlive)
 	} else {
-		f.reply(a, 503, nil, q.KeepAlive, "Retry-After", "1")
+		f.reply(c, 503, nil, req.KeepAlive, "Retry-After", "1")
 	}
 	return false
 }
 
-// refuseInput answers a message that can't be served. The connection ends with it: nothing more of use is
-// to be expected there.
-func (f *Front) rejectRequest(a *clientConn, status int, text string) {
+// rejectRequest answers a message that can't be served, and closes its connection, on which no valid message is to be
+// expected any more. For status 405 the text is the method that is allowed.
+func (f *Front) rejectRequest(c *clientConn, status int, text string) {
 	extra := []string(nil)
 	if status == 405 {
 		extra = []string{"Allow", text}
 	}
-	if text += "\n"; string(a.request.Method) == "HEAD" {
+	if text += "\n"; string(c.request.Method) == "HEAD" {
 		text = ""
 	}
-	f.rejectAndClose(a, link.BadInput, status, text, extra...)
+	f.rejectAndClose(c, link.BadInput, status, text, extra...)
 }
 
-// turnAway tells the peer why and ends its connection, which is read over until then: the peer may still
-// be writing, and reset under that it might not read the error. The request is not looked at: it may be
-// in OnRequest's hands.
-func (f *Front) rejectAndClose(a *clientConn, reason string, status int, text string, extra ...string) {
-	a.CloseReason = reason
-	a.DiscardInput()
+// rejectAndClose sends an error and then closes the connection. Input is read and discarded until then: the peer may still
+// be writing, and if its connection were reset meanwhile it might never read the error. The parsed request is not used,
+// since onRequest may be writing to it.
+func (f *Front) rejectAndClose(c *clientConn, reason string, status int, text string, extra ...string) {
+	c.CloseReason = reason
+	c.DiscardInput()
 	message := http1.AppendResponse(nil, status, false, []byte(text), extra...)
-	a.Send(f.loop, link.Outgoing{Message: message, CloseAfter: true})
+	c.Send(f.loop, link.Outgoing{Message: message, CloseAfter: true})
 }
 
-// open turns a request into a transaction; what can't be one is answered and reaches no worker.
-func (f *Front) admit(a *clientConn, q *http1.Request, path string) bool {
-	t, fault := f.admission.Admit(&admission.Request{Method: string(q.Method), Target: string(q.Target), Path: path, Body: q.Body,
-		Header: func(name string) ([]byte, int) { return q.Get(name), q.Count(name) }, Fields: func(b []byte) []byte {
-			connection := q.Get("Connection")
-			for _, h := range q.Headers {
+// admit hands a request to the core and reports whether it was admitted; one that is not valid gets an error and reaches
+// no worker.
+func (f *Front) admit(c *clientConn, req *http1.Request, path string) bool {
+	request, fault := f.admission.Admit(&admission.Request{Method: string(req.Method), Target: string(req.Target), Path: path, Body: req.Body,
+		Header: func(name string) ([]byte, int) { return req.Get(name), req.Count(name) }, Fields: func(b []byte) []byte {
+			connection := req.Get("Connection")
+			for _, h := range req.Headers {
 				b = admission.AppendField(b, h.Name, h.Value, connection)
 			}
 			return b
-		}}, a)
+		}}, c)
 	if fault != nil {
-		f.rejectRequest(a, fault.Status, fault.Text)
+		f.rejectRequest(c, fault.Status, fault.Text)
 		return false
 	}
-	a.inFlight = t
-	a.jobCount++
+	c.inFlight = request
+	c.jobCount++
 	return true
 }
 
-// Answer implements core.UserAgent. With it the connection is free for the next request: an attempt that may still be out,
-// where attempts may not be cancelled, has a copy of what it carries.
-func (a *clientConn) Answer(t *core.Request, answer core.Answer) {
-	r := a.front.admission.ReplyTo(answer)
-	if r.RetryAfter != "" {
-		a.front.reply(a, r.Status, r.Body, a.request.KeepAlive, "Retry-After", r.RetryAfter)
+// Answer implements core.Client. The connection is free for the next request at once: an attempt that can't be cancelled
+// and still runs has its own copy of the message.
+func (c *clientConn) Answer(request *core.Request, answer core.Answer) {
+	reply := c.front.admission.ReplyTo(answer)
+	if reply.RetryAfter != "" {
+		c.front.reply(c, reply.Status, reply.Body, c.request.KeepAlive, "Retry-After", reply.RetryAfter)
 	} else {
-		a.front.reply(a, r.Status, r.Body, a.request.KeepAlive)
+		c.front.reply(c, reply.Status, reply.Body, c.request.KeepAlive)
 	}
-	t.Job.Body = nil
-	a.releaseRequest(t)
+	request.Job.Body = nil
+	c.releaseRequest(request)
 }
 
-// Released implements core.UserAgent: the client has left, or was answered before.
-func (a *clientConn) Released(t *core.Request) {
-	a.front.admission.Released(t)
-	a.releaseRequest(t)
+// Released implements core.Client. It comes after the answer or after the client's disconnect.
+func (c *clientConn) Released(request *core.Request) {
+	c.front.admission.Released(request)
+	c.releaseRequest(request)
 }
 
-// free gives the buffer of a request back, which its transaction held.
-func (a *clientConn) releaseRequest(t *core.Request) {
-	if a.inFlight == t {
-		a.inFlight = nil
-		a.lastUsed = a.front.loop.Now()
-		a.ReleaseBuffer()
+// releaseRequest releases the read buffer that the request in flight points into.
+func (c *clientConn) releaseRequest(request *core.Request) {
+	if c.inFlight == request {
+		c.inFlight = nil
+		c.lastUsed = c.front.loop.Now()
+		c.ReleaseBuffer()
 	}
 }
 
-// reply queues an answer. The message is put together anew, since it outlives the turn and with it
-// the call-back's buffer that the result is a slice of.
-func (f *Front) reply(a *clientConn, status int, body []byte, keepAlive bool, extra ...string) {
-	if a.Ended {
+// reply queues an answer. The message is a copy, since it outlives this turn of the loop, and with the turn the buffer of
+// the callback that the body may be a slice of.
+func (f *Front) reply(c *clientConn, status int, body []byte, keepAlive bool, extra ...string) {
+	if c.Ended {
 		return
 	}
-	keepAlive = keepAlive && (f.stoppingSince == 0 || f.loop.Now() < f.stoppingSince+f.shutdownTimes.acceptUntil || a.isCallback) && a.CloseReason == "" &&
-		(f.drainingSince == 0 || a.isCallback)
-	if string(a.request.Method) == "HEAD" {
+	keepAlive = keepAlive && (f.stoppingSince == 0 || f.loop.Now() < f.stoppingSince+f.shutdownTimes.acceptUntil || c.isCallback) &&
+		c.CloseReason == "" && (f.drainingSince == 0 || c.isCallback)
+	if string(c.request.Method) == "HEAD" {
 		body = nil
 	}
-	if !keepAlive { // nothing behind this request is taken any more
-		if a.CloseReason == "" {
-			a.CloseReason = link.Answered
+	if !keepAlive { // requests pipelined behind this one are not served
+		if c.CloseReason == "" {
+			c.CloseReason = link.Answered
 		}
-		a.DiscardInput()
+		c.DiscardInput()
 	}
 	message := http1.AppendResponse(make([]byte, 0, 160+len(body)), status, keepAlive, body, extra...)
-	a.Send(f.loop, link.Outgoing{Message: message, CloseAfter: !keepAlive})
+	c.Send(f.loop, link.Outgoing{Message: message, CloseAfter: !keepAlive})
 }
 
-// gone has an accepted connection end: what it waited for is hung up.
-func (f *Front) onConnClosed(a *clientConn) {
-	if a.isCallback {
-		a.Party = "call-back"
+// onConnClosed removes an accepted connection that has ended, and reports the disconnect of a client that waited for an
+// answer.
+func (f *Front) onConnClosed(c *clientConn) {
+	if c.isCallback {
+		c.Party = "call-back"
 	}
-	if !a.MarkEnded(f.log, f.loop.Now()) {
+	if !c.MarkEnded(f.log, f.loop.Now()) {
 		return
 	}
 	f.acceptedConns.Add(-1)
-	f.clients.Free(a.ref)
-	if a.inFlight != nil {
-		f.core.ClientDisconnected(a.inFlight)
+	f.clients.Free(c.ref)
+	if c.inFlight != nil {
+		f.core.ClientDisconnected(c.inFlight)
 	}
-	a.ReleaseBuffer()
+	c.ReleaseBuffer()
 }
