--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -66,7 +66,7 @@
 	conf         *config.Config
 	log          *slog.Logger
 	dialFailures log.FailureThrottle // limits the log lines of peers that can't be reached
-	ready        bool                // startup is over, see markReady
+	isStarted    bool                // startup is over, see markReady
 
 	listener      netpoll.Listener
 	server        netpoll.EventLoop
@@ -125,7 +125,7 @@
 	isCallback   bool          // a worker's connection: it has sent a callback
 	jobCount     int           // requests that were admitted
 	lastUsed     core.Time     // when the last message arrived or the last request was released
-	partialSince core.Time     // when an incomplete message was first seen; 0: there is none
+	partialSince core.Time     // when an incomplete message was first seen, or the connection opened; 0: no message is due
 }
 
 // New returns a front that is not listening yet; Start opens it.
@@ -185,7 +185,7 @@
 // markReady ends the startup: the list of the local discovery server has arrived, or initialListTimeout is over. Readiness
 // waits for it since everything that server holds counts as known from the start of this process, and the list loaded at
 // startup may be older.
-func (f *Front) markReady() { f.ready = true }
+func (f *Front) markReady() { f.isStarted = true }
 
 // Reload applies the discovery address and the limits of a new configuration within one event: the watch moves to the new
 // address at once, and the connection budgets are recomputed. Open connections and requests continue, and what is known
@@ -247,7 +247,7 @@
 }
 
 // Ready reports whether the front accepts new clients: startup is over, no drain is in force and SIGTERM was not received.
-func (f *Front) Ready() bool { return f.ready && f.drainingSince == 0 && f.stoppingSince == 0 }
+func (f *Front) Ready() bool { return f.isStarted && f.drainingSince == 0 && f.stoppingSince == 0 }
 
 // Relayed returns the number of requests written completely to the workers since the start.
 func (f *Front) Relayed() uint64 { return f.relayed }
--- a/internal/platform/handover_test.go
+++ b/internal/platform/handover_test.go
@@ -10,8 +10,8 @@
 	"cobaltflow/internal/standin"
 )
 
-// A process with a successor that received SIGTERM more than 2 s ago refuses a new job at once, with Retry-After. At 3.55 s
-// it answers its open requests and closes its listener.
+// A process that has handed over to a successor, and received SIGTERM more than 2 s ago, refuses a new job at once, with
+// Retry-After. 3.55 s after SIGTERM it answers its open requests and closes its listener.
 func TestHandOverRefusesLateJobsAndClosesListener(t *testing.T) {
 	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
