--- a/rules/api.go
+++ b/rules/api.go
@@ -1,153 +1,157 @@
-// Package rules decides, for one dispatcher, which worker each job goes to. This file is the
-// whole interface: settings, events and actions; the files that deploy/balancer.toml names as policy hold every
-// decision, by concern.
+// Package rules decides, for one dispatcher, which worker each job goes to: it owns the worker
+// registry, the load estimates and every placement, retry and admission decision. A host (the core of
+// the gateway, or the simulator's adapter) feeds it events and carries out the actions it emits.
 //
-// # What the host owes
+// # Contract of the host
 //
 // One Dispatcher is used by one goroutine at a time. Every event carries now, in microseconds of
-// any clock that never goes back. Events are given in the order in which they arrived. Actions
-// are emitted from within the event methods and run in the order emitted. A timer asked for
-// with Timer comes back through TimerDue once, at its time or later, never from within the call.
-// Each Send is followed by exactly one Outcome, also after the request's end; attempts of a
-// request are numbered 0, 1, 2 ... in the order sent. A request ends with the first outcome whose
-// Closed is set, with Refuse or Fail, or with Hangup. A new Dispatcher gets one List (which may be
-// stale or empty) before its first request. Strings handed in may be kept.
+// any clock that never goes backwards. Events are passed in the order in which they arrived. Actions
+// are emitted from within the event methods and must be carried out in the order emitted. A timer
+// requested with Timer is returned once through TimerDue, at its time or later, never from within
+// the call. Each Send is followed by exactly one Outcome, also after the request has ended; attempts
+// of a request are numbered 0, 1, 2 ... in the order sent. A request ends with the first outcome whose
+// Closed is set, with Refuse or Fail, or with ClientDisconnected. A new Dispatcher gets one List
+// (which may be stale or empty) before its first request. The Dispatcher may keep strings passed to it.
 package rules
 
+// This file is the whole interface: settings, events and actions. The files that deploy/balancer.toml
+// names as policy hold the decisions; the others hold data structures.
+
 import "slices"
 
-// Time is a point in, or a length of, the host's clock, in microseconds.
+// Time is a point in time on the host's clock, or a duration, in microseconds.
 type Time = int64
 
-// RequestID and WorkerID are opaque; every dispatcher sees the same id for the same worker.
+// RequestID and WorkerID are opaque. Every dispatcher sees the same id for the same worker.
 type (
 	RequestID string
 	WorkerID  string
 )
 
-// Effect tells what a class allows once an attempt may have run.
+// Effect states whether a request may be repeated once an attempt of it may have run.
 type Effect uint8
 
 const (
-	Once       Effect = iota // never again, and no refusal (the default: the safest reading)
-	Keyed                    // again only inside Group and within Window
-	Repeatable               // again at will
+	Once       Effect = iota // never repeated, and never refused after such an attempt (the default: the safest)
+	Keyed                    // repeated only inside Group and within Window
+	Repeatable               // idempotent: repeated freely
 )
 
-// Group is the set of workers that drops the repeats of a Keyed request.
+// Group is the set of workers that deduplicates a Keyed request: a repeat inside it is dropped.
 type Group uint8
 
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	GroupAll  Group = iota // all workers
+	GroupZone              // the workers of one zone
+	GroupCell              // the workers of one cell
 )
 
-// Class describes one class of requests. Zero values are the defaults.
+// Class describes one class of requests. Zero values stand for the defaults noted.
 type Class struct {
-	LatencyTarget Time    // an answer within it earns full worth; 0: half the deadline
-	TargetStretch float64 // the aim grows by this multiple of the job's own running time
-	Deadline      Time    // the client's patience; each request carries its own
+	LatencyTarget Time    // an answer within it earns the full Value; 0: half the deadline
+	TargetStretch float64 // the target grows by this multiple of the job's own running time
+	Deadline      Time    // how long the client waits; each request carries its own deadline; 0: 60 s
 	Value         float64 // 0: 1
-	LateValue     float64 // the part of the worth paid after the aim
+	LateValue     float64 // fraction of Value that an answer after the target earns
 	Effect        Effect
 	Group         Group
 	Window        Time // how long a Keyed repeat is dropped, from the first attempt's send
-	Kind          int  // the one kind of worker that can run it; below 0: any
+	Kind          int  // the one kind of worker that can run it; negative: any
 	Priority      int
 }
 
-// Tenant is one customer of the service and its share of it.
+// Tenant is one customer of the service and its quota.
 type Tenant struct {
-	QuotaPerS float64 // requests a second over all dispatchers; 0: no quota
+	QuotaPerS float64 // requests per second over all dispatchers; 0: no quota
 }
 
-// Settings are given once, at start. A zero value stands for the default noted.
+// Settings are passed to New and don't change afterwards. Zero values stand for the defaults noted.
 type Settings struct {
 	Classes   []Class
 	Tenants   []Tenant
 	Zones     int
 	Kinds     int
-	Zone      int // this dispatcher's own
-	Rank      int // this dispatcher's number among GroupSize
-	GroupSize int // dispatchers sending to the same workers; 0: 1
+	Zone      int // zone of this dispatcher
+	Rank      int // number of this dispatcher, from 0 to GroupSize-1
+	GroupSize int // number of dispatchers that send to the same workers; 0: 1
 
-	PullsList        bool // the list comes only after Watch or Fetch; otherwise it is pushed
-	PollWithin       Time // an unsubscribed dispatcher must ask this often; 0: 10 s
+	PullsList        bool // the list is sent only after Watch or Fetch; otherwise it is pushed
+	PollWithin       Time // a dispatcher that is not subscribed must poll this often; 0: 10 s
 	MayProbe         bool
 	MayCancel        bool
 	MayBroadcast     bool // dispatchers may send one another messages
-	MayHedge         bool // two attempts of a request may be out at once
+	MayHedge         bool // two attempts of a request may be outstanding at once
 	MaxAttempts      int  // 0: 3
-	RetryAfter       bool // a refusal may tell the client how long to stay away
+	RetryAfter       bool // a refusal may state when the client may retry
 	MaxRetryAfter    Time
 	ConnectTimeout   Time
-	ReportsStart     bool // workers note a job's start
-	ProgressInterval Time // and its progress; 0: never
+	ReportsStart     bool // workers report a job's start
+	ProgressInterval Time // workers report a job's progress this often; 0: never
 	LoadInAnswers    bool // outcomes carry load reports
 	LoadInProbes     bool // probe results carry load reports
-	WeightsAreSize   bool // list weights compare the sizes of workers
+	WeightsAreSize   bool // list weights are the relative sizes of workers
 
 	AnswerSlack          Time    // an answer this long past the deadline still counts; 0: none
-	DrainGrace           Time    // sends to a draining worker end within it
-	SlowStartMinCapacity float64 // a worker starts with this part of its capacity at least; 0: 0.1
-	SlowStartWindow      Time    // and is warm after this; 0: 30 s
+	DrainGrace           Time    // attempts at a draining worker end within it
+	SlowStartMinCapacity float64 // fraction of its capacity that a worker starts with at least; 0: 0.1
+	SlowStartWindow      Time    // time from a worker's start until it is warm; 0: 30 s
 	OverloadFactor       float64 // more than this multiple of its present capacity ...; 0: 2
-	OverloadWindow       Time    // ... for this long pushes a cold worker over; 0: 1 s
+	OverloadWindow       Time    // ... for this long overloads a cold worker; 0: 1 s
 
-	ProbeCost       float64 // price of one probe a request, as a part of the service's worth
-	PeerMessageCost float64 // the same for a full message to one peer, of 256 bytes
-	CrossZoneCost   float64 // the same for crossing zones
+	ProbeCost       float64 // cost of one probe per request, as a fraction of the service's value
+	PeerMessageCost float64 // the same for a full message, 256 bytes, to one peer
+	CrossZoneCost   float64 // the same for sending to another zone
 	OriginFetchCost float64 // the same for a fetch from the key store
-	OverQuotaValue  float64 // the worth of traffic beyond a tenant's share
-	ValueByWork     bool    // a job is worth its class's worth for each unit of its work, else as a whole
+	OverQuotaValue  float64 // factor on the value of traffic beyond a tenant's quota
+	ValueByWork     bool    // a job earns its class's value per unit of its work, otherwise per job
 }
 
-// withDefaults puts the defaults noted in the place of zero values.
+// withDefaults returns a copy in which zero values are replaced by the defaults noted.
 func (s Settings) withDefaults() Settings {
 	s.GroupSize = max(1, s.GroupSize)
-	defaultTo(&s.MaxAttempts, 3)
-	defaultTo(&s.PollWithin, 10_000_000)
-	defaultTo(&s.SlowStartMinCapacity, 0.1)
-	defaultTo(&s.SlowStartWindow, 30_000_000)
-	defaultTo(&s.OverloadFactor, 2)
-	defaultTo(&s.OverloadWindow, 1_000_000)
+	setDefault(&s.MaxAttempts, 3)
+	setDefault(&s.PollWithin, 10_000_000)
+	setDefault(&s.SlowStartMinCapacity, 0.1)
+	setDefault(&s.SlowStartWindow, 30_000_000)
+	setDefault(&s.OverloadFactor, 2)
+	setDefault(&s.OverloadWindow, 1_000_000)
 	if len(s.Classes) == 0 {
 		s.Classes = []Class{{Kind: -1}}
 	}
 	s.Classes = slices.Clone(s.Classes)
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		defaultTo(&c.Deadline, 60_000_000)
-		defaultTo(&c.LatencyTarget, c.Deadline/2)
-		defaultTo(&c.Value, 1)
+		setDefault(&c.Deadline, 60_000_000)
+		setDefault(&c.LatencyTarget, c.Deadline/2)
+		setDefault(&c.Value, 1)
 	}
 	return s
 }
 
-func defaultTo[T int | int64 | float64](v *T, otherwise T) {
+func setDefault[T int | int64 | float64](v *T, value T) {
 	if *v == 0 {
-		*v = otherwise
+		*v = value
 	}
 }
 
-// WorkerState is what the list says of a worker.
+// WorkerState is the state of a worker on the list.
 type WorkerState uint8
 
 const (
-	Ready WorkerState = iota
-	Draining
-	Gone
+	Ready    WorkerState = iota // may be sent jobs
+	Draining                    // finishes its jobs and gets no new ones
+	Gone                        // no longer listed
 )
 
-// Holder is who takes a worker out beside the list. Each lets back only what it took.
+// DisabledBy is a source, other than the list, that disables a worker. Each source enables only what it
+// has disabled itself.
 type DisabledBy int
 
-// The holders.
+// Sources that disable workers.
 const (
-	ByOperator DisabledBy = iota // an operator
-	BySites                      // the knowledge of sites: it does not answer
-	numDisabledBy
+	ByOperator    DisabledBy = iota // an operator's directive
+	BySites                         // the failover policy: the worker's site does not answer
+	numDisabledBy                   // number of sources
 )
 
 // ListEntry is one worker of the list.
@@ -156,37 +160,37 @@
 	Zone, Kind, Cell int
 	State            WorkerState
 	Weight           float64
-	StartedAt        Time // 0: long ago
+	StartedAt        Time // start of the worker's process; 0: long ago
 }
 
-// ListForm tells how to read a list.
+// ListForm states how to apply a List.
 type ListForm uint8
 
 const (
 	ListDelta  ListForm = iota // changed entries only
-	ListFull                   // everything; who is absent is gone
-	ListCached                 // everything as last stored, perhaps stale
+	ListFull                   // all entries; absent workers are gone
+	ListCached                 // all entries as last stored, possibly stale
 	ListFailed                 // a call failed or the watch broke; no entries
 )
 
-// List is news of the fleet.
+// List is an update of the worker list.
 type List struct {
 	Form    ListForm
 	Entries []ListEntry
 }
 
-// Request is a job that a client asks for.
+// Request is a job requested by a client.
 type Request struct {
 	ID             RequestID
 	Class          int
 	Tenant         int
 	Key            uint64
 	HasKey         bool
-	Deadline       Time    // the client gives up at this time
-	Hint           Time    // expected running time; 0: unknown
-	Slots          float64 // 0: 1
-	Memory         float64
-	FetchingWorker WorkerID // a worker that asks for work, and stands first in the sample; empty: none does
+	Deadline       Time     // the client stops waiting at this time
+	Hint           Time     // expected running time; 0: unknown
+	Slots          float64  // slots that the job takes; 0: 1
+	Memory         float64  // memory that the job takes, in the unit of Load.FreeMem; 0: not limited
+	FetchingWorker WorkerID // worker that is fetching a job and is considered first; empty: none
 }
 
 // Status is how an attempt ended.
@@ -194,46 +198,47 @@
 
 const (
 	OK          Status = iota
-	Error              // the worker answered with an error; may have run
-	Refused            // turned away unseen: never ran
+	Error              // the worker answered with an error: may have run
+	Refused            // rejected by the worker unprocessed: never ran
 	TimedOut           // may have run
 	Unreachable        // no connection: never ran
 	Reset              // the connection broke: may have run
-	Cancelled          // withdrawn: may have run
-	NotSent            // never left: never ran
-	Unknown            // any other; may have run
+	Cancelled          // cancelled by this side: may have run
+	NotSent            // never transmitted: never ran
+	Unknown            // any other: may have run
 )
 
-// NeverRan tells whether the status proves that the attempt had no effect.
+// NeverRan reports whether the status proves that the attempt had no effect.
 func (s Status) NeverRan() bool { return s == Refused || s == Unreachable || s == NotSent }
 
-// Reason tells, for the log alone, why a request was refused or failed.
+// Reason states why a request was refused or failed. It is used for logging only.
 type Reason uint8
 
 const (
 	DeadlineExceeded  Reason = iota // its deadline has passed
-	AttemptsExhausted               // it has had as many as the settings allow
+	AttemptsExhausted               // it has had MaxAttempts attempts
 	NotRetryable                    // an attempt may have run, and its class allows no further one
-	Shed                            // it would start too late to be of worth, or others are worth more
+	Shed                            // it would start too late to earn its value, or others earn more
 )
 
 var reasons = [...]string{"time-over", "attempts-used", "not-repeated", "shed"}
 
-// String is the reason's name in the log.
+// String returns the reason's name in the log.
 func (r Reason) String() string { return reasons[r] }
 
 var statuses = [...]string{"ok", "error", "refused", "timed-out", "unreachable", "reset", "cancelled", "not-sent", "unknown"}
 
-// String is the status's name in the log.
+// String returns the status's name in the log.
 func (s Status) String() string { return statuses[s] }
 
-// Load is a worker's report. Has tells which of the figures it holds.
+// Load is a worker's load report. Has states which of its figures are set. Queue counts the jobs that
+// wait and InFlight all jobs there, waiting ones included; Util is the fraction of the slots in use.
 type Load struct {
 	Has                                       LoadField
 	Queue, InFlight, Util, FreeSlots, FreeMem float64
 }
 
-// LoadField is a set of report figures.
+// LoadField is a bit set of the figures of a Load.
 type LoadField uint8
 
 const (
@@ -255,16 +260,16 @@
 	Load    Load
 }
 
-// Note is news of an attempt still out.
+// Progress is a worker's report on an outstanding attempt.
 type Progress struct {
 	Request      RequestID
 	Attempt      int
 	Worker       WorkerID
-	Started      bool    // the job has started
-	FractionDone float64 // else: the part done
+	Started      bool    // the report is of the job's start
+	FractionDone float64 // otherwise: fraction of the job that is done
 }
 
-// Probed is the result of a probe.
+// ProbeResult is the result of a probe request.
 type ProbeResult struct {
 	Worker  WorkerID
 	Status  Status
@@ -272,16 +277,16 @@
 	Load    Load
 }
 
-// Actions is what a Dispatcher asks of its host.
+// Actions is implemented by the host and carries out what a Dispatcher decides.
 type Actions interface {
 	Send(r RequestID, until Time, w WorkerID) // until 0: for as long as the client waits
 	Cancel(r RequestID, attempt int)
-	Refuse(r RequestID, retryAfter Time, why Reason) // final: trying again is harmless
-	Fail(r RequestID, why Reason)                    // final: promises nothing
-	Timer(delay Time, token uint64)
+	Refuse(r RequestID, retryAfter Time, why Reason) // final answer: retrying is safe
+	Fail(r RequestID, why Reason)                    // final answer: the request may have run
+	Timer(delay Time, token uint64)                  // calls TimerDue with the token after the delay
 	Probe(w WorkerID)
-	Broadcast(data []byte) // to all peers, late or not at all; what of them comes back through Peer
-	Watch(on bool)         // subscribe to the list
-	Fetch()                // the whole list, once
+	Broadcast(data []byte) // best effort, to all peers; each that receives it calls PeerMessage
+	Watch(on bool)         // subscribes to the list or ends the subscription
+	Fetch()                // requests the whole list once
 	Log(text string)
 }
--- a/rules/attempts.go
+++ b/rules/attempts.go
@@ -1,11 +1,12 @@
 package rules
 
-// Attempts and retries: the one place that knows what may have run, from a class's effect and how
-// attempts ended.
+// Attempts and retries. Only this file decides whether an attempt may have run and whether the request may
+// be sent again, from its class's Effect and from how its attempts ended.
 
 import "slices"
 
-// may is the gate of every send: drains, kinds, attempts, effects, groups, windows, cold budget.
+// maySend is checked before every send. It reports whether the request may be sent to the worker now, by
+// its deadline and attempts, the worker's state, kind and slots, the class's effect, and the cold budget.
 func (d *Dispatcher) maySend(now Time, r *request, w *worker) bool {
 	c := &d.classes[r.Class]
 	if r.closed || r.streaming || now >= r.Deadline || w.state != Ready ||
@@ -29,22 +30,24 @@
 	return d.coldBudgetAllows(now, w, r)
 }
 
-// runsOn tells of an attempt that was not given up and may still run: its connection broke, and its
-// worker's process is the same. A second one beside it at that worker would be a duplicate.
+// mayStillRun reports whether the attempt may still be running after its end: its connection broke, and the
+// worker's process is still the same. A second attempt at that worker would duplicate it.
 func (a *attempt) mayStillRun() bool { return a.connBroke && a.w.StartedAt == a.workerStart }
 
-// mayRepeat tells whether a class allows an attempt at w where b may have run. The repeat should also
-// arrive while the first is remembered: a tenth of the window is kept back.
-func mayRepeat(now Time, c *classStats, b *attempt, w *worker) bool {
+// mayRepeat reports whether a class allows an attempt at w although prior may have run. A tenth of the
+// deduplication window is kept in reserve, so that the repeat arrives while the first is remembered.
+func mayRepeat(now Time, c *classStats, prior *attempt, w *worker) bool {
 	if c.Effect == Keyed {
-		return now-b.sentAt <= c.Window-c.Window/10 &&
-			(c.Group != GroupZone || w.Zone == b.w.Zone) && (c.Group != GroupCell || w.Cell == b.w.Cell)
+		return now-prior.sentAt <= c.Window-c.Window/10 &&
+			(c.Group != GroupZone || w.Zone == prior.w.Zone) &&
+			(c.Group != GroupCell || w.Cell == prior.w.Cell)
 	}
 	return c.Effect == Repeatable
 }
 
-// Begin tells whether an attempt may begin now: what allowed it may be over by the time its connection
-// is up. One that may not is to end as NotSent.
+// Begin reports whether an attempt may begin now, and records that it does. The host calls it once the
+// connection is up: what allowed the send may no longer hold then. An attempt that may not begin ends as
+// NotSent.
 func (d *Dispatcher) Begin(now Time, id RequestID, attempt int) bool {
 	r := d.requests[id]
 	if r == nil || r.closed || now >= r.Deadline {
@@ -60,12 +63,13 @@
 	return a.begun
 }
 
-// mayRefuse tells whether the client may be told that trying again is harmless.
+// mayRefuse reports whether the request may be refused, which tells the client that a retry is safe.
 func (d *Dispatcher) mayRefuse(r *request) bool {
 	c := &d.classes[r.Class]
 	return r.firstMayHaveRun() == nil || c.Effect == Repeatable || c.Effect == Keyed && c.Group == GroupAll
 }
 
+// send sends the request to the worker and updates the counts. The caller has checked maySend.
 func (d *Dispatcher) send(now Time, r *request, w *worker) {
 	if r.attempts == nil {
 		r.attempts = r.firstAttempt[:0]
@@ -85,7 +89,9 @@
 		w.coldTokens -= d.jobCost(r)
 	}
 	d.actions.Send(r.ID, 0, w.id)
-	if d.shouldReport(r) || d.isCold(now, w) { // few send it jobs, and the others know its load by them alone
+	// Jobs to a cold worker are always reported: few dispatchers send it any, and the others learn its load
+	// only from those reports.
+	if d.shouldReport(r) || d.isCold(now, w) {
 		r.attempts[len(r.attempts)-1].reported = true
 		d.reporter.enqueue(now, newRecord(eventSent, w, r), d.actions)
 	}
@@ -94,7 +100,7 @@
 	}
 }
 
-// ended takes an attempt off the books and learns from how it ended.
+// attemptEnded removes an attempt from the in-flight counts and updates the estimates by how it ended.
 func (d *Dispatcher) attemptEnded(now Time, r *request, a *attempt, s Status) {
 	w := a.w
 	w.updateOwnAverage(now, d.meanRun.v)
@@ -113,7 +119,7 @@
 		d.recordResponse(now, a)
 	} else if !a.acknowledged {
 		if w.unacknowledged--; s == NotSent && w.unacknowledged == 0 {
-			w.silentSince = 0 // it owes no sign of life to what never left
+			w.silentSince = 0 // nothing that was sent awaits a response
 		}
 	}
 	switch s {
@@ -125,12 +131,12 @@
 		if a.startedAt > 0 {
 			run = now - a.startedAt
 		} else if d.cfg.ProgressInterval > 0 && !d.cfg.ReportsStart {
-			run = min(run, d.cfg.ProgressInterval) // no note of progress: the rest was waiting
+			run = min(run, d.cfg.ProgressInterval) // no progress was reported: the rest was waiting
 		}
-		d.meanRun.add(float64(run), gain/4) // of our own only: the peers tell of the long ones
+		d.meanRun.add(float64(run), gain/4) // own jobs only: peers report mostly the long ones
 		if c := &d.classes[r.Class]; r.Hint > 0 && c.run.n > 0 {
-			told, ran := float64(r.Hint)/c.hint.v, float64(run)/c.run.v/d.slowness(now, w)
-			c.hintFit.add(min(told, maxJobSize), min(ran, maxJobSize), gain/8)
+			hinted, actual := float64(r.Hint)/c.hint.v, float64(run)/c.run.v/d.slowness(now, w)
+			c.hintFit.add(min(hinted, maxJobSize), min(actual, maxJobSize), gain/8)
 		}
 		d.recordRun(now, r.Class, w, float64(run), r.size)
 	case Error:
@@ -139,8 +145,8 @@
 	case Unreachable, Reset:
 		d.recordFailure(now, w, 0.5)
 	case Refused:
-		// The report that came along may be older than the queue that overflowed: the worker is
-		// Full for as long as it takes to run what its slots hold, whatever reports say.
+		// The load report in the refusal may be older than the queue overflow. Whatever it says, the worker
+		// counts as Full for as long as the jobs in its slots take to run.
 		d.recordOthersLoad(now, w, max(d.load(now, w), 2*d.slots(w))-w.ownSlots)
 		w.fullUntil = now + Time(d.meanRun.v*d.slowness(now, w)*(0.5+d.rng.Float64()))
 	case TimedOut:
@@ -151,12 +157,12 @@
 	}
 }
 
-// patience is how long a request that may be repeated waits before its attempt is reviewed.
+// reviewDelay returns how long the attempt of a repeatable request is left alone before it is reviewed.
 func (d *Dispatcher) reviewDelay(r *request) Time {
 	return max(tickInterval/4, d.classes[r.Class].LatencyTarget/2)
 }
 
-// withdraw cancels what is still out of a request that is over.
+// cancelAttempts cancels the outstanding attempts of a request that has ended.
 func (d *Dispatcher) cancelAttempts(r *request) {
 	if !d.cfg.MayCancel || r.streaming {
 		return
@@ -168,7 +174,7 @@
 	}
 }
 
-// goOn decides what becomes of an open request none of whose attempts is out.
+// retryOrGiveUp continues an open request that has no outstanding attempt.
 func (d *Dispatcher) retryOrGiveUp(now Time, r *request) {
 	b := r.firstMayHaveRun()
 	switch {
@@ -176,13 +182,14 @@
 		d.giveUp(now, r, DeadlineExceeded)
 	case len(r.attempts) >= d.cfg.MaxAttempts:
 		d.giveUp(now, r, AttemptsExhausted)
-	case b != nil && !mayRepeat(now, &d.classes[r.Class], b, b.w): // nor ever again
+	case b != nil && !mayRepeat(now, &d.classes[r.Class], b, b.w): // nor at any later time
 		d.giveUp(now, r, NotRetryable)
 	default:
 		d.place(now, r)
 	}
 }
 
+// giveUp refuses the request if that is allowed, and otherwise fails it.
 func (d *Dispatcher) giveUp(now Time, r *request, why Reason) {
 	if d.mayRefuse(r) {
 		d.refuse(now, r, why)
@@ -191,8 +198,8 @@
 	}
 }
 
-// review is a request's timer: the end of its time, the end of its wait for probes, or a look at
-// an attempt that takes long.
+// review handles a request's timer: its deadline has passed, its wait for probe results is over, or its
+// attempt takes long and is hedged if the worker is suspect.
 func (d *Dispatcher) review(now Time, r *request) {
 	switch {
 	case r.streaming:
@@ -217,7 +224,7 @@
 	d.setTimer(now, now+d.reviewDelay(r), r)
 }
 
-// retryHeld looks at the requests that no worker could be sent.
+// retryHeld retries the first held requests, for which no worker was found before.
 func (d *Dispatcher) retryHeld(now Time) {
 	held := slices.Clone(d.held)
 	d.held = d.held[:0]
@@ -225,7 +232,7 @@
 		if i >= heldRetryBatch && !r.closed {
 			d.held = append(d.held, r)
 		} else if r.held = false; !r.closed {
-			d.retryOrGiveUp(now, r) // it is held again where no worker can be sent it
+			d.retryOrGiveUp(now, r) // it is held again if there still is no worker
 			d.forgetIfEnded(r)
 		}
 	}
--- a/rules/choose.go
+++ b/rules/choose.go
@@ -1,20 +1,22 @@
 package rules
 
-// Choosing a worker: the assigned table, the paper's Algorithms 1 and 2, from each worker's load as
-// known (load.go), its health, and a sample of the fleet on a ring.
+// Choice of a worker: the assigned table with the paper's Algorithms 1 and 2, over each worker's
+// estimated load (load.go), its health (health.go) and a sample of the workers on a hash ring.
 
 import (
 	"math"
 	"slices"
 )
 
-// available is the paper's Algorithm 2 over our own counts and the inferred load of the others,
-// its thresholds scaled to the worker's present capacity.
+// availability is the paper's Algorithm 2. It counts this dispatcher's own jobs and the estimated load of
+// the others, with thresholds scaled to the worker's present capacity.
 func (d *Dispatcher) availability(now Time, w *worker, r *request) availability {
 	slots := d.slots(w) * d.warmFraction(now, w)
 	n := d.load(now, w) + r.Slots - 1
-	spare := queueTargetFraction * float64(d.classes[r.Class].LatencyTarget) / max(1, d.meanRun.v*d.slowness(now, w))
-	tFull, tBusy := slots*(1+min(1, spare)), slots*busyFraction
+	// Jobs per slot that can wait within a part of the latency target.
+	queue := queueTargetFraction * float64(d.classes[r.Class].LatencyTarget) /
+		max(1, d.meanRun.v*d.slowness(now, w))
+	tFull, tBusy := slots*(1+min(1, queue)), slots*busyFraction
 	if n >= tFull || now < w.fullUntil || d.lacksMemory(now, w, r) {
 		return full
 	}
@@ -24,67 +26,73 @@
 	return notMajor
 }
 
+// lacksMemory reports whether the worker's last report, if recent, shows too little free memory for the
+// job.
 func (d *Dispatcher) lacksMemory(now Time, w *worker, r *request) bool {
 	return r.Memory > 0 && w.freeMemAt > 0 && float64(now-w.freeMemAt) < 2*d.meanRun.v && w.freeMem < r.Memory
 }
 
-// major tells whether the key ranks among the worker's top tMajor by running jobs. Jobs that have
-// ended count for a while, since a dispatcher has only a sliver of a worker's jobs running [D4].
+// isMajorKey reports whether the key is among the worker's tMajor keys with most running jobs. Ended jobs
+// count with a decay over the mean running time run, in microseconds, since a dispatcher sees only its own
+// small part of the jobs that run at a worker [D4].
 func (w *worker) isMajorKey(now Time, key uint64, tMajor, run float64) bool {
-	mine, above := 0.0, 0
+	count, higher := 0.0, 0
 	for i := range w.runningKeys {
 		if w.runningKeys[i].key == key {
-			mine = w.runningKeys[i].decayed(now, run)
+			count = w.runningKeys[i].decayed(now, run)
 		}
 	}
-	if mine == 0 {
+	if count == 0 {
 		return false
 	}
 	for i := range w.runningKeys {
-		if w.runningKeys[i].key != key && w.runningKeys[i].decayed(now, run) > mine {
-			above++
+		if w.runningKeys[i].key != key && w.runningKeys[i].decayed(now, run) > count {
+			higher++
 		}
 	}
-	return float64(above) < max(1, math.Round(tMajor))
+	return float64(higher) < max(1, math.Round(tMajor))
 }
 
-// cost orders workers: the load after this job, over what the worker can do, and dearer by the price of
-// the way to another zone, which weighs less on a job that is worth more [D7].
+// cost ranks workers, the cheapest first: the load with this job over the worker's present capacity, times
+// its slowness. In another zone it rises by the cost of crossing, which is one per request and so weighs
+// less on a job of higher value [D7].
 func (d *Dispatcher) cost(now Time, w *worker, r *request) float64 {
 	slots := max(0.1, d.slots(w)*d.warmFraction(now, w))
 	c := (d.load(now, w) + r.Slots) / slots * d.slowness(now, w)
 	if w.Zone != d.cfg.Zone {
-		worth, _ := d.meanValue()
-		c *= 1 + crossZoneWeight*d.cfg.CrossZoneCost*worth/d.jobValue(r.Class, r.size)
+		value, _ := d.meanValue()
+		c *= 1 + crossZoneWeight*d.cfg.CrossZoneCost*value/d.jobValue(r.Class, r.size)
 	}
 	return c
 }
 
-// choose is the paper's Algorithm 1. It gives nil where no worker may be sent the request now, and
-// queued where every eligible one seems Full and the job joins the least loaded one's queue.
+// chooseWorker is the paper's Algorithm 1. It returns nil if the request may not be sent to any worker now,
+// and queued if every eligible worker seems Full: the job then joins the queue of the cheapest one.
 func (d *Dispatcher) chooseWorker(now Time, r *request) (best *worker, queued bool) {
 	var e *tableEntry
-	var spare *worker // least loaded of all seen, for the queue
-	var bestCost, spareCost float64
-	// consider takes a worker for the best, or for the queue; pruned: the key is not major at a Busy one.
-	consider := func(w *worker) (pruned bool) {
+	var fallback *worker // cheapest of all considered, whose queue is joined if none accepts
+	var bestCost, fallbackCost float64
+	// consider updates best and fallback. It reports whether Algorithm 2 de-assigns the worker from the
+	// key: it is Busy, and the key is not major there.
+	consider := func(w *worker) (deassigned bool) {
 		if !d.maySend(now, r, w) {
 			return false
 		}
-		c, shunned := d.cost(now, w, r), !d.panicMode && (d.isSuspect(now, w) || d.avoidAfterFailures(now, w, r))
+		c, avoided := d.cost(now, w, r),
+			!d.panicMode && (d.isSuspect(now, w) || d.avoidAfterFailures(now, w, r))
 		state := d.availability(now, w, r)
-		if state == accepts && !shunned && (best == nil || c < bestCost) {
+		if state == accepts && !avoided && (best == nil || c < bestCost) {
 			best, bestCost = w, c
 		}
-		if shunned {
-			c += 1e6 // only if there is no other
+		if avoided {
+			c += 1e6 // above every cost: chosen only if there is no other
 		} else if now < w.fullUntil {
 			c += 1e3
 		}
-		if spare == nil || c < spareCost {
-			spare, spareCost = w, c
+		if fallback == nil || c < fallbackCost {
+			fallback, fallbackCost = w, c
 		}
-		return state == notMajor && !shunned
+		return state == notMajor && !avoided
 	}
 	size := d.scanSize(now, r)
 	d.fillSample(r, size)
@@ -95,32 +103,33 @@
 		kept := e.set[:0]
 		for _, w := range e.set {
 			if w.state == Ready && !consider(w) {
-				kept = append(kept, w) // else gone, or de-assigned
+				kept = append(kept, w) // the others are not ready, or de-assigned
 			}
 		}
 		clear(e.set[len(kept):])
 		e.set = kept
-		// A key that once went to another zone does not pay for the way for ever: a near worker of the
-		// scan that is as good takes it back [D7].
+		// If the best of the set is in another zone, the scan may replace it by an equally good worker of
+		// the own zone: a key that once moved away would pay for crossing forever [D7].
 		if best != nil && (best.Zone == d.cfg.Zone || d.cfg.CrossZoneCost == 0) {
 			return best, false
 		}
 	}
 	foreign, ready := d.kind(d.classes[r.Class].Kind).foreign, float64(d.readyCount)
-	for most, deep := ready*(1-d.silentFraction()*foreign), max(1, widenScanLoad*foreign); ; size *= 4 {
+	for maxSize, maxLoad := ready*(1-d.silentFraction()*foreign), max(1, widenScanLoad*foreign); ; size *= 4 {
 		for _, w := range d.sampleBuf {
 			consider(w)
 		}
-		// All of the sample is taken: further ones are looked at, as far as their load is ours or told. By
-		// reports alone all dispatchers would pile onto the few that seem empty [D2].
-		if best != nil || float64(size) >= most ||
-			spare != nil && d.load(now, spare)+r.Slots <= deep*d.slots(spare)*d.warmFraction(now, spare) {
+		// If the whole sample is Full the scan is widened, by the part of the load that is known exactly:
+		// own jobs and those reported by peers. By load reports alone, all dispatchers would pick the same
+		// few workers that seem empty [D2].
+		if best != nil || float64(size) >= maxSize || fallback != nil &&
+			d.load(now, fallback)+r.Slots <= maxLoad*d.slots(fallback)*d.warmFraction(now, fallback) {
 			break
 		}
 		d.fillSample(r, 4*size)
 	}
 	if best == nil {
-		return spare, true
+		return fallback, true
 	}
 	if e != nil && len(e.set) < maxSetSize && !slices.Contains(e.set, best) {
 		e.set = append(e.set, best)
@@ -128,9 +137,9 @@
 	return best, false
 }
 
-// spread is the number of workers that a scan looks at: more for a hot key, which fills all of the
-// usual sample, by the part of our traffic that it draws. Spreading every key as far would cost
-// fetches that the key store may not bear [D2].
+// scanSize returns the number of workers that a scan considers. A hot key, which fills the whole default
+// sample, gets more, in proportion to its part of this dispatcher's traffic. Spreading every key as far
+// would cause more fetches than the key store can serve [D2].
 func (d *Dispatcher) scanSize(now Time, r *request) int {
 	e := d.table.byKey[r.Key]
 	if e == nil || !r.HasKey {
@@ -140,14 +149,14 @@
 	return max(sampleSize, min(maxSetSize, int(2*part*float64(d.readyCount))))
 }
 
-// sample fills buf with the workers that a scan looks at: the first on the ring after the key, so
-// that dispatchers that share nothing try the same ones in the same order [D2].
+// fillSample fills sampleBuf with the workers that a scan considers: the first ones on the ring after the
+// key, so that dispatchers that share no state try the same workers in the same order [D2].
 func (d *Dispatcher) fillSample(r *request, size int) {
 	d.sampleBuf = d.sampleBuf[:0]
 	d.sampleCount++
 	if w := d.byID[r.FetchingWorker]; w != nil {
 		w.lastSample = d.sampleCount
-		d.sampleBuf = append(d.sampleBuf, w) // it has room now, which no report tells as well [D8]
+		d.sampleBuf = append(d.sampleBuf, w) // it has free capacity now, which no report shows as surely [D8]
 	}
 	k := d.classes[r.Class].Kind + 1
 	if k < 0 || k >= len(d.rings) {
@@ -158,22 +167,23 @@
 		return
 	}
 	h := mixHash(r.Key)
-	at, _ := slices.BinarySearch(ring, h&^ringIndexMask)
-	far := size - int(float64(size)*min(maxOwnZoneFraction, ownZonePerCost*d.cfg.CrossZoneCost)) // places for other zones
+	i, _ := slices.BinarySearch(ring, h&^ringIndexMask)
+	// Places left for workers of other zones.
+	crossZone := size - int(float64(size)*min(maxOwnZoneFraction, ownZonePerCost*d.cfg.CrossZoneCost))
 	for range min(len(ring), 2*size*pointsPerWorker) {
-		if at == len(ring) {
-			at = 0
+		if i == len(ring) {
+			i = 0
 		}
-		w := d.workers[ring[at]&ringIndexMask]
-		if own := w.Zone == d.cfg.Zone; (own || far > 0) && w.lastSample != d.sampleCount {
+		w := d.workers[ring[i]&ringIndexMask]
+		if own := w.Zone == d.cfg.Zone; (own || crossZone > 0) && w.lastSample != d.sampleCount {
 			w.lastSample = d.sampleCount
 			if !own {
-				far--
+				crossZone--
 			}
 			if d.sampleBuf = append(d.sampleBuf, w); len(d.sampleBuf) == size {
 				return
 			}
 		}
-		at++
+		i++
 	}
 }
--- a/rules/health.go
+++ b/rules/health.go
@@ -1,13 +1,14 @@
 package rules
 
-// Who may be sent anything: the list, those held out, and workers that are silent, failing or slow, from
-// how attempts and probes end.
+// Health of workers: the states of the list, disabled workers, and workers that are suspect because they
+// are silent, failing or slow, as seen from how attempts and probes end.
 
 import (
 	"math"
 	"slices"
 )
 
+// applyEntry updates one worker to its entry of the list and to the directives that disable it.
 func (d *Dispatcher) applyEntry(now Time, e *ListEntry) {
 	w := d.byID[e.Worker]
 	if w == nil {
@@ -17,11 +18,12 @@
 		w = d.add(e.Worker)
 	}
 	if e.StartedAt != w.StartedAt || w.state == Gone {
-		// A fresh start: what was learned of its load and health is void, and it is cold.
-		w.errorRate, w.silentSince, w.ejectedUntil, w.ejectionTime, w.slowCount, w.slowSum, w.recentFailures.n = 0, 0, 0, 0, 0, 0, 0
+		// A new process: nothing learned of the worker's load and health holds any more, and it is cold.
+		w.errorRate, w.silentSince, w.ejectedUntil, w.ejectionTime, w.slowCount, w.slowSum,
+			w.recentFailures.n = 0, 0, 0, 0, 0, 0, 0
 		w.othersLoad, w.othersLastSeen, w.runningKeys = ewma{}, 0, w.runningKeys[:0]
 		w.peerJobs, w.peerSlots = w.peerJobs[:0], 0
-		if e.StartedAt != w.StartedAt { // else it came back as it was, and what it was sent still counts
+		if e.StartedAt != w.StartedAt { // otherwise it is the same process, and what it was sent still counts
 			w.coldTokens, w.coldTokensAt = 0, 0
 		}
 		if d.kind(e.Kind).foreign < 1 {
@@ -31,7 +33,8 @@
 	d.update(w, *e, max(e.State, d.disabled[ByOperator][w.id], d.disabled[BySites][w.id]))
 }
 
-// housekeeping looks after the list, worn-out workers and the health of the whole.
+// housekeeping runs once per tick. It subscribes to the list, updates the health of the marked workers and
+// of the whole, probes suspect workers, flushes reports to peers, and retries held requests.
 func (d *Dispatcher) housekeeping(now Time) {
 	if d.cfg.PullsList && !d.watching && now >= d.pollAt {
 		d.watching = true
@@ -41,7 +44,7 @@
 	d.requestsPerTick.add(float64(d.requestsThisTick), trafficGain)
 	d.requestsThisTick = 0
 	d.reportingPeers = d.reporter.flush(now, d.actions)
-	bad := 0
+	suspects := 0
 	for w := range d.allMarked() {
 		if w.state == Gone && w.outstanding == 0 {
 			d.remove(w)
@@ -52,10 +55,12 @@
 			d.unmark(w)
 		}
 		if w.state == Ready && d.isSuspect(now, w) {
-			bad++
-			// A silent worker is asked, where that is allowed, so that it can come back. What our own jobs
-			// are worth pays for it: if each asked as it liked, a lost zone would bring a storm of probes.
-			if d.cfg.MayProbe && d.probeTokens >= 1 && w.probeSentAt == 0 && now-w.probedAt > 5*tickInterval {
+			suspects++
+			// A suspect worker is probed, if that is allowed, so that it can recover. The probes are
+			// limited by the budget that this dispatcher's jobs earn: if each dispatcher probed freely, a
+			// lost zone would cause a storm of probes.
+			if d.cfg.MayProbe && d.probeTokens >= 1 && w.probeSentAt == 0 &&
+				now-w.probedAt > 5*tickInterval {
 				d.probeTokens--
 				w.probeSentAt = now
 				d.actions.Probe(w.id)
@@ -63,11 +68,12 @@
 		}
 	}
 	d.compact()
-	d.panicMode = float64(bad) > panicThreshold*float64(d.readyCount)
+	d.panicMode = float64(suspects) > panicThreshold*float64(d.readyCount)
 	d.retryHeld(now)
 }
 
-// findLate finds how late the jobs of ours are that run, for each of their workers.
+// updateOverdue sets, for each worker with running jobs of this dispatcher, the longest running time among
+// them over the expected one.
 func (d *Dispatcher) updateOverdue(now Time) {
 	for _, s := range d.running {
 		s.attempt().w.overdue = 0
@@ -80,7 +86,7 @@
 	}
 }
 
-// heard takes a sign of life.
+// recordResponse records that the attempt's worker has responded: it is not silent any more.
 func (d *Dispatcher) recordResponse(now Time, a *attempt) {
 	w := a.w
 	if !a.acknowledged {
@@ -96,21 +102,23 @@
 	}
 }
 
-// mayBeSuspect tells of a worker that suspect may find before anything else happens to it, by the time that
-// goes by or by what is learned of others. What its own jobs have shown is past the mark then: as it fades it
-// comes nearer to what its kind has shown.
+// mayBecomeSuspect reports whether isSuspect can turn true without another event at the worker, as time
+// passes or the means of other workers change. Housekeeping has to visit such a worker. A worker found slow
+// by its own jobs is one only while their mean is past the limit: as it decays it approaches that of its
+// kind.
 func (d *Dispatcher) mayBecomeSuspect(now Time, w *worker) bool {
-	return w.outstanding > 0 || w.ejectedUntil > now || w.silentSince > 0 || w.slowCount > 2 && w.slowSum > slowSuspectRatio*w.slowCount
+	return w.outstanding > 0 || w.ejectedUntil > now || w.silentSince > 0 ||
+		w.slowCount > 2 && w.slowSum > slowSuspectRatio*w.slowCount
 }
 
-// suspect tells of a worker that is silent, failing or far slower than its kind. A silent one is
-// tried again once in a while, when nothing of ours is out there any more.
+// isSuspect reports whether a worker is ejected, silent, or far slower than its kind. A silent worker is
+// sent a job again now and then, once this dispatcher has no outstanding attempt there.
 func (d *Dispatcher) isSuspect(now Time, w *worker) bool {
 	if w.ejectedUntil > now {
 		return true
 	}
-	if w.silentSince > 0 && d.responseTime.n > 0 &&
-		float64(now-w.silentSince) > d.responseTime.v+silenceDeviations*d.responseDev.v+float64(d.cfg.ConnectTimeout) {
+	if w.silentSince > 0 && d.responseTime.n > 0 && float64(now-w.silentSince) >
+		d.responseTime.v+silenceDeviations*d.responseDev.v+float64(d.cfg.ConnectTimeout) {
 		if w.outstanding > 0 || w.ejectionTime == 0 {
 			return true
 		}
@@ -118,30 +126,33 @@
 	return w.slowCount > 2 && d.slowness(now, w) > slowSuspectRatio*max(1, d.kind(w.Kind).slow.v)
 }
 
-// shy tells of a worker that has lately failed jobs, for a job that could not be repeated: those that can
-// be go first, and show whether it is well again. Probes don't: such a worker answers them.
+// avoidAfterFailures reports whether a job that must not be repeated avoids a worker that has recently
+// failed jobs. Repeatable jobs are sent there first and show whether it has recovered. Probes can't show
+// that: such a worker answers them.
 func (d *Dispatcher) avoidAfterFailures(now Time, w *worker, r *request) bool {
-	return d.classes[r.Class].Effect == Once && w.recentFailures.decayed(now, failureDecayScale) > avoidFailures
+	return d.classes[r.Class].Effect == Once &&
+		w.recentFailures.decayed(now, failureDecayScale) > avoidFailures
 }
 
-// slowness is a worker's running time over the fleet's, its kind's counting until it has shown
-// its own; what it has shown fades, so that one that was slow is tried again. A job that runs for very
-// long tells before it has ended: a worker that is wearing out ends none for seconds.
+// slowness returns a worker's running time over the mean of all workers. The slowness of its kind counts as
+// a prior until the worker has ended jobs, and again as those decay, so that a worker that was slow is used
+// again. A job that runs very long counts before it has ended, since a worker that is wearing out may end
+// no job for seconds.
 func (d *Dispatcher) slowness(now Time, w *worker) float64 {
 	k := d.kind(w.Kind).slow
 	if k.n == 0 {
 		k.v = 1
 	}
-	fade := math.Exp(-float64(now-w.slowAt) / (20 * max(1, d.meanRun.v)))
-	own := (k.v*slownessPrior + w.slowSum*fade) / (slownessPrior + w.slowCount*fade)
+	decay := math.Exp(-float64(now-w.slowAt) / (20 * max(1, d.meanRun.v)))
+	own := (k.v*slownessPrior + w.slowSum*decay) / (slownessPrior + w.slowCount*decay)
 	if w.overdue > overdueRuns {
 		own = max(own, (k.v*slownessPrior+w.overdue*overdueWeight)/(slownessPrior+overdueWeight))
 	}
 	return own
 }
 
-// failed counts an error, a broken connection or an unanswered probe. Fast errors keep a worker's
-// counts low; without this it would draw every fallback.
+// recordFailure counts an error, a broken connection or an unanswered probe with the weight, and ejects the
+// worker above an error rate. A worker that fails fast has a low load and would otherwise get all the jobs.
 func (d *Dispatcher) recordFailure(now Time, w *worker, weight float64) {
 	d.mark(w)
 	w.errorRate += (1 - w.errorRate) * weight
@@ -151,12 +162,12 @@
 	}
 }
 
-// ran takes a running time of a job of that expected size.
+// recordRun records the running time, in microseconds, of a job of that class and expected size.
 func (d *Dispatcher) recordRun(now Time, class int, w *worker, run, size float64) {
 	c := &d.classes[class]
 	c.run.add(run/size, gain/4)
 	ratio := run / size / max(1, c.run.v)
 	d.kind(w.Kind).slow.add(ratio, gain/8)
-	fade := math.Exp(-float64(now-w.slowAt) / (20 * max(1, d.meanRun.v)))
-	w.slowSum, w.slowCount, w.slowAt = w.slowSum*fade+min(ratio, 8), w.slowCount*fade+1, now
+	decay := math.Exp(-float64(now-w.slowAt) / (20 * max(1, d.meanRun.v)))
+	w.slowSum, w.slowCount, w.slowAt = w.slowSum*decay+min(ratio, 8), w.slowCount*decay+1, now
 }
--- a/rules/load.go
+++ b/rules/load.go
@@ -1,11 +1,11 @@
 package rules
 
-// What a worker can carry and what it has, learned from reports, start notes and what peers tell; and
-// whom to ask for it, from how old the last answer is and what a probe costs.
+// Capacity and load of workers, learned from load reports, reports of starts and peer broadcasts; and which
+// workers to probe for them, by the age of the last probe and the cost of a new one.
 
 import "math"
 
-// slots is what a worker can run at once, as far as is known.
+// slots returns a worker's capacity in slots: learned from itself, its kind or all workers, or the default.
 func (d *Dispatcher) slots(w *worker) float64 {
 	if w.capacity.n > 0 {
 		return w.capacity.v
@@ -19,8 +19,8 @@
 	return defaultSlots
 }
 
-// tooSmall tells of a worker that is known, by itself or by its kind, to lack the slots for a job: it
-// would turn the job away as full for ever.
+// lacksSlots reports whether a worker is known, by itself or by its kind, to have fewer slots than a job
+// needs: it would refuse the job as full forever.
 func (d *Dispatcher) lacksSlots(w *worker, need float64) bool {
 	known := w.capacity
 	if known.n == 0 {
@@ -29,7 +29,7 @@
 	return known.n > 8 && need > known.v+0.5
 }
 
-// warmth is the part of its capacity that a worker surely has by now.
+// warmFraction returns the part of its capacity that a worker has at least by now in its slow start.
 func (d *Dispatcher) warmFraction(now Time, w *worker) float64 {
 	if w.StartedAt <= 0 {
 		return 1
@@ -38,27 +38,33 @@
 	return min(1, d.cfg.SlowStartMinCapacity+(1-d.cfg.SlowStartMinCapacity)*max(0, age))
 }
 
-// load is the number of slots taken at a worker: our own, counted, and the others', inferred. The
-// last report tells of the others while it is fresh; with age their mean does. A worker never seen is
-// taken to bear what others were lately seen to bear: at nothing it would win by being unseen. All of it
-// fades, or a jam once seen would have everything shed and nothing sent that could tell of its end [D3].
+// load returns the estimated number of slots taken at a worker: those of this dispatcher's own jobs, which
+// are counted, and those of the other dispatchers' jobs, which are inferred. A recent observation counts
+// for the others by itself, an older one gives way to their mean. A worker never observed counts with the
+// mean load recently observed anywhere: counted as empty, it would be preferred for being unknown.
+// Everything inferred decays, since after one observed overload all jobs would be shed and none sent that
+// could show its end [D3].
 func (d *Dispatcher) load(now Time, w *worker) float64 {
 	run, silent := max(1, d.meanRun.v), d.silentFraction()
-	told := w.peerSlots / max(minReportedFraction, d.reporter.reportedFraction())
-	fade := math.Exp(-float64(now-d.fleetLoadAt) / (fleetLoadDecayRuns * run))
-	foreign := d.kind(w.Kind).foreign // of the usual load; what a former owner left fades with its last sight
-	crowd := foreign * d.fleetLoad.v * d.slots(w) * fade
+	reported := w.peerSlots / max(minReportedFraction, d.reporter.reportedFraction())
+	decay := math.Exp(-float64(now-d.fleetLoadAt) / (fleetLoadDecayRuns * run))
+	// Applies to the mean load only; load that a former owner left decays with its last observation.
+	foreign := d.kind(w.Kind).foreign
+	fleetLoad := foreign * d.fleetLoad.v * d.slots(w) * decay
 	if w.othersLoad.n == 0 {
-		return w.ownSlots + told + silent*crowd
+		return w.ownSlots + reported + silent*fleetLoad
 	}
 	age := float64(now-w.othersSeenAt) / run
-	// All dispatchers see the same and act on it at once: where sights are frequent their mean tells more.
-	fresh, known := w.observationGap/(w.observationGap+run)*math.Exp(-age), math.Exp(-age/workerLoadDecayRuns)*w.othersLoad.n/(w.othersLoad.n+2)
-	usual := known*foreign*w.othersLoad.v*fade + (1-known)*crowd
-	return w.ownSlots + told + silent*(fresh*w.othersLastSeen+(1-fresh)*usual)
+	// All dispatchers get the same observation and act on it at the same time: where observations are
+	// frequent, their mean predicts the load better than the last one.
+	fresh, known := w.observationGap/(w.observationGap+run)*math.Exp(-age),
+		math.Exp(-age/workerLoadDecayRuns)*w.othersLoad.n/(w.othersLoad.n+2)
+	mean := known*foreign*w.othersLoad.v*decay + (1-known)*fleetLoad
+	return w.ownSlots + reported + silent*(fresh*w.othersLastSeen+(1-fresh)*mean)
 }
 
-// silent is the part of the peers that tell us nothing: of their load there are only reports.
+// silentFraction returns the part of the peers that broadcast nothing: their load is known from load
+// reports only.
 func (d *Dispatcher) silentFraction() float64 {
 	if d.reporter.reportedFraction() < minReportedFraction {
 		return 1
@@ -66,9 +72,9 @@
 	return 1 - d.reportingPeers/max(1, float64(d.cfg.GroupSize-1))
 }
 
-// report learns capacity and the others' load from a worker's figures.
+// applyReport updates the capacity of a worker and the other dispatchers' load there from its load report.
 func (d *Dispatcher) applyReport(now Time, w *worker, l *Load) {
-	// A worker sends the same figures until it makes new ones: only the first sight of them is news.
+	// A worker repeats its figures until it computes new ones: only the first copy is an observation.
 	if l.Has == 0 || *l == w.lastReport {
 		return
 	}
@@ -77,23 +83,24 @@
 	inFlight, queued := l.Has&HasInFlight != 0, l.Has&HasQueue != 0
 	if l.Has&HasFreeSlots != 0 {
 		k := d.kind(w.Kind)
-		switch seen := l.FreeSlots + (l.InFlight-l.Queue)*max(1, d.slotsPerJob.v); {
-		case k.capacity.n > 8 && seen > implausibleRatio*k.capacity.v:
-			return // no worker of its kind is near that: it would draw all there is
+		switch capacity := l.FreeSlots + (l.InFlight-l.Queue)*max(1, d.slotsPerJob.v); {
+		case k.capacity.n > 8 && capacity > implausibleRatio*k.capacity.v:
+			return // no worker of its kind is close to that, and if believed it would get all the jobs
 		case inFlight && k.capacity.n > 0 && l.InFlight-l.Queue > 2:
-			// Jobs have several slots, and how many is told nowhere: a worker that runs a few shows little.
-		case inFlight && seen >= 0.5 && (queued || l.FreeSlots >= 0.5):
-			w.capacity.add(seen, gain)
-			k.capacity.add(seen, gain/4)
-			d.fleetCapacity.add(seen, gain/4)
+			// Reports count jobs, not the slots that each takes: with several jobs running the capacity is
+			// a guess.
+		case inFlight && capacity >= 0.5 && (queued || l.FreeSlots >= 0.5):
+			w.capacity.add(capacity, gain)
+			k.capacity.add(capacity, gain/4)
+			d.fleetCapacity.add(capacity, gain/4)
 		case !inFlight && l.FreeSlots >= 0.5:
-			// Free slots alone bound the capacity from below, and a worker first met under load
-			// shows few: the most that workers of the kind show is nearer the truth.
+			// Free slots alone are a lower bound of the capacity, and a worker first seen under load has
+			// few: the maximum over the workers of the kind is closer to it.
 			if k.capacity.n == 0 || l.FreeSlots > k.capacity.v {
 				k.capacity.add(l.FreeSlots, loadGain)
 				d.fleetCapacity.add(l.FreeSlots, gain/4)
 			} else if l.FreeSlots > idleFraction*k.capacity.v {
-				k.capacity.add(l.FreeSlots, gain/4) // an idle one, within the noise of reports
+				k.capacity.add(l.FreeSlots, gain/4) // an idle worker, within the noise of reports
 			}
 		}
 	}
@@ -114,22 +121,25 @@
 	}
 }
 
-func (d *Dispatcher) recordOthersLoad(now Time, w *worker, v float64) {
-	d.fleetLoad.add(min(v/max(1, d.slots(w)), implausibleRatio), gain/2)
+// recordOthersLoad records an observation of the other dispatchers' load at a worker, in slots.
+func (d *Dispatcher) recordOthersLoad(now Time, w *worker, slots float64) {
+	d.fleetLoad.add(min(slots/max(1, d.slots(w)), implausibleRatio), gain/2)
 	d.fleetLoadAt = now
-	w.othersLoad.add(v, loadGain)
+	w.othersLoad.add(slots, loadGain)
 	w.observationGap = float64(now - w.othersSeenAt)
-	w.othersLastSeen, w.othersSeenAt = v, now
+	w.othersLastSeen, w.othersSeenAt = slots, now
 }
 
-// startDelay learns from a start note, which is fresher than any report: a job that started at
-// once found a free slot, one that waited found none and a queue that took so long [D3].
+// recordStartDelay updates the load of a worker from the report of a job's start, which is more recent than
+// any load report: a job that started at once found a free slot, one that waited found a queue of that
+// length in time [D3].
 func (d *Dispatcher) recordStartDelay(now Time, r *request, a *attempt) {
 	w, run := a.w, max(1, d.meanRun.v)
 	slots, others := d.slots(w), d.load(now, w)-w.ownSlots
 	if waited := float64(a.startedAt - a.sentAt); waited > run/8 {
-		// It bears on the time of the sending: a bound from below, and no more than one job a slot
-		// beyond Full, or a wait behind one long job would be read as a jam and shed all that comes.
+		// The wait shows the load at the time of the send, so it is a lower bound. It is limited to one
+		// waiting job per slot: otherwise a wait behind one long job would count as an overload, and all
+		// further jobs would be shed.
 		others = max(others, slots*(1+min(1, waited/run/d.slowness(now, w)))-w.ownSlots)
 	} else {
 		others = min(others, max(0, slots-w.ownSlots))
@@ -137,35 +147,37 @@
 	d.recordOthersLoad(now, w, others)
 }
 
-// askLoads probes the request's likely workers where what is known of them is old, and tells whether the
-// request waits for the answers. Where workers are asked often that costs more than the fresher view gains;
-// a dispatcher that has not asked one for some running times knows nothing that it could choose by.
+// probeLoads probes the workers that the request is likely to go to, where the last probe is old enough,
+// and reports whether the request waits for the results. Where workers are probed often, waiting costs more
+// than the more recent load gains; a dispatcher that has not probed a worker for several running times has
+// nothing to choose by.
 func (d *Dispatcher) probeLoads(now Time, r *request) bool {
 	foreign := d.kind(d.classes[r.Class].Kind).foreign
-	per := min(maxProbes, probeBudget/max(1e-9, d.cfg.ProbeCost))
-	per *= max(minProbeFraction*max(exclusiveProbeFraction, foreign), foreign*d.silentFraction())
-	d.probeTokens = min(d.probeTokens+per, max(16*per, math.Ceil(1-foreign)))
+	perRequest := min(maxProbes, probeBudget/max(1e-9, d.cfg.ProbeCost))
+	perRequest *= max(minProbeFraction*max(exclusiveProbeFraction, foreign), foreign*d.silentFraction())
+	d.probeTokens = min(d.probeTokens+perRequest, max(16*perRequest, math.Ceil(1-foreign)))
 	if !d.cfg.MayProbe || !d.cfg.LoadInProbes || d.cfg.LoadInAnswers {
 		return false
 	}
-	most := int(maxProbes)
+	limit := int(maxProbes)
 	if foreign < 1 {
-		most = sampleSize
+		limit = sampleSize
 	}
-	asked, likely := 0, d.probeCandidates[:0]
+	probed, likely := 0, d.probeCandidates[:0]
 	if e := d.table.byKey[r.Key]; e != nil && r.HasKey {
 		likely = append(likely, e.set[:min(len(e.set), maxProbes)]...)
 	}
 	d.fillSample(r, sampleSize)
-	for _, w := range append(likely, d.sampleBuf[:min(len(d.sampleBuf), most)]...) {
+	for _, w := range append(likely, d.sampleBuf[:min(len(d.sampleBuf), limit)]...) {
 		age := float64(now-w.probedAt) / max(1, d.meanRun.v)
-		// One that has come to our share may have jobs of whom it was before: it is asked at its first use.
+		// A worker new to this dispatcher's share may run jobs of its former owner: it is probed at first
+		// use.
 		first := foreign < 1 && w.probedAt == 0
-		if d.probeTokens < 1 && !first || asked == most ||
+		if d.probeTokens < 1 && !first || probed == limit ||
 			w.state != Ready || w.probeSentAt == now || age < reprobeRuns {
 			continue
 		}
-		if asked++; w.probeSentAt == 0 {
+		if probed++; w.probeSentAt == 0 {
 			if w.probeSentAt = now; !first {
 				d.probeTokens--
 			}
--- a/rules/peers.go
+++ b/rules/peers.go
@@ -5,43 +5,44 @@
 	"slices"
 )
 
-// What dispatchers tell one another of their jobs: the records, and the book in which a dispatcher keeps what
-// its peers have out at a worker. Nothing here decides anything.
+// Reports among peers: the format of the records that dispatchers broadcast about their jobs, and the table of the
+// peers' jobs outstanding at each worker. No decisions are made here.
 
 const (
-	recordSize      = 4
-	fullMessageSize = 256  // bytes of a full message, which has the price
-	maxPeers        = 4096 // peers beyond are not listened to, and count as silent
-	maxPeerJobs     = 512  // jobs of peers kept for a worker; past it the oldest is let go
+	recordSize      = 4    // bytes
+	fullMessageSize = 256  // bytes of a message that costs PeerMessageCost
+	maxPeers        = 4096 // messages of peers beyond are ignored, and those peers count as silent
+	maxPeerJobs     = 512  // jobs of peers kept per worker; beyond it the oldest is removed
 )
 
-// what a record tells of a job; three bits
+// peerEvent is what a record reports about a job. It has three bits.
 type peerEvent uint8
 
 const (
-	eventAlive  peerEvent = iota // of none: the peer is there
-	eventSent                    // it is on its way
-	eventServed                  // it has ended, in one of these ways
-	eventRefused
-	eventFailed
-	eventEnded // any other way, which says nothing of the worker
+	eventAlive   peerEvent = iota // keepalive, about no job
+	eventSent                     // the job was sent
+	eventServed                   // it ended with OK
+	eventRefused                  // it ended with a refusal
+	eventFailed                   // it ended with an error, or without a connection
+	eventEnded                    // it ended otherwise, which shows nothing about the worker
 )
 
-// record is one thing told: three bits of what, two of the slots' power of two, three of the class, then 16 bits
-// of the worker's hash, then how long the job ran. Two workers of one tag both get what is told of either.
+// record reports one event. It is encoded as three bits of event, two of the slots, three of the class, 16 bits of
+// the worker's hash, and eight of the running time. If two workers have the same tag, a record applies to both.
 type record struct {
 	event peerEvent
 	size  uint8 // slots, as a power of two; 3: 8 or more
 	class uint8 // 7: that or a later one
 	tag   uint16
-	run   uint8 // of an end: eighths of the binary logarithm of the milliseconds it ran, and one more; 0: not known
+	run   uint8 // running time at an end, log2 of milliseconds in eighths, plus one; 0: unknown
 }
 
+// setRunTime sets the running time, in microseconds.
 func (r *record) setRunTime(run Time) {
 	r.run = uint8(min(255, 1+math.Round(8*math.Log2(max(1, float64(run)/1000)))))
 }
 
-// ran gives the running time in microseconds, within a tenth; 0: not known.
+// runTime returns the running time in microseconds, within a tenth; 0: unknown.
 func (r record) runTime() float64 {
 	if r.run == 0 {
 		return 0
@@ -49,15 +50,16 @@
 	return 1000 * math.Exp2(float64(r.run-1)/8)
 }
 
-func newRecord(what peerEvent, w *worker, r *request) record {
-	rec := record{event: what, class: uint8(min(r.Class, 7)), tag: workerTag(w)}
+// newRecord returns a record of the event for the request at the worker, without a running time.
+func newRecord(event peerEvent, w *worker, r *request) record {
+	rec := record{event: event, class: uint8(min(r.Class, 7)), tag: workerTag(w)}
 	for rec.size < 3 && float64(int(1)<<rec.size) < r.Slots {
 		rec.size++
 	}
 	return rec
 }
 
-// endTold puts an attempt's end into a record's words.
+// endEvent returns the event that reports an attempt's end with the status.
 func endEvent(s Status) peerEvent {
 	switch s {
 	case OK:
@@ -70,27 +72,31 @@
 	return eventEnded
 }
 
+// slots returns the slots of the job; 8 if it has more.
 func (r record) slots() float64 { return float64(int(1) << r.size) }
 
+// append appends the encoded record to to.
 func (r record) append(to []byte) []byte {
 	return append(to, byte(r.event)<<5|r.size<<3|r.class, byte(r.tag>>8), byte(r.tag), r.run)
 }
 
-// readRecord reads the first record of data, which holds one at least.
+// decodeRecord decodes the first record of data, which must hold at least one.
 func decodeRecord(data []byte) record {
 	return record{peerEvent(data[0] >> 5), data[0] >> 3 & 3, data[0] & 7, uint16(data[1])<<8 | uint16(data[2]), data[3]}
 }
 
+// workerTag returns the part of a worker's hash that identifies it in records.
 func workerTag(w *worker) uint16 { return uint16(w.hash >> 48) }
 
-// peerJob is a job that a peer has out.
+// peerJob is an outstanding job of a peer.
 type peerJob struct {
-	from       int
+	from       int // rank of the peer
 	record     record
-	sent       Time
-	discounted bool // its end may have been lost: it counts no more
+	sent       Time // when its report was received
+	discounted bool // the report of its end was probably lost: it is not counted in peerSlots
 }
 
+// addPeerJob adds a job that a peer has sent to the worker.
 func (w *worker) addPeerJob(j peerJob) {
 	if len(w.peerJobs) >= maxPeerJobs {
 		w.removePeerJob(0)
@@ -99,7 +105,8 @@
 	w.peerSlots += j.record.slots()
 }
 
-// peerEnded takes the peer's oldest job of that class and size off the book. A message may be lost: there may be none.
+// endPeerJob removes the peer's oldest job of the record's class and size, and reports whether there was one: the
+// message of its send may have been lost.
 func (w *worker) endPeerJob(from int, rec record) (known bool) {
 	for i := range w.peerJobs {
 		if j := w.peerJobs[i]; j.from == from && j.record.class == rec.class && j.record.size == rec.size {
@@ -110,7 +117,7 @@
 	return false
 }
 
-// peerDoubted counts a job no more; its end may still come.
+// discountPeerJob removes a job from peerSlots. It stays in peerJobs, since the report of its end may still arrive.
 func (w *worker) discountPeerJob(i int) {
 	if j := &w.peerJobs[i]; !j.discounted {
 		j.discounted = true
@@ -118,6 +125,7 @@
 	}
 }
 
+// removePeerJob removes a job.
 func (w *worker) removePeerJob(i int) {
 	w.discountPeerJob(i)
 	if w.peerJobs = slices.Delete(w.peerJobs, i, i+1); len(w.peerJobs) == 0 {
@@ -125,39 +133,41 @@
 	}
 }
 
-// talk is the conversation with the peers. Its zero value neither tells nor hears.
+// peerReporter collects the records to broadcast, and tracks which peers broadcast. Its zero value is disabled: it
+// sends nothing and ignores messages.
 type peerReporter struct {
-	lastSeen     []Time // by rank: when the peer told anything last; 0: never
-	sentAt       Time
-	pending      []byte // records that wait
-	pendingSince Time   // the first of them does
+	lastSeen     []Time // by rank: when the peer's last message was received; 0: never. nil: disabled
+	sentAt       Time   // last broadcast
+	pending      []byte // records to be sent
+	pendingSince Time   // when the first of them was added
 
-	slotTime, reportedTime ewma // of a job of ours, and what of it the peers are told
+	slotTime, reportedTime ewma // mean slot-time of an own job, and what is reported of it
 }
 
-// open begins the conversation with so many peers, or ends it. One that goes on is left as it is.
-func (t *peerReporter) setEnabled(open bool, peers int) {
+// setEnabled enables the reporter for that number of peers, or disables it. Enabling it again keeps its state.
+func (p *peerReporter) setEnabled(enabled bool, peers int) {
 	switch {
-	case !open:
-		t.lastSeen, t.pending = nil, nil
-	case t.lastSeen == nil:
-		t.lastSeen = make([]Time, min(peers, maxPeers))
+	case !enabled:
+		p.lastSeen, p.pending = nil, nil
+	case p.lastSeen == nil:
+		p.lastSeen = make([]Time, min(peers, maxPeers))
 	}
 }
 
-// heardFrom takes a message of a peer down and tells whether it can be read.
-func (t *peerReporter) receive(now Time, from int, data []byte) bool {
-	if from < 0 || from >= len(t.lastSeen) || len(data)%recordSize != 0 {
+// receive records a message of a peer and reports whether it is from a known rank and well-formed.
+func (p *peerReporter) receive(now Time, from int, data []byte) bool {
+	if from < 0 || from >= len(p.lastSeen) || len(data)%recordSize != 0 {
 		return false
 	}
-	t.lastSeen[from] = now
+	p.lastSeen[from] = now
 	return true
 }
 
-// part of our slot-time that is told. The peers' jobs are of the same kinds, and so is what they tell.
-func (t *peerReporter) reportedFraction() float64 {
-	if t.slotTime.n == 0 {
+// reportedFraction returns the part of the slot-time of this dispatcher's jobs that it reports. The peers' jobs are
+// of the same kinds, so they report about the same part.
+func (p *peerReporter) reportedFraction() float64 {
+	if p.slotTime.n == 0 {
 		return 1
 	}
-	return t.reportedTime.v / max(1, t.slotTime.v)
+	return p.reportedTime.v / max(1, p.slotTime.v)
 }
--- a/rules/ring.go
+++ b/rules/ring.go
@@ -1,6 +1,6 @@
 package rules
 
-// The rings on which a scan looks for workers. Nothing here decides anything.
+// The hash rings on which scans find workers. No decisions are made here.
 
 import (
 	"math"
@@ -9,43 +9,45 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-const ringIndexMask = 1<<20 - 1 // a ring point is a hash whose low bits are the worker's index
+// ringIndexMask selects the low bits of a ring point, which hold the worker's index; the others are of its hash.
+const ringIndexMask = 1<<20 - 1
 
-// ring is the hash ring of the ready workers of one kind, or of all. Each is at points by its hash, more for a larger
-// one. It is built at its first use; from then on it follows the changes of single workers, with the same points as one
-// that is built anew.
+// ring is the consistent-hash ring of the ready workers of one kind, or of all kinds. Each worker has several points
+// on it, a larger one more. The ring is built at its first use. From then on it is updated by the changes of single
+// workers, and has the same points as one built anew.
 type ring struct {
-	weighted  bool // the list's weights are sizes: the points of a worker go by its weight over the mean
+	weighted  bool // the list's weights are sizes: a worker's points are in proportion to its weight
 	built     bool
 	points    []uint64
-	oldPoints []uint64  // the points before the last change, whose memory is used again
-	stale     []*worker // changed since current was last asked for; at most as many as workers are known
+	oldPoints []uint64  // the points before the last change, kept for their memory
+	stale     []*worker // changed since the last call of current; bounded by the number of known workers
 
 	members     bitset.BitSet // by worker.index
-	counts      []uint8       // points of each worker, by its index
-	weights     []float64     // by index; 0: not a member
-	memberCount float64       // of members
-	weightSum   ringWeight    // as the points go by it
+	counts      []uint8       // number of points by worker.index
+	weights     []float64     // by worker.index; 0: not a member
+	memberCount float64       // number of members
+	weightSum   ringWeight    // the weights that the number of points is computed with
 
-	removed, added []uint64 // the last change of points
+	removed, added []uint64 // points that the last change removed and added
 }
 
-// ringMean is the mean weight of a ring's members, as the two that it is made of.
+// ringWeight is the number of a ring's members and their total weight, which determine the mean weight.
 type ringWeight struct{ members, total float64 }
 
-// changed tells of a worker that has come to the ring or left it, or has another weight.
+// markStale records that a worker has joined or left the ring, or has another weight.
 func (r *ring) markStale(workers []*worker, w *worker) {
 	if !r.built {
 		return
 	}
-	if len(r.stale) > len(workers) { // nobody asks for this ring: it is built anew if anybody does
+	if len(r.stale) > len(workers) { // this ring is not being used: it is rebuilt at its next use
 		*r = ring{weighted: r.weighted}
 		return
 	}
 	r.stale = append(r.stale, w)
 }
 
-// current gives the points in order. They are good until the next call. A kind below 0 is that of the ring of all.
+// current applies the recorded changes and returns the sorted points, which are valid until the next call. kind is
+// that of the ring's workers; negative: all kinds.
 func (r *ring) current(workers []*worker, kind int) []uint64 {
 	if !r.built {
 		r.built = true
@@ -75,7 +77,7 @@
 	return r.points
 }
 
-// resize makes place for all indexes of workers.
+// grow extends the slices by worker.index to that number of workers.
 func (r *ring) grow(workers int) {
 	if more := workers - len(r.counts); more > 0 {
 		r.counts = append(r.counts, make([]uint8, more)...)
@@ -83,9 +85,10 @@
 	}
 }
 
+// setMember sets whether a worker is a member, and its weight.
 func (r *ring) setMember(w *worker, member bool) {
 	i := uint(w.index)
-	if was := r.members.Test(i); was != member {
+	if wasMember := r.members.Test(i); wasMember != member {
 		r.members.SetTo(i, member)
 		if member {
 			r.memberCount++
@@ -98,17 +101,18 @@
 	}
 }
 
-// weigh sums the weights up, and where the mean has changed gives those other points whose share of it is another now.
-// The order of the sum is always that of the list, or its last bits would tell how the ring came about.
+// updateWeights sums the weights, and if the mean has changed updates the points of all members whose number of
+// points changes with it. The sum is always in the order of the list: otherwise its last bits, and with them the
+// points, would depend on the history of the ring.
 func (r *ring) updateWeights(workers []*worker) {
-	mean := ringWeight{members: r.memberCount}
+	sum := ringWeight{members: r.memberCount}
 	for _, weight := range r.weights {
-		mean.total += weight
+		sum.total += weight
 	}
-	if mean == r.weightSum {
+	if sum == r.weightSum {
 		return
 	}
-	r.weightSum = mean
+	r.weightSum = sum
 	for i, more := r.members.NextSet(0); more; i, more = r.members.NextSet(i + 1) {
 		if n := r.wantedPoints(int(i)); n != r.counts[i] {
 			r.setPoints(workers[i], n)
@@ -116,7 +120,7 @@
 	}
 }
 
-// pointsFor is how many points the worker of that index is to have.
+// wantedPoints returns the number of points that the worker of that index should have.
 func (r *ring) wantedPoints(index int) uint8 {
 	if !r.members.Test(uint(index)) {
 		return 0
@@ -128,6 +132,7 @@
 	return uint8(min(points, 4*pointsPerWorker))
 }
 
+// setPoints changes a worker's number of points, and records the points to remove or add.
 func (r *ring) setPoints(w *worker, want uint8) {
 	have := r.counts[w.index]
 	r.counts[w.index] = want
@@ -139,11 +144,12 @@
 	}
 }
 
+// ringPoint returns a worker's point of number p.
 func ringPoint(w *worker, p uint8) uint64 {
 	return mixHash(w.hash+uint64(p))&^ringIndexMask | uint64(w.index)&ringIndexMask
 }
 
-// applyChange brings the points up to date with those removed and added.
+// applyChange merges the points removed and added into the sorted points.
 func (r *ring) applyChange() {
 	removed, added, rest := r.removed, r.added, r.points
 	if len(removed)+len(added) == 0 {
@@ -158,9 +164,9 @@
 		if removes {
 			next = &removed
 		}
-		at, _ := slices.BinarySearch(rest, (*next)[0])
-		merged = append(merged, rest[:at]...)
-		if rest = rest[at:]; removes {
+		i, _ := slices.BinarySearch(rest, (*next)[0])
+		merged = append(merged, rest[:i]...)
+		if rest = rest[i:]; removes {
 			rest = rest[1:]
 		} else {
 			merged = append(merged, (*next)[0])
@@ -170,7 +176,8 @@
 	r.points, r.oldPoints = append(merged, rest...), r.points
 }
 
-func mixHash(x uint64) uint64 { // the finaliser of splitmix64
+// mixHash is the finaliser of splitmix64.
+func mixHash(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -1,83 +1,101 @@
 package rules
 
-// The decisions of a dispatcher: constants and events here; choose.go, load.go, health.go, cold.go,
-// attempts.go, shed.go and tell.go by concern. The interface is in api.go, plain data structures in
-// the other files. The mechanism is the assigned table of "A Greedy Load Balancing Algorithm on
-// Serverless Platforms Maximizing Locality", section 3, in its words; [Dn]: departure n of docs/design.md.
+// Constants of the decisions, and the dispatcher's events. The decisions are in choose.go, load.go,
+// health.go, cold.go, attempts.go, shed.go and tell.go, the interface in api.go, data structures in the
+// other files. Workers are assigned by the table of "A Greedy Load Balancing Algorithm on Serverless
+// Platforms Maximizing Locality", section 3 ("the paper" below, whose terms Free, Busy, Full, major key
+// and de-assign are used here). [Dn] marks departure n from the paper, listed in docs/design.md.
 
 import (
 	"math"
 	"math/rand/v2"
 )
 
+// Thresholds of the paper, scaled to a worker's learned capacity.
 const (
-	defaultSlots        = 8.0 // the paper's tFull and tMajor, in slots: until a capacity is learned
-	majorKeysPerSlot    = 3.0 / defaultSlots
-	queueTargetFraction = 0.25 // of its aim that a job may wait at a worker it still counts as not Full [D5]
-	busyFraction        = 0.75 // tBusy over the learned capacity (the paper: 5 of 8)
+	defaultSlots        = 8.0                // the paper's tFull: slots of a worker whose capacity is unknown
+	majorKeysPerSlot    = 3.0 / defaultSlots // the paper's tMajor, per slot
+	queueTargetFraction = 0.25               // longest wait at a worker not Full, over the target [D5]
+	busyFraction        = 0.75               // tBusy over the learned capacity (the paper: 5 of 8)
+)
 
-	sampleSize         = 4   // workers that a scan looks at [D2]
-	ownZonePerCost     = 4.0 // part of them that is of the own zone at least, by the price of crossing ... [D7]
-	maxOwnZoneFraction = 0.5 // ... and at most
-	pointsPerWorker    = 8   // points on the ring for a worker of mean size
-	maxRunningKeys     = 12  // running keys remembered for a worker
-	entriesPerWorker   = 16  // table entries kept for each worker of the list
-	maxSetSize         = 64  // workers of one key: more would make the walk of a set a ranking of the fleet
+// Sample, ring and table.
+const (
+	sampleSize = 4 // workers considered by a scan [D2]
+	// The part of a sample reserved for workers of the own zone is the cost of crossing zones times
+	// ownZonePerCost, at most maxOwnZoneFraction [D7].
+	ownZonePerCost     = 4.0
+	maxOwnZoneFraction = 0.5
+	pointsPerWorker    = 8  // points on the ring for a worker of mean size
+	maxRunningKeys     = 12 // running keys remembered for a worker
+	entriesPerWorker   = 16 // table entries kept for each listed worker
+	maxSetSize         = 64 // workers of one key: with more, walking a set would rank the whole worker list
+)
 
-	gain                = 0.1   // weight of a new observation in learned means
-	loadGain            = 0.3   // the same for load reports, of which there are fewer
-	implausibleRatio    = 8.0   // a report of so many times what is usual is not believed, or not for the fleet
-	idleFraction        = 0.85  // part of the known capacity from which a report is one of an idle worker
-	fleetLoadDecayRuns  = 10.0  // running times in which the fleet's load, as seen, fades when nothing is seen
-	workerLoadDecayRuns = 250.0 // and in which a worker's usual load gives way to the fleet's
-	slownessPrior       = 6.0   // observations that a worker's kind counts for against its own
-	overdueRuns         = 4.0   // mean running times after which a job that still runs tells of its worker
-	overdueWeight       = 12.0  // observations that it counts for
-	hintFitPrior        = 8.0   // ends after which half of what hints have proved to tell is believed
-	minJobSize          = 0.1   // the least and the most that a hint makes of a job, over its class's mean
+// Learned means and health. A run is the mean running time of a job.
+const (
+	gain                = 0.1   // weight of a new observation in a learned mean
+	loadGain            = 0.3   // the same for load reports, which are fewer
+	implausibleRatio    = 8.0   // reports over this multiple of the mean are ignored or clipped
+	idleFraction        = 0.85  // of the known capacity free: the report comes from an idle worker
+	fleetLoadDecayRuns  = 10.0  // decay time, in runs, of the fleet's mean load without new observations
+	workerLoadDecayRuns = 250.0 // runs in which a worker's own mean load gives way to the fleet's
+	slownessPrior       = 6.0   // observations that the slowness of a worker's kind counts for
+	overdueRuns         = 4.0   // runs after which a job that still runs counts against its worker
+	overdueWeight       = 12.0  // observations that such a job counts for
+	hintFitPrior        = 8.0   // ended jobs after which the learned fit of hints counts half
+	minJobSize          = 0.1   // bounds of a job's size by its hint, relative to the mean of its class
 	maxJobSize          = 20.0
-	slowSuspectRatio    = 2.5 // a worker this much slower than its kind is avoided
-	silenceDeviations   = 4.0 // deviations past the mean sign of life at which silence is suspect
-	ejectErrorRate      = 0.4 // error rate at which a worker is benched
-	failureDecayScale   = 2e6 // a tenth of the time in which a failed job is forgotten, in microseconds
-	avoidFailures       = 0.3 // failed jobs past which a worker gets only jobs that may be repeated
-	panicThreshold      = 0.5 // part of the fleet that may be in bad health before health is disregarded
+	slowSuspectRatio    = 2.5 // a worker slower than its kind by this factor is suspect
+	silenceDeviations   = 4.0 // deviations past the mean response time at which silence is suspect
+	ejectErrorRate      = 0.4 // error rate above which a worker is ejected
+	failureDecayScale   = 2e6 // microseconds; failed jobs decay in ten times as long
+	avoidFailures       = 0.3 // decayed count of failed jobs above which a worker gets only repeatable jobs
+	panicThreshold      = 0.5 // part of the ready workers that may be suspect before health is ignored
+)
 
-	crossZoneWeight    = 12.0 // a worker in another zone counts as dearer by this multiple of the price of crossing
-	coldBudgetFraction = 0.7  // part of its share of the cold budget that a dispatcher uses
-	// The settings' rule on cold workers leaves more slack under so many jobs in TipAfter.
+// Cost of crossing zones, slow start and probes.
+const (
+	crossZoneWeight    = 12.0 // a worker in another zone costs more by this multiple of CrossZoneCost
+	coldBudgetFraction = 0.7  // part of its share of a cold worker's budget that a dispatcher uses
+	// Below this many jobs in OverloadWindow the settings' rule on cold workers leaves more slack.
 	fewColdJobs            = 30
-	coldBurstFactor        = 2.0   // a rush brings a worker so many times the jobs that are its part
-	minColdDemand          = 0.01  // part of TipAfters
+	coldBurstFactor        = 2.0   // a burst brings a worker this multiple of its mean share of the jobs
+	minColdDemand          = 0.01  // least part of OverloadWindows with a job for a given worker
 	minTrafficTicks        = 10    // ticks after which a dispatcher knows its traffic
-	trafficGain            = 0.1   // of a tick
-	probeWaitDivisor       = 25    // a request waits for probes for this part of its aim at most
-	reprobeRuns            = 0.25  // running times after which a worker is asked again
-	awaitProbeRuns         = 2.0   // and from which a request waits for the answer
-	probeBudget            = 0.006 // service worth spending on probes
-	maxProbes              = 3.0   // probes for a request in a round
-	minProbeFraction       = 0.1   // part of them that is still asked where all peers tell of their jobs
-	exclusiveProbeFraction = 0.02  // and part of these where no other scheduler sends to our workers
-	widenScanLoad          = 3.0   // a scan goes on where the best of its sample has so many times its slots taken
-	minReportedFraction    = 0.3   // part of the slot-time that has to be told to be of use
-	reportCostMultiple     = 14.0  // a job is told the peers if its part of the slot-time is this multiple of the price
+	trafficGain            = 0.1   // weight of one tick in the mean of requests per tick
+	probeWaitDivisor       = 25    // a request waits for probes for its latency target over this at most
+	reprobeRuns            = 0.25  // age of the last probe, in runs, from which a worker is probed again
+	awaitProbeRuns         = 2.0   // age in runs from which a request also waits for the result
+	probeBudget            = 0.006 // part of the service's value that may be spent on probes
+	maxProbes              = 3.0   // probes per request
+	minProbeFraction       = 0.1   // part of the probes that remains where all peers report their jobs
+	exclusiveProbeFraction = 0.02  // and part of those where no other dispatcher sends to the workers
+	widenScanLoad          = 3.0   // a scan widens if its best worker has this multiple of its slots taken
+	minReportedFraction    = 0.3   // least part of the slot-time that must be reported for reports to be used
+	// A job is reported to the peers if its part of the slot-time is this multiple of the messages' cost.
+	reportCostMultiple = 14.0
+)
 
-	retryAfterRuns    = 0.5  // running times after which a client that is refused may return
-	maxWaitFraction   = 0.5  // a job is shed when its wait would take this part of the time it can spare
-	quotaBurst        = 5.0  // requests
-	heldRetryBatch    = 16   // held requests looked at for each event
-	thresholdStepUp   = 0.05 // steps of the price of a place, for a job shed and for one placed
+// Admission, timers and units.
+const (
+	retryAfterRuns    = 0.5  // runs after which a refused client may retry
+	maxWaitFraction   = 0.5  // a job is shed when its wait takes this part of the time it can spare
+	quotaBurst        = 5.0  // requests of burst beyond two seconds of a tenant's quota
+	heldRetryBatch    = 16   // held requests retried per event
+	thresholdStepUp   = 0.05 // steps of the admission threshold, for a job shed and for one placed
 	thresholdStepDown = 0.02
-	maxThreshold      = 0.9 // a job of mean worth for its time is never shed by price
-	tickInterval      = 200_000
-	second            = 1_000_000.0
+	maxThreshold      = 0.9         // so that a job of mean value density is never shed by the threshold
+	tickInterval      = 200_000     // microseconds between two rounds of housekeeping
+	second            = 1_000_000.0 // microseconds
 )
 
-// New makes a dispatcher. It emits through act, also from within New.
-func New(s Settings, seed uint64, now Time, act Actions) *Dispatcher {
+// New returns a dispatcher that emits its actions through actions, also from within New. Equal settings,
+// seeds and events give equal actions.
+func New(s Settings, seed uint64, now Time, actions Actions) *Dispatcher {
 	s = s.withDefaults()
 	d := &Dispatcher{
-		cfg: s, actions: act, createdAt: now, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		cfg: s, actions: actions, createdAt: now, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		registry: newRegistry(s.Kinds, s.WeightsAreSize), requests: map[RequestID]*request{},
 		disabled: [numDisabledBy]map[WorkerID]WorkerState{{}, {}},
 		table:    keyTable{byKey: map[uint64]*tableEntry{}},
@@ -90,18 +108,19 @@
 		rate := t.QuotaPerS / float64(s.GroupSize)
 		d.tenants = append(d.tenants, tokenBucket{rate: rate, tokens: quotaDepth(rate), refilledAt: now})
 	}
-	d.SetSharing(-1, s.GroupSize, 1) // not at all
-	// Calls to the list service are spread: all dispatchers may start at once.
+	d.SetSharing(-1, s.GroupSize, 1) // every dispatcher sends to every worker
+	// The first poll of the list is spread over time, since all dispatchers may start at once.
 	d.pollAt = now + Time(d.rng.Float64()*float64(s.PollWithin)/4)
 	d.setTimer(now, now+tickInterval, nil)
 	return d
 }
 
-// List takes news of the fleet.
+// List applies an update of the worker list.
 func (d *Dispatcher) List(now Time, l *List) {
 	switch l.Form {
 	case ListFailed:
-		// Asked again, later each time, a list service that is overrun by all at once comes back.
+		// Exponential backoff with jitter lets a list service recover that all dispatchers overload at
+		// once.
 		d.watching = false
 		d.pollFailures = min(d.pollFailures+1, 4)
 		spread := float64(d.cfg.PollWithin) / 16 * float64(int(1)<<d.pollFailures)
@@ -119,13 +138,13 @@
 	d.retryHeld(now)
 }
 
-// Request takes a job; it will get exactly one final answer.
-func (d *Dispatcher) Request(now Time, q *Request) {
-	if d.requests[q.ID] != nil {
+// Request accepts a job, which gets exactly one final answer. A repeated id is ignored.
+func (d *Dispatcher) Request(now Time, req *Request) {
+	if d.requests[req.ID] != nil {
 		return
 	}
 	d.requestsThisTick++
-	r := &request{Request: *q, arrived: now}
+	r := &request{Request: *req, arrived: now}
 	if r.Class < 0 || r.Class >= len(d.classes) {
 		r.Class = len(d.classes) - 1
 	}
@@ -133,11 +152,11 @@
 		r.Slots = 1
 	}
 	if !r.HasKey {
-		r.Key = d.rng.Uint64() // no set of its own: a scan from a random place
+		r.Key = d.rng.Uint64() // no set of its own: the scan starts at a random point
 	}
 	if r.overQuota = d.exceedsQuota(now, r.Tenant); !r.overQuota {
 		d.classes[r.Class].recentRequests++
-		if d.recentRequests++; d.recentRequests > 16/gain { // the older half counts half
+		if d.recentRequests++; d.recentRequests > 16/gain { // older requests lose weight
 			d.recentRequests /= 2
 			for i := range d.classes {
 				d.classes[i].recentRequests /= 2
@@ -153,7 +172,7 @@
 	}
 }
 
-// Outcome takes the end of an attempt.
+// Outcome records the end of an attempt. Outcomes of unknown or ended attempts are ignored.
 func (d *Dispatcher) Outcome(now Time, o *Outcome) {
 	r := d.requests[o.Request]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
@@ -172,25 +191,25 @@
 	d.retryHeld(now)
 }
 
-// Note takes news of an attempt that is still out.
-func (d *Dispatcher) Progress(now Time, n *Progress) {
-	r := d.requests[n.Request]
-	if r == nil || n.Attempt < 0 || n.Attempt >= len(r.attempts) || r.attempts[n.Attempt].ended {
+// Progress records a worker's report on an outstanding attempt.
+func (d *Dispatcher) Progress(now Time, p *Progress) {
+	r := d.requests[p.Request]
+	if r == nil || p.Attempt < 0 || p.Attempt >= len(r.attempts) || r.attempts[p.Attempt].ended {
 		return
 	}
-	a := &r.attempts[n.Attempt]
+	a := &r.attempts[p.Attempt]
 	d.recordResponse(now, a)
 	if a.startedAt == 0 {
-		if a.startedAt = now; !n.Started {
-			// Without start notes the first note of progress tells of the start as well.
+		if a.startedAt = now; !p.Started {
+			// Without reports of starts, the first report of progress dates the start.
 			a.startedAt = max(a.sentAt, now-d.cfg.ProgressInterval)
 		}
-		d.running = append(d.running, startedAttempt{r, n.Attempt})
+		d.running = append(d.running, startedAttempt{r, p.Attempt})
 		d.recordStartDelay(now, r, a)
 	}
 }
 
-// Hangup tells that the request is over.
+// ClientDisconnected ends a request whose client has disconnected or cancelled it.
 func (d *Dispatcher) ClientDisconnected(now Time, id RequestID) {
 	if r := d.requests[id]; r != nil {
 		r.closed = true
@@ -199,7 +218,7 @@
 	}
 }
 
-// Probed takes the result of a probe.
+// Probed records the result of a probe, and places the requests that waited for it.
 func (d *Dispatcher) Probed(now Time, p *ProbeResult) {
 	w := d.byID[p.Worker]
 	if w == nil {
--- a/rules/shed.go
+++ b/rules/shed.go
@@ -1,9 +1,9 @@
 package rules
 
-// Admission: what is placed, held or refused, from the wait at the least loaded worker, a job's worth
-// for its slot-time, and its tenant's share.
+// Admission: which requests are placed, held or refused, by the wait at the cheapest worker, the job's
+// value per slot-time, and its tenant's quota.
 
-// place sends the request to the worker that the table gives, sheds it, or holds it.
+// place sends the request to the chosen worker, sheds it, or holds it while there is no worker.
 func (d *Dispatcher) place(now Time, r *request) bool {
 	w, queued := d.chooseWorker(now, r)
 	if w == nil {
@@ -18,30 +18,33 @@
 		shed = d.shouldShed(now, r, w)
 	} else {
 		d.admissionThreshold *= 1 - thresholdStepDown
-		shed = d.load(now, w)+r.Slots > busyFraction*d.slots(w)*d.warmFraction(now, w) && d.relativeDensity(r) < d.admissionThreshold
+		shed = d.load(now, w)+r.Slots > busyFraction*d.slots(w)*d.warmFraction(now, w) &&
+			d.relativeDensity(r) < d.admissionThreshold
 	}
 	if shed && r.outstanding == 0 && d.mayRefuse(r) {
-		t := d.probeRequestTarget(now, r)
-		if t == nil || !queued {
+		target := d.probeRequestTarget(now, r)
+		if target == nil || !queued {
 			d.refuse(now, r, Shed)
 			return true
 		}
-		w = t
+		w = target
 	}
 	d.send(now, r, w)
 	return true
 }
 
-// trial gives a worker that the job, which would be shed, may as well try: one not seen for long. A
-// jam once seen would otherwise last for ever where nothing but a send can tell of its end. All
-// dispatchers together try a worker less than once in a running time [D6].
+// probeRequestTarget returns the worker whose load was observed longest ago, if that is long enough ago to
+// send it, as a probe request, a job that would otherwise be shed. Where only a send can show that an
+// overload is over, one observed overload would otherwise shed everything forever. All dispatchers
+// together send a worker fewer than one such job per mean running time [D6].
 func (d *Dispatcher) probeRequestTarget(now Time, r *request) (oldest *worker) {
 	if r.overQuota {
 		return nil
 	}
 	last := now - Time(d.meanRun.v*(10+d.kind(d.classes[r.Class].Kind).senders))
 	for _, w := range d.sampleBuf {
-		if seen := max(w.othersSeenAt, w.triedAt); seen < last && !d.isSuspect(now, w) && d.maySend(now, r, w) {
+		if seen := max(w.othersSeenAt, w.triedAt); seen < last &&
+			!d.isSuspect(now, w) && d.maySend(now, r, w) {
 			oldest, last = w, seen
 		}
 	}
@@ -51,39 +54,42 @@
 	return oldest
 }
 
-// hopeless tells of a request that even the least loaded worker would start too late to be of
-// worth. Jobs of little worth for the slot-time they take, and with them what a tenant sends beyond
-// its share, are shed at shorter waits, so that a fleet that can't do all does what counts [D6].
+// shouldShed reports whether the request is to be shed because even w, the cheapest worker, would start it
+// too late to earn its value, or because its value is below the admission threshold. Jobs of low value
+// per slot-time, among them those beyond a tenant's quota, are shed at shorter waits, so that an
+// overloaded fleet runs the jobs of highest value [D6].
 func (d *Dispatcher) shouldShed(now Time, r *request, w *worker) bool {
 	c := &d.classes[r.Class]
 	if d.meanRun.n < 8 {
 		return false
 	}
 	slots := max(0.1, d.slots(w)*d.warmFraction(now, w))
-	slow := d.slowness(now, w)
-	wait := max(0, d.load(now, w)+r.Slots-slots) / slots * d.meanRun.v * slow
-	slack := float64(c.LatencyTarget-(now-r.arrived)) + (c.TargetStretch-slow)*c.run.v*r.size
-	// The price rises when a job that is worth it finds no time, and falls with each that does: in
-	// lasting overload cheap jobs leave the slots to dear ones instead of sharing the refusals [D6].
-	rel := d.relativeDensity(r)
-	if wait > slack*maxWaitFraction && rel >= d.admissionThreshold {
+	slowness := d.slowness(now, w)
+	wait := max(0, d.load(now, w)+r.Slots-slots) / slots * d.meanRun.v * slowness
+	slack := float64(c.LatencyTarget-(now-r.arrived)) + (c.TargetStretch-slowness)*c.run.v*r.size
+	// The threshold rises when a job above it would wait too long, and falls with each job that is placed:
+	// in lasting overload, jobs of low value leave the slots to those of high value instead of both
+	// sharing the refusals [D6].
+	density := d.relativeDensity(r)
+	if wait > slack*maxWaitFraction && density >= d.admissionThreshold {
 		d.admissionThreshold = min(maxThreshold, d.admissionThreshold+thresholdStepUp)
 	}
-	return wait > slack*maxWaitFraction*min(1, rel) || rel < d.admissionThreshold
+	return wait > slack*maxWaitFraction*min(1, density) || density < d.admissionThreshold
 }
 
-// usual gives the mean worth, and slot-time at present costs, of what is asked for lately within shares.
-func (d *Dispatcher) meanValue() (worth, cost float64) {
+// meanValue returns the mean value and the mean expected slot-time, in microseconds, of the recent requests
+// within quotas.
+func (d *Dispatcher) meanValue() (value, slotTime float64) {
 	n := 0.0
 	for i := range d.classes {
 		n += d.classes[i].recentRequests
-		worth += d.classes[i].recentRequests * d.jobValue(i, 1)
-		cost += d.classes[i].recentRequests * d.expectedRun(i)
+		value += d.classes[i].recentRequests * d.jobValue(i, 1)
+		slotTime += d.classes[i].recentRequests * d.expectedRun(i)
 	}
-	return worth / max(1, n), cost / max(1, n)
+	return value / max(1, n), slotTime / max(1, n)
 }
 
-// worthOf is what a job of a class and size is worth.
+// jobValue returns the value of a job of the class and size.
 func (d *Dispatcher) jobValue(class int, size float64) float64 {
 	if d.cfg.ValueByWork {
 		return d.classes[class].Value * d.expectedRun(class) * size
@@ -91,29 +97,30 @@
 	return d.classes[class].Value
 }
 
-// relWorth compares a job's density with that of what is usual.
+// relativeDensity returns the job's value density over that of the recent requests; 1 if that is unknown.
 func (d *Dispatcher) relativeDensity(r *request) float64 {
-	worth, cost := d.meanValue()
-	if worth == 0 {
+	value, slotTime := d.meanValue()
+	if value == 0 {
 		return 1
 	}
-	return d.valueDensity(r) * cost / worth
+	return d.valueDensity(r) * slotTime / value
 }
 
-// density is a job's worth for the slot-time it takes.
+// valueDensity returns the job's value per microsecond of slot-time.
 func (d *Dispatcher) valueDensity(r *request) float64 {
-	per := d.jobValue(r.Class, r.size) / max(1, d.jobCost(r))
+	density := d.jobValue(r.Class, r.size) / max(1, d.jobCost(r))
 	if r.overQuota {
-		per *= d.cfg.OverQuotaValue
+		density *= d.cfg.OverQuotaValue
 	}
-	return per
+	return density
 }
 
-// shareDepth is how far a tenant may run ahead of its share at one dispatcher: two seconds of it,
-// and room for the chance clusters of a share that is a request now and then.
+// quotaDepth returns the depth of a tenant's token bucket at one dispatcher, in requests: two seconds of
+// its rate, in requests per second, plus a constant burst for the random clusters of a very low rate.
 func quotaDepth(rate float64) float64 { return 2*rate + quotaBurst }
 
-// overShare counts the request against its tenant's share and tells whether it is beyond.
+// exceedsQuota counts a request against its tenant's quota and reports whether it is beyond it. Unknown
+// tenants have no quota.
 func (d *Dispatcher) exceedsQuota(now Time, tenant int) bool {
 	if tenant < 0 || tenant >= len(d.tenants) || d.tenants[tenant].rate == 0 {
 		return false
@@ -121,6 +128,8 @@
 	return !d.tenants[tenant].take(now, quotaDepth(d.tenants[tenant].rate))
 }
 
+// refuse ends the request with a refusal. Where the settings allow, the refusal states when to retry: after
+// a random part of the mean running time, or after MaxRetryAfter beyond the tenant's quota.
 func (d *Dispatcher) refuse(now Time, r *request, why Reason) {
 	r.closed = true
 	after := Time(0)
@@ -133,6 +142,7 @@
 	d.cancelAttempts(r)
 }
 
+// fail ends the request with a failure, since an attempt may have run.
 func (d *Dispatcher) fail(r *request, why Reason) {
 	r.closed = true
 	d.actions.Fail(r.ID, why)
--- a/rules/tell.go
+++ b/rules/tell.go
@@ -1,32 +1,37 @@
 package rules
 
-// Telling the peers: which jobs are told, when a message goes out, and what is made of theirs, from the
-// price of a message and the slot-time that a job takes.
+// Broadcasts to the peers, the other dispatchers that send to the same workers: which jobs are reported,
+// when a message is sent, and how the peers' messages are applied, from the cost of a message and the
+// slot-time of a job.
 
 import "math"
 
 const (
-	minMessageCost        = 16               // bytes that a message costs at least, as was measured
-	keepaliveInterval     = 4 * second       // a dispatcher that had nothing to tell for so long says that it is there
-	maxReportDelay        = 3 * tickInterval // an end waits so long for a job that goes out
-	peerTimeout           = 10 * second
-	minEndLossRate        = 0.001 // part of the words of ends that is taken to be lost at least
-	peerJobRuns           = 1.5   // running times that a job is out, with its wait
-	minForeignToBroadcast = 0.5   // part of the load that may be others' from which on jobs are told
+	minMessageCost    = 16               // bytes that even the shortest message costs, as measured
+	keepaliveInterval = 4 * second       // a dispatcher with nothing to report sends a keepalive this often
+	maxReportDelay    = 3 * tickInterval // an end waits this long for a send to be reported with
+	peerTimeout       = 10 * second      // a peer that has not been heard from for this long counts as silent
+	minEndLossRate    = 0.001            // least part of the reported ends that is assumed lost
+	peerJobRuns       = 1.5              // mean time in runs that a peer's job is outstanding
+	// Jobs are reported only if a larger part of the workers' load than this may be the peers'.
+	minForeignToBroadcast = 0.5
 )
 
-// Divide tells that the list holds only our share of a kind's workers (below 0: of all kinds): how many may
-// send to one of them, and which part of the load there may be others'.
+// SetSharing tells the dispatcher that its list holds only its share of the workers of a kind (negative: of
+// all kinds): senders dispatchers may send to each of them, and foreign is the part of the load there, 0 to
+// 1, that may be of other dispatchers.
 func (d *Dispatcher) SetSharing(kind, senders int, foreign float64) {
 	k := d.kind(kind)
 	k.senders, k.foreign = float64(max(1, senders)), foreign
 	if kind < 0 {
-		d.reporter.setEnabled(d.cfg.MayBroadcast && d.cfg.minReportedCost() < 1 && foreign > minForeignToBroadcast, d.cfg.GroupSize)
+		d.reporter.setEnabled(d.cfg.MayBroadcast && d.cfg.minReportedCost() < 1 &&
+			foreign > minForeignToBroadcast, d.cfg.GroupSize)
 	}
 }
 
-// Peer takes what a peer tells of its jobs. With a few jobs of our own on a worker this is nearly all that
-// we know of it, and it is milliseconds old where reports are a second [D9].
+// PeerMessage applies a broadcast of the peer of rank from. Messages that are malformed, of this dispatcher
+// or of an unknown rank are ignored. A dispatcher with few jobs at a worker learns its load mainly from
+// such messages, which are milliseconds old where load reports are a second old [D9].
 func (d *Dispatcher) PeerMessage(now Time, from int, data []byte) {
 	if from == d.cfg.Rank || !d.reporter.receive(now, from, data) {
 		return
@@ -38,7 +43,7 @@
 			d.mark(w)
 			if rec.event == eventSent {
 				w.addPeerJob(peerJob{from: from, record: rec, sent: now})
-				w.triedAt = now // by a peer
+				w.triedAt = now // the peer's job serves as a probe request, too
 				continue
 			}
 			if w.endPeerJob(from, rec) {
@@ -59,70 +64,74 @@
 	}
 }
 
-// doubtPeers looks at the jobs that peers told of. One that has been out for so long that the word of its end
-// was likelier lost, by how often that happens, counts no more; past its client's patience it is over.
+// expirePeerJobs discounts a peer's job that has been outstanding for so long that, at the observed loss
+// rate, the report of its end was probably lost, and removes it once its class's deadline has passed.
 func (d *Dispatcher) expirePeerJobs(now Time, w *worker) {
-	doubt := peerJobRuns * math.Log(1+1/max(minEndLossRate, d.endLossRate.v))
+	limit := peerJobRuns * math.Log(1+1/max(minEndLossRate, d.endLossRate.v))
 	for i := len(w.peerJobs) - 1; i >= 0; i-- {
-		class, out := min(int(w.peerJobs[i].record.class), len(d.classes)-1), now-w.peerJobs[i].sent
-		if float64(out) > doubt*d.expectedRun(class) {
+		class, age := min(int(w.peerJobs[i].record.class), len(d.classes)-1), now-w.peerJobs[i].sent
+		if float64(age) > limit*d.expectedRun(class) {
 			w.discountPeerJob(i)
 		}
-		if out > d.classes[class].Deadline {
+		if age > d.classes[class].Deadline {
 			d.endLossRate.add(1, gain/4)
 			w.removePeerJob(i)
 		}
 	}
 }
 
-// worthTelling weighs what the peers would learn against the price of a message to each: with many peers only
-// the jobs that hold most of the slot-time are told, and stand for the others too [D9].
+// shouldReport weighs what the peers learn from a job's report against the cost of a message to each of
+// them. With many peers only the jobs that take most of the slot-time are reported, and their reports stand
+// for the others too [D9].
 func (d *Dispatcher) shouldReport(r *request) bool {
 	return d.reporter.shouldReport(d.jobCost(r), d.cfg.minReportedCost())
 }
 
-// leastTold is the slot-time, over what is usual, from which a job is worth telling. Where a usual job has
-// less, nothing is told: the rest shows too little of a load, and words of presence cost more than they earn.
+// minReportedCost returns the slot-time, over the mean, from which a job is worth reporting. If it is 1 or
+// more, a mean job is not worth reporting, and broadcasts are disabled: the remaining jobs show too little
+// of the load, and keepalives would cost more than the reports gain.
 func (s *Settings) minReportedCost() float64 {
 	return reportCostMultiple * s.PeerMessageCost * minMessageCost / fullMessageSize * float64(s.GroupSize-1)
 }
 
-// worth tells whether a job's slot-time is so many times what is usual, and counts it.
-func (t *peerReporter) shouldReport(cost, times float64) bool {
-	t.slotTime.add(cost, gain/8)
-	tells := t.lastSeen != nil && cost >= times*t.slotTime.v
-	if !tells {
-		cost = 0
+// shouldReport counts a job of that slot-time, in microseconds, and reports whether it is at least the
+// given multiple of the mean.
+func (p *peerReporter) shouldReport(slotTime, multiple float64) bool {
+	p.slotTime.add(slotTime, gain/8)
+	report := p.lastSeen != nil && slotTime >= multiple*p.slotTime.v
+	if !report {
+		slotTime = 0
 	}
-	t.reportedTime.add(cost, gain/8)
-	return tells
+	p.reportedTime.add(slotTime, gain/8)
+	return report
 }
 
-// tell puts a record into the next message. A message of one record costs as much as one of four: ends
-// wait for a job that goes out, which is told at once.
-func (t *peerReporter) enqueue(now Time, rec record, act Actions) {
-	if t.lastSeen == nil {
+// enqueue adds a record to the next message. A message of one record costs as much as one of four, so ends
+// wait for the next send, which is broadcast at once.
+func (p *peerReporter) enqueue(now Time, rec record, actions Actions) {
+	if p.lastSeen == nil {
 		return
 	}
-	if len(t.pending) == 0 {
-		t.pendingSince = now
+	if len(p.pending) == 0 {
+		p.pendingSince = now
 	}
-	t.pending = rec.append(t.pending)
-	if rec.event == eventSent || rec.event == eventAlive || len(t.pending) > fullMessageSize-recordSize {
-		act.Broadcast(t.pending)
-		t.pending, t.sentAt = nil, now
+	p.pending = rec.append(p.pending)
+	if rec.event == eventSent || rec.event == eventAlive || len(p.pending) > fullMessageSize-recordSize {
+		actions.Broadcast(p.pending)
+		p.pending, p.sentAt = nil, now
 	}
 }
 
-// keepUp tells what has waited long enough, or that the dispatcher is there, and counts the peers that do.
-func (t *peerReporter) flush(now Time, act Actions) (tellers float64) {
-	if len(t.pending) > 0 && now-t.pendingSince > maxReportDelay || now-t.sentAt > keepaliveInterval {
-		t.enqueue(now, record{event: eventAlive}, act)
+// flush sends records that have waited long enough, or a keepalive, and returns the number of peers that
+// broadcast.
+func (p *peerReporter) flush(now Time, actions Actions) (reporting float64) {
+	if len(p.pending) > 0 && now-p.pendingSince > maxReportDelay || now-p.sentAt > keepaliveInterval {
+		p.enqueue(now, record{event: eventAlive}, actions)
 	}
-	for _, at := range t.lastSeen {
+	for _, at := range p.lastSeen {
 		if at > 0 && now-at < peerTimeout {
-			tellers++
+			reporting++
 		}
 	}
-	return tellers
+	return reporting
 }
