--- a/rules/rules.go
+++ b/rules/rules.go
@@ -1,7 +1,7 @@
 package rules
 
 // Constants of the decisions, and the dispatcher's events. The decisions are in choose.go, load.go,
-// health.go, cold.go, attempts.go, shed.go and tell.go, the interface in api.go, data structures in the
+// health.go, cold.go, attempts.go, shed.go and broadcast.go, the interface in api.go, data structures in the
 // other files. Workers are assigned by the table of "A Greedy Load Balancing Algorithm on Serverless
 // Platforms Maximizing Locality", section 3 ("the paper" below, whose terms Free, Busy, Full, major key
 // and de-assign are used here). [Dn] marks departure n from the paper, listed in docs/design.md.
