--- a/rules/choose.go
+++ b/rules/choose.go
@@ -87,7 +87,7 @@
 		if avoided {
 			c += 1e6 // above every cost: chosen only if there is no other
 		} else if now < w.fullUntil {
-			c += 1e3
+			c += 1e3 // it has just refused a job: chosen only before the avoided ones
 		}
 		if fallback == nil || c < fallbackCost {
 			fallback, fallbackCost = w, c
--- a/rules/peers.go
+++ b/rules/peers.go
@@ -23,7 +23,7 @@
 	eventSent                     // the job was sent
 	eventServed                   // it ended with OK
 	eventRefused                  // it ended with a refusal
-	eventFailed                   // it ended with an error, or without a connection
+	eventFailed                   // it ended with an error, or its connection failed or broke
 	eventEnded                    // it ended otherwise, which shows nothing about the worker
 )
 
--- a/rules/shed.go
+++ b/rules/shed.go
@@ -3,7 +3,8 @@
 // Admission: which requests are placed, held or refused, by the wait at the cheapest worker, the job's
 // value per slot-time, and its tenant's quota.
 
-// place sends the request to the chosen worker, sheds it, or holds it while there is no worker.
+// place sends the request to the chosen worker, sheds it, or holds it while there is no worker. It returns
+// false in the last case.
 func (d *Dispatcher) place(now Time, r *request) bool {
 	w, queued := d.chooseWorker(now, r)
 	if w == nil {
@@ -67,9 +68,9 @@
 	slowness := d.slowness(now, w)
 	wait := max(0, d.load(now, w)+r.Slots-slots) / slots * d.meanRun.v * slowness
 	slack := float64(c.LatencyTarget-(now-r.arrived)) + (c.TargetStretch-slowness)*c.run.v*r.size
-	// The threshold rises when a job above it would wait too long, and falls with each job that is placed:
-	// in lasting overload, jobs of low value leave the slots to those of high value instead of both
-	// sharing the refusals [D6].
+	// The threshold rises when a job above it would wait too long, and falls with each job that finds a
+	// worker that accepts it: in lasting overload, jobs of low value leave the slots to those of high value
+	// instead of both sharing the refusals [D6].
 	density := d.relativeDensity(r)
 	if wait > slack*maxWaitFraction && density >= d.admissionThreshold {
 		d.admissionThreshold = min(maxThreshold, d.admissionThreshold+thresholdStepUp)
--- a/rules/state.go
+++ b/rules/state.go
@@ -94,8 +94,8 @@
 	notMajor                     // Busy, and the key is not major there
 )
 
-// Streaming records that the answer is on its way to the client: the request is not retried, refused or
-// failed any more.
+// Streaming records that an attempt's answer is on its way to the client: no further attempt of the request is sent,
+// its timers do nothing, and no attempt of it is cancelled.
 func (d *Dispatcher) Streaming(now Time, id RequestID, attempt int) {
 	if r := d.requests[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) {
 		d.recordResponse(now, &r.attempts[attempt])
