--- a/cmd/cobaltflow/check.go
+++ b/cmd/cobaltflow/check.go
@@ -21,7 +21,7 @@
 				if err != nil {
 					return err
 				}
-				kind, err := describe.Check(text)
+				kind, err := describe.Validate(text)
 				if err != nil {
 					return fmt.Errorf("%s: %w", path, err)
 				}
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			for _, note := range conf.Notes {
+			for _, note := range conf.Warnings {
 				fmt.Fprintln(c.OutOrStdout(), "note:", note)
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(), "configuration of %s: good, %d classes\n", conf.Name, len(conf.Names.Classes))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,36 +33,36 @@
 
 // Config is all that a scheduler is told.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Pushed    bool   // discovery is an agent on our own machine, which costs nothing to ask
-	Admin     string // the operators' address; empty: there is none
-	Seed      uint64
-	Limits    Limits
-	Known     json.RawMessage // the last list, in discovery's form
-	Peers     Peers
-	Settings  rules.Settings
-	Names     Names
-	Faktory   Faktory
-	HTTP2     HTTP2
-	Sites     Sites
-	Ownership *ownership.Settings // nil: the fleet is not divided
-	Log       log.Settings
-	Notes     []string // what was read otherwise than it may seem; for the log
+	Name             string
+	Listen           string
+	Discovery        string
+	DiscoveryIsLocal bool   // discovery is an agent on our own machine, which costs nothing to ask
+	Admin            string // the operators' address; empty: there is none
+	Seed             uint64
+	Limits           Limits
+	KnownWorkers     json.RawMessage // the last list, in discovery's form
+	Peers            Peers
+	Settings         rules.Settings
+	Names            Names
+	Faktory          Faktory
+	HTTP2            HTTP2
+	Sites            Sites
+	Ownership        *ownership.Settings // nil: the fleet is not divided
+	Log              log.Settings
+	Warnings         []string // what was read otherwise than it may seem; for the log
 
 	// StateFolder is where files stand that this scheduler's processes share; empty: the system's folder for temporary
 	// files ($TMPDIR).
-	StateFolder string
+	StateDir string
 
-	file string // the project's own
+	projectPath string // the project's own
 }
 
 // Peers are the other schedulers, and how to send them messages. Listen is empty where that is off.
 type Peers struct {
 	Listen string
-	All    netip.AddrPort   // reaches all
-	Each   []netip.AddrPort // by rank, our own among them
+	Group  netip.AddrPort   // reaches all
+	ByRank []netip.AddrPort // by rank, our own among them
 }
 
 // Limits of the process.
@@ -75,7 +75,7 @@
 // Names turn the words on the sockets into the numbers of the decisions.
 type Names struct {
 	Classes, Zones, Kinds []string
-	ConnIdle              rules.Time // a worker closes a connection that stood idle for so long
+	ConnIdleTimeout       rules.Time // a worker closes a connection that stood idle for so long
 
 	tenants map[string]int // numbers from 1
 }
@@ -88,14 +88,14 @@
 func (n *Names) Tenant(name []byte) int { return n.tenants[string(name)] }
 
 // nameTenants takes the tenants' names, in the order of their numbers.
-func (n *Names) nameTenants(names []string, key string) error {
+func (n *Names) setTenants(names []string, key string) error {
 	n.tenants = make(map[string]int, len(names))
 	for i, name := range names {
 		if name == "" {
-			return fault(fmt.Sprintf("%s.%d.name", key, i), "missing")
+			return newError(fmt.Sprintf("%s.%d.name", key, i), "missing")
 		}
 		if n.tenants[name] > 0 {
-			return fault(fmt.Sprintf("%s.%d.name", key, i), "%q stands twice", name)
+			return newError(fmt.Sprintf("%s.%d.name", key, i), "%q stands twice", name)
 		}
 		n.tenants[name] = i + 1
 	}
@@ -107,15 +107,17 @@
 
 func (e *Error) Error() string { return e.Key + ": " + e.Text }
 
-func fault(key, format string, args ...any) error { return &Error{key, fmt.Sprintf(format, args...)} }
+func newError(key, format string, args ...any) error {
+	return &Error{key, fmt.Sprintf(format, args...)}
+}
 
-type document struct {
+type platformFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
 	Admin     string          `json:"admin"`
 	Seed      string          `json:"seed"`
-	Limits    limitsFile      `json:"limits"`
+	Limits    limitsSection   `json:"limits"`
 	Known     json.RawMessage `json:"known"`
 
 	PeerListen string          `json:"peer_listen"`
@@ -129,7 +131,7 @@
 // own is the path of the project's file; it may be absent where the platform tells the rest, unless
 // needed says that somebody named it.
 func Load(getenv func(string) string, own string, needed bool) (*Config, error) {
-	file, err := readOwn(own, needed)
+	file, err := readProjectFile(own, needed)
 	if err != nil {
 		return nil, err
 	}
@@ -138,36 +140,36 @@
 
 // LoadExample gives the configuration of the embedded example.
 func LoadExample() (*Config, error) {
-	file := &ownFile{}
+	file := &projectFile{}
 	if err := file.parse(deploy.Example); err != nil {
 		return nil, err
 	}
 	return load(func(string) string { return "" }, file, "", false)
 }
 
-func load(getenv func(string) string, file *ownFile, own string, again bool) (*Config, error) {
+func load(getenv func(string) string, file *projectFile, own string, again bool) (*Config, error) {
 	c, err := read(getenv, file.Scheduler, again)
 	if err != nil {
 		return nil, err
 	}
-	c.Log, c.Sites, c.file = file.Log, file.Sites, own
-	if err := c.ownership(file.Ownership); err != nil {
+	c.Log, c.Sites, c.projectPath = file.Log, file.Sites, own
+	if err := c.readOwnership(file.Ownership); err != nil {
 		return nil, err
 	}
-	if err := c.http2(file.HTTP2); err != nil {
+	if err := c.readHTTP2(file.HTTP2); err != nil {
 		return nil, err
 	}
-	return c, c.faktory(file.Faktory)
+	return c, c.readFaktory(file.Faktory)
 }
 
 // Reload reads the files again for a program that runs. What the environment says of discovery is from
 // the start: the new file goes before it. The other fronts' parts are kept as they are.
 func (c *Config) Reload(getenv func(string) string) (*Config, error) {
-	file, err := readOwn(c.file, false)
+	file, err := readProjectFile(c.projectPath, false)
 	if err != nil {
 		return nil, err
 	}
-	next, err := load(getenv, file, c.file, true)
+	next, err := load(getenv, file, c.projectPath, true)
 	if err != nil {
 		return nil, err
 	}
@@ -179,7 +181,7 @@
 }
 
 // Unchangeable names the keys in which next differs but which a running program keeps.
-func (c *Config) Unchangeable(next *Config) (keys []string) {
+func (c *Config) RestartRequired(next *Config) (keys []string) {
 	for _, k := range []struct {
 		key     string
 		differs bool
@@ -197,35 +199,35 @@
 }
 
 // read takes the platform's file, or where there is none the scheduler section of the project's own.
-func read(getenv func(string) string, section *schedulerFile, again bool) (*Config, error) {
-	var doc document
+func read(getenv func(string) string, section *schedulerSection, again bool) (*Config, error) {
+	var doc platformFile
 	prefix := ""
 	if getenv(EnvConfig) != "" {
 		section = nil
 	}
 	if section != nil {
 		prefix = "scheduler."
-		doc = document{Name: section.Name, Listen: section.Listen, Discovery: section.Discovery, Admin: section.Admin, Seed: section.Seed,
+		doc = platformFile{Name: section.Name, Listen: section.Listen, Discovery: section.Discovery, Admin: section.Admin, Seed: section.Seed,
 			Limits: section.Limits}
 	}
 	if path := getenv(EnvConfig); path != "" {
-		if err := readDocument(path, &doc); err != nil {
+		if err := readPlatformFile(path, &doc); err != nil {
 			return nil, err
 		}
 	}
 	c := &Config{
-		Name:      first(getenv(EnvName), doc.Name),
-		Listen:    first(getenv(EnvListen), doc.Listen),
-		Discovery: first(getenv(EnvDiscovery), doc.Discovery),
-		Admin:     first(getenv(EnvAdmin), doc.Admin),
-		Limits:    Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
-		Known:     doc.Known,
+		Name:         firstNonEmpty(getenv(EnvName), doc.Name),
+		Listen:       firstNonEmpty(getenv(EnvListen), doc.Listen),
+		Discovery:    firstNonEmpty(getenv(EnvDiscovery), doc.Discovery),
+		Admin:        firstNonEmpty(getenv(EnvAdmin), doc.Admin),
+		Limits:       Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
+		KnownWorkers: doc.Known,
 	}
 	if again {
-		c.Discovery = first(doc.Discovery, c.Discovery)
+		c.Discovery = firstNonEmpty(doc.Discovery, c.Discovery)
 	}
 	if c.Name == "" {
-		return nil, fault(prefix+"name", "missing (or %s); without a platform's file the section \"scheduler\" of --config tells it", EnvName)
+		return nil, newError(prefix+"name", "missing (or %s); without a platform's file the section \"scheduler\" of --config tells it", EnvName)
 	}
 	if err := c.checkAddresses(prefix, section == nil); err != nil {
 		return nil, err
@@ -233,7 +235,7 @@
 	if doc.Seed != "" {
 		n, err := strconv.ParseUint(doc.Seed, 16, 64)
 		if err != nil {
-			return nil, fault(prefix+"seed", "%q is not up to 16 hexadecimal digits", doc.Seed)
+			return nil, newError(prefix+"seed", "%q is not up to 16 hexadecimal digits", doc.Seed)
 		}
 		c.Seed = n
 	}
@@ -241,32 +243,32 @@
 		return nil, err
 	}
 	if section != nil {
-		return c, c.scheduler(section)
+		return c, c.readScheduler(section)
 	}
-	if err := c.settings(doc.Settings); err != nil {
+	if err := c.readSettings(doc.Settings); err != nil {
 		return nil, err
 	}
-	if err := c.peers(&doc); err != nil {
+	if err := c.readPeers(&doc); err != nil {
 		return nil, err
 	}
 	if c.Settings.SlowStartWindow == 0 {
-		c.Notes = append(c.Notes, "settings.rules.warmWithinUs is absent: a new worker counts as cold for 30 s, and its first jobs wait")
+		c.Warnings = append(c.Warnings, "settings.rules.warmWithinUs is absent: a new worker counts as cold for 30 s, and its first jobs wait")
 	}
 	return c, nil
 }
 
 // readDocument reads the platform's file.
-func readDocument(path string, doc *document) error {
+func readPlatformFile(path string, doc *platformFile) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return fault(EnvConfig, "%v", err)
+		return newError(EnvConfig, "%v", err)
 	}
 	if err := json.Unmarshal(text, doc); err != nil {
 		var typed *json.UnmarshalTypeError
 		if errors.As(err, &typed) {
-			return fault(typed.Field, "a %s can't stand here", typed.Value)
+			return newError(typed.Field, "a %s can't stand here", typed.Value)
 		}
-		return fault(EnvConfig, "%v", err)
+		return newError(EnvConfig, "%v", err)
 	}
 	return nil
 }
@@ -281,45 +283,45 @@
 			continue // the workers that the section names are all there are
 		}
 		if a.value == "" {
-			return fault(prefix+a.key, "missing (or %s)", a.env)
+			return newError(prefix+a.key, "missing (or %s)", a.env)
 		}
 		if err := checkAddress(a.value); err != nil {
-			return fault(prefix+a.key, "%v", err)
+			return newError(prefix+a.key, "%v", err)
 		}
 	}
 	if c.Admin != "" {
 		if err := checkAddress(c.Admin); err != nil {
-			return fault(prefix+"admin", "%v", err)
+			return newError(prefix+"admin", "%v", err)
 		}
 		if c.Admin == c.Listen {
-			return fault(prefix+"admin", "%s is the clients' address too; the operators' must be another", c.Admin)
+			return newError(prefix+"admin", "%s is the clients' address too; the operators' must be another", c.Admin)
 		}
 	}
 	return nil
 }
 
 // readLimits takes the limits of a document over.
-func (c *Config) readLimits(prefix string, doc *document) error {
+func (c *Config) readLimits(prefix string, doc *platformFile) error {
 	if v := doc.Limits.Cores; v != nil {
 		if c.Limits.Cores = *v; *v <= 0 {
-			return fault(prefix+"limits.cores", "%v is not above 0", *v)
+			return newError(prefix+"limits.cores", "%v is not above 0", *v)
 		}
 	}
 	if v := doc.Limits.MemoryMB; v != nil {
 		if c.Limits.MemoryMB = *v; *v < 32 {
-			return fault(prefix+"limits.memory_mb", "%d is under 32", *v)
+			return newError(prefix+"limits.memory_mb", "%d is under 32", *v)
 		}
 	}
 	if v := doc.Limits.Sockets; v != nil {
 		if c.Limits.Sockets = *v; *v < 64 {
-			return fault(prefix+"limits.sockets", "%d is under 64", *v)
+			return newError(prefix+"limits.sockets", "%d is under 64", *v)
 		}
 	}
 	return nil
 }
 
 // peers reads how to reach the other schedulers. Without addresses nothing is told, and a note says so.
-func (c *Config) peers(doc *document) error {
+func (c *Config) readPeers(doc *platformFile) error {
 	s := &c.Settings
 	if !s.MayBroadcast || s.GroupSize < 2 {
 		s.MayBroadcast = false
@@ -327,37 +329,37 @@
 	}
 	if doc.PeerListen == "" || doc.PeersAll == "" || len(doc.Peers) == 0 {
 		s.MayBroadcast = false
-		c.Notes = append(c.Notes, "peer_listen, peers or peers_all is absent: nothing is told to the other schedulers, nor heard of them")
+		c.Warnings = append(c.Warnings, "peer_listen, peers or peers_all is absent: nothing is told to the other schedulers, nor heard of them")
 		return nil
 	}
 	if len(doc.Peers) != s.GroupSize {
-		return fault("peers", "%d addresses, but settings.groupSize is %d", len(doc.Peers), s.GroupSize)
+		return newError("peers", "%d addresses, but settings.groupSize is %d", len(doc.Peers), s.GroupSize)
 	}
 	if s.Rank < 0 || s.Rank >= s.GroupSize {
-		return fault("settings.rank", "%d is not from 0 to %d, one under settings.groupSize", s.Rank, s.GroupSize-1)
+		return newError("settings.rank", "%d is not from 0 to %d, one under settings.groupSize", s.Rank, s.GroupSize-1)
 	}
 	var err error
 	for i, text := range doc.Peers {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return fault(fmt.Sprintf("peers.%d", i), "%q is not address:port", text)
+			return newError(fmt.Sprintf("peers.%d", i), "%q is not address:port", text)
 		}
-		if slices.Contains(c.Peers.Each, a) {
-			return fault(fmt.Sprintf("peers.%d", i), "%s stands twice", text)
+		if slices.Contains(c.Peers.ByRank, a) {
+			return newError(fmt.Sprintf("peers.%d", i), "%s stands twice", text)
 		}
-		c.Peers.Each = append(c.Peers.Each, a)
+		c.Peers.ByRank = append(c.Peers.ByRank, a)
 	}
-	if c.Peers.All, err = netip.ParseAddrPort(doc.PeersAll); err != nil {
-		return fault("peers_all", "%q is not address:port", doc.PeersAll)
+	if c.Peers.Group, err = netip.ParseAddrPort(doc.PeersAll); err != nil {
+		return newError("peers_all", "%q is not address:port", doc.PeersAll)
 	}
 	if err := checkAddress(doc.PeerListen); err != nil {
-		return fault("peer_listen", "%v", err)
+		return newError("peer_listen", "%v", err)
 	}
 	c.Peers.Listen = doc.PeerListen
 	return nil
 }
 
-func first(values ...string) string {
+func firstNonEmpty(values ...string) string {
 	for _, v := range values {
 		if v != "" {
 			return v
@@ -378,19 +380,19 @@
 }
 
 // settings flattens the nested object into the simulator's path=value and has it read as there.
-func (c *Config) settings(text json.RawMessage) error {
+func (c *Config) readSettings(text json.RawMessage) error {
 	if len(text) == 0 || string(text) == "null" {
-		return fault("settings", "missing")
+		return newError("settings", "missing")
 	}
 	var tree any
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	if err := d.Decode(&tree); err != nil {
-		return fault("settings", "%v", err)
+		return newError("settings", "%v", err)
 	}
 	root, ok := tree.(map[string]any)
 	if !ok {
-		return fault("settings", "not an object")
+		return newError("settings", "not an object")
 	}
 	var fields []string
 	flatten("", root, &fields)
@@ -398,16 +400,16 @@
 	if err != nil {
 		// The reader's words are "setting PATH: what is wrong".
 		path, text, _ := strings.Cut(strings.TrimPrefix(err.Error(), "setting "), ": ")
-		return fault("settings."+path, "%s", text)
+		return newError("settings."+path, "%s", text)
 	}
-	c.Settings, c.Pushed = s, root["discovery"] == "push"
-	c.Names.Zones, c.Names.Kinds = words(root["dcs"]), words(root["kinds"])
+	c.Settings, c.DiscoveryIsLocal = s, root["discovery"] == "push"
+	c.Names.Zones, c.Names.Kinds = stringList(root["dcs"]), stringList(root["kinds"])
 	if err := c.readNames(root); err != nil {
 		return err
 	}
 	for i, class := range s.Classes {
 		if class.Deadline <= 0 {
-			return fault(fmt.Sprintf("settings.classes.%d.deadlineUs", i), "missing or not above 0")
+			return newError(fmt.Sprintf("settings.classes.%d.deadlineUs", i), "missing or not above 0")
 		}
 	}
 	return c.readConnIdle(root)
@@ -418,51 +420,51 @@
 	var tenants []string
 	list, _ := root["tenants"].([]any)
 	for _, item := range list {
-		tenants = append(tenants, nameOf(item))
+		tenants = append(tenants, itemName(item))
 	}
-	if err := c.Names.nameTenants(tenants, "settings.tenants"); err != nil {
+	if err := c.Names.setTenants(tenants, "settings.tenants"); err != nil {
 		return err
 	}
 	classes, _ := root["classes"].([]any)
 	for i, item := range classes {
-		name := nameOf(item)
+		name := itemName(item)
 		if name == "" {
-			return fault(fmt.Sprintf("settings.classes.%d.name", i), "missing")
+			return newError(fmt.Sprintf("settings.classes.%d.name", i), "missing")
 		}
 		if c.Names.Class(name) >= 0 {
-			return fault(fmt.Sprintf("settings.classes.%d.name", i), "%q stands twice", name)
+			return newError(fmt.Sprintf("settings.classes.%d.name", i), "%q stands twice", name)
 		}
 		c.Names.Classes = append(c.Names.Classes, name)
 	}
 	if len(c.Names.Classes) == 0 {
-		return fault("settings.classes", "none are given")
+		return newError("settings.classes", "none are given")
 	}
 	return nil
 }
 
 // readConnIdle reads for how long a worker keeps an idle connection.
 func (c *Config) readConnIdle(root map[string]any) error {
-	c.Names.ConnIdle = 60_000_000
+	c.Names.ConnIdleTimeout = 60_000_000
 	if caps, ok := root["caps"].(map[string]any); ok {
 		if n, ok := caps["connIdleUs"].(json.Number); ok {
 			v, err := n.Int64()
 			if err != nil || v <= 0 {
-				return fault("settings.caps.connIdleUs", "%q is no length of time", n)
+				return newError("settings.caps.connIdleUs", "%q is no length of time", n)
 			}
-			c.Names.ConnIdle = v
+			c.Names.ConnIdleTimeout = v
 		}
 	}
 	return nil
 }
 
 // nameOf gives the name of an item of a list of objects.
-func nameOf(item any) string {
+func itemName(item any) string {
 	m, _ := item.(map[string]any)
 	name, _ := m["name"].(string)
 	return name
 }
 
-func words(v any) (out []string) {
+func stringList(v any) (out []string) {
 	list, _ := v.([]any)
 	for _, item := range list {
 		out = append(out, fmt.Sprint(item))
@@ -482,7 +484,7 @@
 	case []any:
 		nested := slices.ContainsFunc(v, func(x any) bool { _, ok := x.(map[string]any); return ok })
 		if !nested {
-			*out = append(*out, path+"="+strings.Join(words(v), ","))
+			*out = append(*out, path+"="+strings.Join(stringList(v), ","))
 			return
 		}
 		*out = append(*out, path+".count="+strconv.Itoa(len(v)))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,13 +14,13 @@
 	"cobaltflow/rules"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const platformText = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"index":1,"snapshot":true,"endpoints":[]},
  "settings":{"dcs":["suva","lautoka"],"kinds":["gen1"],"caps":{"cancel":true,"mostTries":4,"connIdleUs":60000000},
   "classes":[{"name":"move","effect":"once","aimUs":1000000,"deadlineUs":10000000}],
   "specifics":{"classKind":[-1],"classStretch":[2.0]},"locality":1,"groupSize":2}}`
 
-func loaded(t *testing.T, text string, env map[string]string) (*Config, error) {
+func loadPlatform(t *testing.T, text string, env map[string]string) (*Config, error) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return Load(func(key string) string {
@@ -32,7 +32,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	c, err := loaded(t, good, map[string]string{EnvName: "n4"})
+	c, err := loadPlatform(t, platformText, map[string]string{EnvName: "n4"})
 	require.NoError(t, err)
 	assert.Equal(t, "n4", c.Name, "the environment goes first")
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
@@ -43,21 +43,21 @@
 	assert.True(t, s.MayCancel)
 	assert.Equal(t, []any{4, 1, 2, 2, 1}, []any{s.MaxAttempts, s.Zone, s.GroupSize, s.Zones, s.Kinds})
 	assert.Equal(t, rules.Class{LatencyTarget: 1e6, TargetStretch: 2, Deadline: 1e7, Effect: rules.Once, Group: rules.GroupCell, Kind: -1}, s.Classes[0])
-	assert.Equal(t, rules.Time(60_000_000), c.Names.ConnIdle)
+	assert.Equal(t, rules.Time(60_000_000), c.Names.ConnIdleTimeout)
 }
 
 func TestPeers(t *testing.T) {
 	with := strings.NewReplacer(`"cancel":true`, `"cancel":true,"peers":true`, `"seed"`,
-		`"peer_listen":"127.0.0.1:9","peers":["127.0.0.1:1","127.0.0.1:2"],"peers_all":"127.0.0.1:3","seed"`).Replace(good)
-	c, err := loaded(t, with, nil)
+		`"peer_listen":"127.0.0.1:9","peers":["127.0.0.1:1","127.0.0.1:2"],"peers_all":"127.0.0.1:3","seed"`).Replace(platformText)
+	c, err := loadPlatform(t, with, nil)
 	require.NoError(t, err)
 	assert.True(t, c.Settings.MayBroadcast)
-	assert.Equal(t, []any{"127.0.0.1:9", 2, "127.0.0.1:3"}, []any{c.Peers.Listen, len(c.Peers.Each), c.Peers.All.String()})
+	assert.Equal(t, []any{"127.0.0.1:9", 2, "127.0.0.1:3"}, []any{c.Peers.Listen, len(c.Peers.ByRank), c.Peers.Group.String()})
 
-	c, err = loaded(t, strings.Replace(good, `"cancel":true`, `"cancel":true,"peers":true`, 1), nil)
+	c, err = loadPlatform(t, strings.Replace(platformText, `"cancel":true`, `"cancel":true,"peers":true`, 1), nil)
 	require.NoError(t, err)
 	assert.False(t, c.Settings.MayBroadcast, "without addresses nothing is told")
-	assert.NotEmpty(t, c.Notes)
+	assert.NotEmpty(t, c.Warnings)
 
 	for _, f := range []struct{ from, to, key string }{
 		{`"groupSize":2`, `"groupSize":3`, "peers"},
@@ -67,7 +67,7 @@
 		{`"127.0.0.1:3"`, `"all"`, "peers_all"},
 		{`"127.0.0.1:9"`, `"here"`, "peer_listen"},
 	} {
-		_, err := loaded(t, strings.Replace(with, f.from, f.to, 1), nil)
+		_, err := loadPlatform(t, strings.Replace(with, f.from, f.to, 1), nil)
 		var fault *Error
 		if assert.ErrorAs(t, err, &fault, f.to) {
 			assert.Equal(t, f.key, fault.Key, f.to)
@@ -77,7 +77,7 @@
 
 func TestReloadTakesDiscoveryFromTheFile(t *testing.T) {
 	env := map[string]string{EnvName: "n4", EnvDiscovery: "127.0.0.1:9"}
-	old, err := loaded(t, good, env)
+	old, err := loadPlatform(t, platformText, env)
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.1:9", old.Discovery, "at the start the environment goes first")
 	path := filepath.Join(t.TempDir(), "next.json")
@@ -86,14 +86,14 @@
 		env[EnvConfig] = path
 		return old.Reload(func(key string) string { return env[key] })
 	}
-	next, err := again(strings.NewReplacer("8500", "8501", `"sockets":1024`, `"sockets":256`).Replace(good))
+	next, err := again(strings.NewReplacer("8500", "8501", `"sockets":1024`, `"sockets":256`).Replace(platformText))
 	require.NoError(t, err)
 	assert.Equal(t, []any{"127.0.0.1:8501", 256}, []any{next.Discovery, next.Limits.Sockets})
-	assert.Empty(t, old.Unchangeable(next))
-	next, err = again(strings.NewReplacer("8443", "8444", "1000000,", "2000000,").Replace(good))
+	assert.Empty(t, old.RestartRequired(next))
+	next, err = again(strings.NewReplacer("8443", "8444", "1000000,", "2000000,").Replace(platformText))
 	require.NoError(t, err)
-	assert.Equal(t, []string{"listen", "settings"}, old.Unchangeable(next))
-	_, err = again(strings.Replace(good, "8500", "none", 1))
+	assert.Equal(t, []string{"listen", "settings"}, old.RestartRequired(next))
+	_, err = again(strings.Replace(platformText, "8500", "none", 1))
 	assert.ErrorContains(t, err, "discovery: ")
 }
 
@@ -119,7 +119,7 @@
 		{`{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"tenants":[{"name":"t"},{"name":"t"}]}}`, "settings.tenants.1.name"},
 		{`{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"tenants":[{"quotaRps":3}]}}`, "settings.tenants.0.name"},
 	} {
-		_, err := loaded(t, c.text, nil)
+		_, err := loadPlatform(t, c.text, nil)
 		var fault *Error
 		if assert.ErrorAs(t, err, &fault, c.text) {
 			assert.Equal(t, c.key, fault.Key, c.text)
@@ -128,34 +128,34 @@
 }
 
 // own loads the project's own file with no platform's beside it.
-func own(t *testing.T, text string, env map[string]string) (*Config, error) {
+func loadProject(t *testing.T, text string, env map[string]string) (*Config, error) {
 	path := filepath.Join(t.TempDir(), "cobaltflow.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return Load(func(key string) string { return env[key] }, path, true)
 }
 
 func TestOwnFileRunsWithoutAPlatform(t *testing.T) {
-	c, err := own(t, string(deploy.Example), map[string]string{EnvName: "n7"})
+	c, err := loadProject(t, string(deploy.Example), map[string]string{EnvName: "n7"})
 	require.NoError(t, err)
-	assert.Equal(t, []any{"n7", "", true}, []any{c.Name, c.Discovery, c.Faktory.On()})
+	assert.Equal(t, []any{"n7", "", true}, []any{c.Name, c.Discovery, c.Faktory.IsEnabled()})
 	assert.Equal(t, []string{"board-view", "move", "settle"}, c.Names.Classes)
 	assert.Equal(t, rules.Class{LatencyTarget: 5e5, Deadline: 5e6, Value: 3, Effect: rules.Repeatable, Kind: -1}, c.Settings.Classes[0])
 	assert.Equal(t, rules.Time(1), c.Settings.SlowStartWindow, "no rule for cold workers makes jobs wait in silence")
-	assert.Len(t, c.Notes, 1)
+	assert.Len(t, c.Warnings, 1)
 	assert.Equal(t, []int{0, 1, 0}, []int{c.JobClass("BuildBoardView"), c.JobClass("move"), c.JobClass("whatever")})
 	assert.Equal(t, []rules.Tenant{{QuotaPerS: 40}, {QuotaPerS: 20}}, c.Settings.Tenants)
 	assert.Equal(t, []any{2, 0, 0.1, false}, []any{c.Names.Tenant([]byte("hill-club")), c.Names.Tenant([]byte("nobody")),
 		c.Settings.OverQuotaValue, c.Settings.ValueByWork})
 	known := strings.Replace(string(deploy.Example), `"workers": []`, `"workers": [{"name":"a","address":"127.0.0.1:9"}]`, 1)
-	c, err = own(t, known, nil)
+	c, err = loadProject(t, known, nil)
 	require.NoError(t, err)
-	assert.JSONEq(t, `{"index":0,"snapshot":true,"endpoints":[{"name":"a","address":"127.0.0.1:9","zone":"here","type":"any","status":"up","weight":1}]}`, string(c.Known))
+	assert.JSONEq(t, `{"index":0,"snapshot":true,"endpoints":[{"name":"a","address":"127.0.0.1:9","zone":"here","type":"any","status":"up","weight":1}]}`, string(c.KnownWorkers))
 }
 
 func TestPlatformFileGoesBeforeTheSection(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, []byte(good), 0o600))
-	c, err := own(t, `{"scheduler":{"name":"other"},"faktory":{"listen":"127.0.0.1:7419"}}`, map[string]string{EnvConfig: path})
+	require.NoError(t, os.WriteFile(path, []byte(platformText), 0o600))
+	c, err := loadProject(t, `{"scheduler":{"name":"other"},"faktory":{"listen":"127.0.0.1:7419"}}`, map[string]string{EnvConfig: path})
 	require.NoError(t, err)
 	assert.Equal(t, []any{"n3", 1}, []any{c.Name, len(c.Names.Classes)})
 }
@@ -191,7 +191,7 @@
 		{section("", `,"max_held_mb":90`), "faktory.max_held_mb"}, {section("", `,"max_command_kb":65536`), "faktory.max_command_kb"},
 		{strings.Replace(section("", ""), ":7419", "", 1), "faktory.listen"},
 	} {
-		_, err := own(t, c.text, nil)
+		_, err := loadProject(t, c.text, nil)
 		var fault *Error
 		if c.key == "" {
 			assert.NoError(t, err)
@@ -222,8 +222,8 @@
 		assert.Contains(t, real, key)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, []byte(good), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(platformText), 0o600))
 	c, err := Load(func(key string) string { return map[string]string{EnvConfig: path}[key] }, "../../"+File, true)
 	require.NoError(t, err)
-	assert.False(t, c.Faktory.On(), "off on the platform")
+	assert.False(t, c.Faktory.IsEnabled(), "off on the platform")
 }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -16,7 +16,7 @@
 	"cobaltflow/deploy"
 )
 
-var compiled = sync.OnceValues(func() (*jsonschema.Schema, error) {
+var compiledSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(deploy.Schema))
 	if err != nil {
 		return nil, err
@@ -29,25 +29,25 @@
 })
 
 // oldKeys are those that stood at the top of deploy/faktory.json, when the front had a file of its own.
-var oldKeys = []string{"listen", "password", "queue", "jobtypes", "beat_s", "max_sessions", "kept_jobs"}
+var movedKeys = []string{"listen", "password", "queue", "jobtypes", "beat_s", "max_sessions", "kept_jobs"}
 
 // validate holds a text of the project's own file to the schema. The first fault is given, by its key.
 func validate(text []byte) error {
 	var top map[string]json.RawMessage
 	if json.Unmarshal(text, &top) == nil {
-		for _, key := range oldKeys {
+		for _, key := range movedKeys {
 			if _, old := top[key]; old {
-				return fault(key, `the keys of deploy/faktory.json now stand in the section "faktory" of deploy/cobaltflow.json`)
+				return newError(key, `the keys of deploy/faktory.json now stand in the section "faktory" of deploy/cobaltflow.json`)
 			}
 		}
 	}
-	schema, err := compiled()
+	schema, err := compiledSchema()
 	if err != nil {
 		return err
 	}
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		return fault("config", "%v", err)
+		return newError("config", "%v", err)
 	}
 	var bad *jsonschema.ValidationError
 	if err := schema.Validate(doc); errors.As(err, &bad) {
@@ -65,7 +65,7 @@
 		if len(place) == 0 {
 			place = []string{"config"}
 		}
-		return fault(strings.Join(place, "."), "%s", text)
+		return newError(strings.Join(place, "."), "%s", text)
 	} else if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
--- a/internal/core/ownership.go
+++ b/internal/core/ownership.go
@@ -30,7 +30,7 @@
 // AnnounceLeaving notifies the other schedulers that this one is ending, so that they take its workers over.
 func (c *Core) AnnounceLeaving() {
 	if c.mainPool.share != nil {
-		c.mainPool.share.table.Leave()
+		c.mainPool.share.table.AnnounceLeaving()
 	}
 }
 
@@ -45,11 +45,11 @@
 // Ownership returns how the workers are divided, and false if they are not.
 func (c *Core) Ownership() (OwnershipStats, bool) {
 	s := c.mainPool.share
-	if s == nil || !s.table.Divided() {
+	if s == nil || !s.table.IsDivided() {
 		return OwnershipStats{}, false
 	}
-	held, total := s.table.Held()
-	return OwnershipStats{LiveSchedulers: s.table.Live(), HeldWorkers: held, TotalWorkers: total, Span: s.table.Span(),
+	held, total := s.table.ShareSize()
+	return OwnershipStats{LiveSchedulers: s.table.LiveMembers(), HeldWorkers: held, TotalWorkers: total, Span: s.table.Span(),
 		Weight: s.table.Weight()}, true
 }
 
@@ -57,7 +57,7 @@
 func (s *workerShare) turn() {
 	c := s.core
 	utilization := 0.0
-	if s.table.Divided() {
+	if s.table.IsDivided() {
 		utilization = c.mainPool.dispatcher.Utilization(c.Loop.now)
 	}
 	next := s.table.Turn(c.Loop.now, utilization)
@@ -75,9 +75,9 @@
 	if s == nil {
 		return entries
 	}
-	s.table.Listed(p.core.Loop.now, s.toUpdate(full, entries))
-	if n := s.table.LeftOut(); n > s.loggedLeftOut {
-		p.core.Log.Warn("ownership: too many workers; the last ones get no jobs", "left_out", n, "most", ownership.MostWorkers)
+	s.table.UpdateWorkers(p.core.Loop.now, s.toUpdate(full, entries))
+	if n := s.table.OmittedWorkers(); n > s.loggedLeftOut {
+		p.core.Log.Warn("ownership: too many workers; the last ones get no jobs", "left_out", n, "most", ownership.MaxWorkers)
 		s.loggedLeftOut = n
 	}
 	owned := entries[:0]
@@ -95,7 +95,7 @@
 
 // toUpdate returns the part of a list that concerns the workers divided among the schedulers.
 func (s *workerShare) toUpdate(full bool, entries []rules.ListEntry) ownership.Update {
-	u := ownership.Update{Whole: full}
+	u := ownership.Update{IsSnapshot: full}
 	for _, e := range entries {
 		switch name := string(e.Worker); {
 		case e.State == rules.Gone:
@@ -119,18 +119,18 @@
 
 // owns returns whether the pool's Dispatcher may use a listed worker.
 func (p *Pool) owns(worker string) bool {
-	return p.share == nil || !p.share.isShared(worker) || p.share.table.Holds(worker)
+	return p.share == nil || !p.share.isShared(worker) || p.share.table.InShare(worker)
 }
 
 // Enter implements ownership.Actions: the worker joins the share.
-func (s *workerShare) Enter(worker string) {
+func (s *workerShare) AcquireWorker(worker string) {
 	if entry := s.core.mainPool.list.workers[worker]; entry != nil {
 		s.changes = append(s.changes, entry.entry())
 	}
 }
 
 // Leave implements ownership.Actions: the worker leaves the share, and its running jobs go on.
-func (s *workerShare) Leave(worker string) {
+func (s *workerShare) ReleaseWorker(worker string) {
 	if entry := s.core.mainPool.list.workers[worker]; entry != nil {
 		e := entry.entry()
 		e.State = rules.Gone
@@ -139,17 +139,17 @@
 }
 
 // Divide implements ownership.Actions: the division of a kind of workers has changed.
-func (s *workerShare) Divide(d ownership.Division) {
-	s.core.mainPool.dispatcher.SetSharing(d.Kind, d.Senders, d.Foreign)
+func (s *workerShare) SetDivision(d ownership.Division) {
+	s.core.mainPool.dispatcher.SetSharing(d.Kind, d.ColdSenders, d.ForeignLoad)
 	if d.Kind == ownership.AllKinds {
-		held, total := s.table.Held()
-		s.core.Log.Info("ownership", "divided", d.Divided, "held", held, "workers", total, "schedulers", s.table.Live(),
+		held, total := s.table.ShareSize()
+		s.core.Log.Info("ownership", "divided", d.IsDivided, "held", held, "workers", total, "schedulers", s.table.LiveMembers(),
 			"span", s.table.Span())
 	}
 }
 
 // Member implements ownership.Actions: another scheduler is considered dead, or alive again.
-func (s *workerShare) Member(rank int, alive bool) {
+func (s *workerShare) MemberChanged(rank int, alive bool) {
 	s.core.Log.Info("ownership: scheduler lost or back", "rank", rank, "alive", alive)
 }
 
@@ -167,6 +167,6 @@
 	if s == nil || err != nil {
 		return err == nil
 	}
-	s.table.Heard(s.core.Loop.now, from, h)
+	s.table.HandleHeartbeat(s.core.Loop.now, from, h)
 	return true
 }
--- a/internal/core/ownership_test.go
+++ b/internal/core/ownership_test.go
@@ -21,7 +21,7 @@
 func newDividedCore(t *testing.T, s *discovered) (*Core, []ListedWorker) {
 	t.Helper()
 	c := newCore(t, &s.stub)
-	c.EnableOwnership(ownership.Settings{Self: 0, Members: 2, Zone: ownership.AnyZone, LeastShare: 100, Heartbeats: true})
+	c.EnableOwnership(ownership.Settings{Rank: 0, Members: 2, Zone: ownership.UnknownZone, MinShare: 100, UsesHeartbeats: true})
 	var list []ListedWorker
 	for i := range dividedWorkers {
 		list = append(list, ListedWorker{Name: fmt.Sprintf("worker-%03d", i), Weight: 1})
@@ -53,7 +53,7 @@
 	}
 	require.Len(t, s.sent, 300)
 	for _, attempt := range s.sent {
-		require.True(t, c.mainPool.share.table.Holds(attempt.Worker), "%s belongs to the other scheduler", attempt.Worker)
+		require.True(t, c.mainPool.share.table.InShare(attempt.Worker), "%s belongs to the other scheduler", attempt.Worker)
 	}
 	// Updates of all workers do not change the share.
 	for i := range list {
@@ -75,10 +75,10 @@
 	require.NoError(t, err)
 	half := c.mainPool.dispatcher.KnownWorkers()
 	require.Less(t, half, dividedWorkers)
-	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.AnyZone, Leaving: true}.Append(nil))
+	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.UnknownZone, IsLeaving: true}.Append(nil))
 	advance(c, 2*Second)
 	require.Equal(t, dividedWorkers, c.mainPool.dispatcher.KnownWorkers())
-	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.AnyZone}.Append(nil))
+	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.UnknownZone}.Append(nil))
 	advance(c, 2*Second)
 	c.mainPool.dispatcher.TimerDue(c.Loop.now, 0) // the Dispatcher forgets the workers that were given back
 	require.Equal(t, half, c.mainPool.dispatcher.KnownWorkers())
@@ -88,17 +88,17 @@
 func TestRunningJobsGoOnWhenAWorkerLeavesTheShare(t *testing.T) {
 	s := &discovered{}
 	c, _ := newDividedCore(t, s)
-	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.AnyZone, Leaving: true}.Append(nil))
+	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.UnknownZone, IsLeaving: true}.Append(nil))
 	advance(c, 2*Second)
 	for i := range 100 {
 		c.Accept(&Request{ID: fmt.Sprint("r", i), Deadline: c.Loop.now + 100*Second, Client: s})
 	}
 	c.runPendingActions()
-	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.AnyZone}.Append(nil))
+	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.UnknownZone}.Append(nil))
 	advance(c, Second+Millisecond)
 	givenBack := 0
 	for _, attempt := range s.sent {
-		if !c.mainPool.share.table.Holds(attempt.Worker) {
+		if !c.mainPool.share.table.InShare(attempt.Worker) {
 			givenBack++
 		}
 		require.True(t, c.AttemptEnded(attempt.Ref, rules.OK, nil, rules.Load{}))
@@ -116,7 +116,7 @@
 		require.True(t, c.SetWorkerDisabled(w.Name, true))
 	}
 	require.False(t, c.SetWorkerDisabled("unlisted", true))
-	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.AnyZone, Leaving: true}.Append(nil))
+	c.PeerMessage(1, ownership.Heartbeat{Zone: ownership.UnknownZone, IsLeaving: true}.Append(nil))
 	advance(c, 2*Second)
 	require.Equal(t, dividedWorkers, c.WorkersOutOfRotation(), "the workers that joined the share are disabled as well")
 }
--- a/internal/core/sites.go
+++ b/internal/core/sites.go
@@ -40,7 +40,7 @@
 // ReplyExpected reports that something is sent to a worker that it has to reply to.
 func (c *Core) ReplyExpected(worker string) {
 	if c.sites != nil {
-		c.sites.machine.Asked(c.Loop.now, worker)
+		c.sites.machine.ReplyExpected(c.Loop.now, worker)
 		c.sites.scheduleSoon()
 	}
 }
@@ -48,21 +48,21 @@
 // WorkerResponded reports a sign of life of a worker: a reply or anything else it sends.
 func (c *Core) WorkerResponded(worker string) {
 	if c.sites != nil {
-		c.sites.machine.Answered(c.Loop.now, worker)
+		c.sites.machine.WorkerResponded(c.Loop.now, worker)
 	}
 }
 
 // ConnectFailed reports that no connection to a worker could be established.
 func (c *Core) ConnectFailed(worker string) {
 	if c.sites != nil {
-		c.sites.machine.Refused(c.Loop.now, worker)
+		c.sites.machine.ConnectFailed(c.Loop.now, worker)
 	}
 }
 
 // ReplyAbandoned reports that this process no longer waits for a worker's reply, so that its absence proves nothing.
 func (c *Core) ReplyAbandoned(worker string) {
 	if c.sites != nil {
-		c.sites.machine.Dropped(worker)
+		c.sites.machine.ReplyAbandoned(worker)
 	}
 }
 
@@ -82,7 +82,7 @@
 	for i, name := range c.sites.siteNames {
 		status := SiteStatus{Name: name}
 		status.State, status.Since = c.sites.machine.State(i)
-		status.WorkersOut, status.Workers = c.sites.machine.OutOf(i)
+		status.WorkersOut, status.Workers = c.sites.machine.WorkerCounts(i)
 		list = append(list, status)
 	}
 	return list
@@ -101,7 +101,7 @@
 			members = append(members, sites.Member{Worker: name, Site: entry.Zone})
 		}
 	}
-	w.machine.Listed(w.core.Loop.now, members)
+	w.machine.UpdateWorkers(w.core.Loop.now, members)
 }
 
 // scheduleSoon moves the machine's next turn forward to at most soonTurnDelay from now: a reply is expected that may not
@@ -128,21 +128,23 @@
 }
 
 // Ask implements sites.Actions: it probes a worker.
-func (w *siteWatch) Ask(worker string) { (actions{w.core.mainPool}).Probe(rules.WorkerID(worker)) }
+func (w *siteWatch) ProbeWorker(worker string) {
+	(actions{w.core.mainPool}).Probe(rules.WorkerID(worker))
+}
 
 // Changed implements sites.Actions: it logs the change of a site's state.
-func (w *siteWatch) Changed(site int, from, to sites.State) {
+func (w *siteWatch) StateChanged(site int, from, to sites.State) {
 	if from == sites.Suspect && to == sites.Whole || to == sites.Suspect {
 		return // single late replies are frequent; only a change that has consequences is logged
 	}
-	out, all := w.machine.OutOf(site)
+	out, all := w.machine.WorkerCounts(site)
 	w.core.Log.Warn("site", "name", w.siteNames[site], "state", to.String(), "was", from.String(),
 		"workers_out", out, "workers", all)
 }
 
 // Out implements sites.Actions: a silent worker gets no new jobs, and its attempts that may be retried are queued for
 // retryStranded.
-func (w *siteWatch) Out(worker string, siteLost bool) {
+func (w *siteWatch) DisableWorker(worker string, siteLost bool) {
 	c := w.core
 	c.mainPool.dispatcher.SetDisabled(c.Loop.now, rules.WorkerID(worker), rules.BySites, true)
 	if !siteLost {
@@ -163,7 +165,7 @@
 // Back implements sites.Actions: the worker gets jobs again. One that was away with its whole site may have been
 // restarted before the worker list shows it: if it is to be treated as cold, its start time is set to now, so that all
 // schedulers keep to its slow-start budget.
-func (w *siteWatch) Back(worker string, cold bool) {
+func (w *siteWatch) EnableWorker(worker string, cold bool) {
 	c := w.core
 	if entry := c.mainPool.list.workers[worker]; entry != nil && cold &&
 		entry.StartedAt < c.Loop.now-c.settings.SlowStartWindow {
@@ -183,7 +185,7 @@
 	c := w.core
 	waiting := w.stranded[:0]
 	for _, ref := range w.stranded {
-		if attempt, inFlight := c.attempts.Get(ref); inFlight && !attempt.Request.closed && w.machine.Out(attempt.Worker) {
+		if attempt, inFlight := c.attempts.Get(ref); inFlight && !attempt.Request.closed && w.machine.IsDisabled(attempt.Worker) {
 			waiting = append(waiting, ref)
 		}
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -74,7 +74,7 @@
 		tables = append(tables, worker)
 		entries = append(entries, config.KnownWorker{Name: fmt.Sprint("table-", i), Address: worker.Address()})
 	}
-	if err := conf.Know(entries); err != nil {
+	if err := conf.SetKnownWorkers(entries); err != nil {
 		return err
 	}
 	g := gateway.New(conf, o.Log)
--- a/internal/describe/describe.go
+++ b/internal/describe/describe.go
@@ -27,7 +27,7 @@
 )
 
 // Check validates a description, in YAML or JSON, and tells which kind it is.
-func Check(text []byte) (kind string, err error) {
+func Validate(text []byte) (kind string, err error) {
 	var head struct {
 		OpenAPI  string `yaml:"openapi"`
 		AsyncAPI string `yaml:"asyncapi"`
@@ -55,23 +55,23 @@
 // checkAsyncAPI holds the document to the schema of its structure, resolves its references and compiles
 // the schemas of its messages.
 func checkAsyncAPI(text []byte) error {
-	doc, err := tree(text)
+	doc, err := decode(text)
 	if err != nil {
 		return err
 	}
-	schema, err := compile(asyncSchema, "")
+	schema, err := compileSchema(asyncSchema, "")
 	if err != nil {
 		return err
 	}
 	if err := schema.Validate(doc); err != nil {
 		return err
 	}
-	if err := references(doc, doc, "#"); err != nil {
+	if err := checkReferences(doc, doc, "#"); err != nil {
 		return err
 	}
-	messages, _ := at(doc, "#/components/messages").(map[string]any)
+	messages, _ := resolve(doc, "#/components/messages").(map[string]any)
 	for name := range messages {
-		if _, err := Payload(text, name); err != nil {
+		if _, err := PayloadSchema(text, name); err != nil {
 			return fmt.Errorf("components.messages.%s: %w", name, err)
 		}
 	}
@@ -79,23 +79,23 @@
 }
 
 // Payload gives the schema of a message's payload; nil where it has none.
-func Payload(text []byte, message string) (*jsonschema.Schema, error) {
-	doc, err := tree(text)
+func PayloadSchema(text []byte, message string) (*jsonschema.Schema, error) {
+	doc, err := decode(text)
 	if err != nil {
 		return nil, err
 	}
 	place := "#/components/messages/" + message + "/payload"
-	if at(doc, place) == nil {
+	if resolve(doc, place) == nil {
 		return nil, nil
 	}
 	whole, err := json.Marshal(doc)
 	if err != nil {
 		return nil, err
 	}
-	return compile(whole, place)
+	return compileSchema(whole, place)
 }
 
-func compile(text []byte, place string) (*jsonschema.Schema, error) {
+func compileSchema(text []byte, place string) (*jsonschema.Schema, error) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 	return c.Compile("document.json" + place)
 }
 
-func tree(text []byte) (any, error) {
+func decode(text []byte) (any, error) {
 	var doc any
 	if err := yaml.Unmarshal(text, &doc); err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 }
 
 // at follows a reference within the document.
-func at(doc any, ref string) any {
+func resolve(doc any, ref string) any {
 	for part := range strings.SplitSeq(strings.TrimPrefix(ref, "#/"), "/") {
 		m, ok := doc.(map[string]any)
 		if !ok {
@@ -131,20 +131,20 @@
 	return doc
 }
 
-func references(doc, node any, path string) error {
+func checkReferences(doc, node any, path string) error {
 	switch node := node.(type) {
 	case map[string]any:
-		if ref, ok := node["$ref"].(string); ok && at(doc, ref) == nil {
+		if ref, ok := node["$ref"].(string); ok && resolve(doc, ref) == nil {
 			return fmt.Errorf("%s: %s names nothing", path, ref)
 		}
 		for key, item := range node {
-			if err := references(doc, item, path+"/"+key); err != nil {
+			if err := checkReferences(doc, item, path+"/"+key); err != nil {
 				return err
 			}
 		}
 	case []any:
 		for i, item := range node {
-			if err := references(doc, item, fmt.Sprintf("%s/%d", path, i)); err != nil {
+			if err := checkReferences(doc, item, fmt.Sprintf("%s/%d", path, i)); err != nil {
 				return err
 			}
 		}
--- a/internal/describe/describe_test.go
+++ b/internal/describe/describe_test.go
@@ -34,7 +34,7 @@
 		{"dangling", "asyncapi: 3.0.0\ninfo: {title: a, version: b}\noperations: {x: {action: send, channel: {$ref: '#/channels/x'}}}", "names nothing"},
 		{"payload", "asyncapi: 3.0.0\ninfo: {title: a, version: b}\ncomponents: {messages: {m: {payload: {type: 7}}}}", "components.messages.m"},
 	} {
-		_, err := describe.Check([]byte(c.text))
+		_, err := describe.Validate([]byte(c.text))
 		if c.fault == "" {
 			assert.NoError(t, err, c.name)
 		} else {
@@ -102,7 +102,7 @@
 
 	fits := func(message, text string) {
 		t.Helper()
-		schema, err := describe.Payload(describe.AsyncAPI, message)
+		schema, err := describe.PayloadSchema(describe.AsyncAPI, message)
 		require.NoError(t, err)
 		v, err := jsonschema.UnmarshalJSON(bytes.NewReader([]byte(text)))
 		require.NoError(t, err, text)
--- a/internal/faktory/faktory_test.go
+++ b/internal/faktory/faktory_test.go
@@ -144,7 +144,7 @@
 		"beats missed":    func(*standin.Node, *standin.Faktory) {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := start(t, func(c *config.Config) { c.Faktory.BeatWithin = 2.5 })
+			n := start(t, func(c *config.Config) { c.Faktory.HeartbeatTimeoutS = 2.5 })
 			w, got := joined(n, "w-1")
 			c := session(n, "")
 			require.Equal(t, "OK", c.Push("job-0001", "settle", 20000))
--- a/internal/faktory/front.go
+++ b/internal/faktory/front.go
@@ -85,11 +85,11 @@
 	set := jobs.Settings{Reserve: core.Time(k.ReserveS) * core.Second, MaxHeld: k.MaxHeldJobs, MaxHeldBytes: k.MaxHeldMB << 20,
 		MaxQueue: k.MaxQueueJobs, MaxClient: k.MaxClientJobs, MaxClientBytes: k.MaxClientMB << 20, MaxScheduled: k.MaxScheduled,
 		MaxRetries: k.MaxRetries, MaxQueues: k.MaxQueues, MaxDead: k.MaxDead, MaxDeadBytes: k.MaxDeadMB << 20,
-		MaxEnded: k.KeptJobs, MaxEndedBytes: k.KeptMB << 20, TableWindow: k.TableWindow}
+		MaxEnded: k.MaxEndedJobs, MaxEndedBytes: k.MaxEndedMB << 20, TableWindow: k.TableWindow}
 	for i := range conf.Names.Classes {
 		set.Repeatable = append(set.Repeatable, conf.Settings.Classes[i].Effect == rules.Repeatable)
 	}
-	f.jobs = jobs.New(set, mathrand.New(mathrand.NewPCG(conf.Seed, 0x6661_6b74_6f72_79)), host{f}, k.RunsAtTables)
+	f.jobs = jobs.New(set, mathrand.New(mathrand.NewPCG(conf.Seed, 0x6661_6b74_6f72_79)), host{f}, k.UsesTableWorkers)
 	c.OnWorkerList = func() { f.jobs.Tables(f.loop.Now(), c.MainPool().HasReadyWorker(f)) }
 	return f
 }
@@ -234,7 +234,7 @@
 // worker.
 func (f *Front) sweep() {
 	now := f.loop.Now()
-	limit := now - f.conf.Faktory.Beat()
+	limit := now - f.conf.Faktory.HeartbeatTimeout()
 	for _, w := range f.workers {
 		if w.beat < limit {
 			f.log.Warn("faktory: a worker missed its beats", "wid", w.wid)
@@ -263,7 +263,7 @@
 // pool gives the pool of a queue: the main one where the table workers run its jobs too, or it is where jobs of
 // the HTTP front are handed out, else one of its own.
 func (f *Front) pool(queue string) *core.Pool {
-	if queue == f.conf.Faktory.Queue || f.conf.Faktory.RunsAtTables(queue) {
+	if queue == f.conf.Faktory.Queue || f.conf.Faktory.UsesTableWorkers(queue) {
 		return f.core.MainPool()
 	}
 	p := f.pools[queue]
--- a/internal/faktory/host.go
+++ b/internal/faktory/host.go
@@ -26,7 +26,7 @@
 	f := h.f
 	t := &core.Request{ID: j.ID, Deadline: j.Deadline(), Slots: j.Slots, Hint: j.Hint, Pool: f.pool(j.Queue), AtMostOnce: true,
 		Job: core.Job{Class: int(j.Class), Tenant: int(j.Tenant), Target: f.target(j), Key: j.Key}}
-	if f.conf.Faktory.RunsAtTables(j.Queue) {
+	if f.conf.Faktory.UsesTableWorkers(j.Queue) {
 		t.Job.Body = argsOf(j)
 	}
 	if worker != "" {
--- a/internal/faktory/operate.go
+++ b/internal/faktory/operate.go
@@ -293,7 +293,7 @@
 		"cobaltflow": map[string]any{
 			"held": n.Held, "max_held_jobs": k.MaxHeldJobs, "held_bytes": n.HeldBytes, "max_held_bytes": k.MaxHeldMB << 20,
 			"scheduled": n.Scheduled, "max_scheduled": k.MaxScheduled, "retries": n.Retries, "max_retries": k.MaxRetries,
-			"dead": n.Dead, "max_dead": k.MaxDead, "dead_forgotten": t.DeadForgotten, "ended": n.Ended, "kept_jobs": k.KeptJobs,
+			"dead": n.Dead, "max_dead": k.MaxDead, "dead_forgotten": t.DeadForgotten, "ended": n.Ended, "kept_jobs": k.MaxEndedJobs,
 			"ended_forgotten": t.EndedForgotten, "locks": n.Locks, "clients": n.Clients, "input_bytes": f.input.Load(),
 			"max_input_bytes": f.inputMost, "served": t.Served, "refused": t.Refused, "failed": t.Failed, "died": t.Dead,
 			"retried": t.Retried, "turned_away": turned, "paused": paused, "latency_s": latency, "workers": workers,
--- a/internal/faktory/payload.go
+++ b/internal/faktory/payload.go
@@ -113,7 +113,7 @@
 		optionsOf(p).Tenant = int32(p.f.conf.Names.Tenant([]byte(v.Str)))
 		return nil
 	}},
-	"hint_us": wholeField(1, int64(admission.LongestHint), func(p *parsing, n int64) { optionsOf(p).Hint = n }),
+	"hint_us": wholeField(1, int64(admission.MaxHint), func(p *parsing, n int64) { optionsOf(p).Hint = n }),
 	"slots": {"number", func(p *parsing, v gjson.Result) error {
 		if optionsOf(p).Slots = v.Num; v.Num < 0 || v.Num > 1e6 {
 			return errors.New("0 to 1000000 are possible")
--- a/internal/front/admin/admin_test.go
+++ b/internal/front/admin/admin_test.go
@@ -25,7 +25,7 @@
 
 func startAt(t *testing.T, tmp, listen string, workers ...*standin.Worker) *standin.Node {
 	return standin.Start(t, func(c *config.Config) {
-		c.Admin, c.Listen, c.StateFolder = "127.0.0.1:0", listen, tmp
+		c.Admin, c.Listen, c.StateDir = "127.0.0.1:0", listen, tmp
 	}, workers...)
 }
 
--- a/internal/front/admission/admission_test.go
+++ b/internal/front/admission/admission_test.go
@@ -21,7 +21,7 @@
 func (client) Released(*core.Request)            {}
 
 // names reads a platform's file with two tenants, as a scheduler does at its start.
-func names(t *testing.T) *config.Names {
+func loadNames(t *testing.T) *config.Names {
 	text, err := json.Marshal(map[string]any{"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2",
 		"settings": map[string]any{"classes": []any{map[string]any{"name": "foglalás", "deadlineUs": 5_000_000}},
 			"tenants": []any{map[string]any{"name": "agyag-ház", "quotaRps": 3}, map[string]any{"name": "kék, kancsó", "quotaRps": 2}}}})
@@ -35,7 +35,7 @@
 
 func TestTenantAndHintOfARequest(t *testing.T) {
 	c := core.New(core.NewLoop(), rules.Settings{Classes: []rules.Class{{Deadline: 5_000_000, Kind: -1}}}, 1, slog.New(slog.DiscardHandler))
-	controller := NewController(c, names(t))
+	controller := NewController(c, loadNames(t))
 	for id, v := range map[string]struct {
 		headers map[string][]string
 		tenant  int
@@ -67,7 +67,7 @@
 func TestRetryAfterFollowsTheSettings(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		c := core.New(core.NewLoop(), rules.Settings{RetryAfter: told}, 1, slog.New(slog.DiscardHandler))
-		r := NewController(c, names(t)).ReplyTo(core.Answer{Kind: core.Refused, RetryAfter: 1_500_000})
+		r := NewController(c, loadNames(t)).ReplyTo(core.Answer{Kind: core.Refused, RetryAfter: 1_500_000})
 		assert.Equal(t, 503, r.Status)
 		assert.Equal(t, map[bool]string{true: "1.500"}[told], r.RetryAfter)
 	}
--- a/internal/front/http2/flow_test.go
+++ b/internal/front/http2/flow_test.go
@@ -25,7 +25,7 @@
 		rw.WriteHeader(202)
 		go w.Call(id, "done", map[string]any{"result": strings.Repeat("r", 20_000)})
 	})
-	n := start(t, func(c *config.Config) { c.HTTP2.StallMS, c.HTTP2.MaxUnsentKB = 400, 64 }, large)
+	n := start(t, func(c *config.Config) { c.HTTP2.StallTimeoutMS, c.HTTP2.MaxUnsentKB = 400, 64 }, large)
 	slow := dial(n, xhttp2.Setting{ID: xhttp2.SettingInitialWindowSize, Val: 1000})
 	for i := range 8 {
 		slow.post("move", fmt.Sprint("slow-", i), 9000, true)
@@ -74,7 +74,7 @@
 
 // Each kind of flood ends its connection with its reason, and a usual client is served all the while.
 func TestFloods(t *testing.T) {
-	n := start(t, func(c *config.Config) { c.HTTP2.SettingsMS, c.HTTP2.MaxStreams = 500, 16 }, standin.NewWorker(t, "s-1", nil))
+	n := start(t, func(c *config.Config) { c.HTTP2.SettingsTimeoutMS, c.HTTP2.MaxStreams = 500, 16 }, standin.NewWorker(t, "s-1", nil))
 	c := client(n)
 	for reason, flood := range map[string]func(r *raw) error{
 		"reset-flood": func(r *raw) error {
--- a/internal/front/http2/front.go
+++ b/internal/front/http2/front.go
@@ -55,10 +55,10 @@
 func New(c *core.Core, conf *config.Config, controller *admission.Controller, log *slog.Logger) *Front {
 	k := &conf.HTTP2
 	return &Front{loop: c.Loop, core: c, conf: conf, log: log, admission: controller, Figures: Figures{Ended: map[string]uint64{}},
-		ledger: admission.NewLedger(k.KeptJobs, k.KeptMB<<20, core.Time(k.KeptS*float64(core.Second))),
+		ledger: admission.NewLedger(k.MaxEndedJobs, k.MaxEndedMB<<20, core.Time(k.EndedRetentionS*float64(core.Second))),
 		limits: Limits{Connections: k.MaxConnections, Streams: k.MaxStreams, HeaderList: k.MaxHeaderKB << 10, HeaderTable: k.HeaderTableBytes,
-			HeaderFrames: 16, Unsent: k.MaxUnsentKB << 10, BodyBytes: k.MaxBodyKB << 10, Stall: core.Time(k.StallMS) * core.Millisecond,
-			Settings: core.Time(k.SettingsMS) * core.Millisecond, Idle: core.Time(k.IdleS) * core.Second, Drain: core.Second,
+			HeaderFrames: 16, Unsent: k.MaxUnsentKB << 10, BodyBytes: k.MaxBodyKB << 10, Stall: core.Time(k.StallTimeoutMS) * core.Millisecond,
+			Settings: core.Time(k.SettingsTimeoutMS) * core.Millisecond, Idle: core.Time(k.IdleTimeoutS) * core.Second, Drain: core.Second,
 			ResetsPerS: float64(k.ResetsPerS), ControlPerS: float64(k.ControlPerS), EmptyPerS: float64(k.EmptyPerS)}}
 }
 
--- a/internal/front/http2/stream.go
+++ b/internal/front/http2/stream.go
@@ -85,7 +85,7 @@
 		return
 	}
 	t, fault := f.admission.Admit(&admission.Request{Method: h.method, Target: h.path, Path: path, Body: s.body, Header: h.get,
-		Fields: func(b []byte) []byte {
+		HeaderFields: func(b []byte) []byte {
 			for _, field := range h.fields {
 				b = admission.AppendField(b, field.Name, field.Value, "")
 			}
@@ -157,7 +157,7 @@
 
 // Released implements core.UserAgent.
 func (s *stream) Released(t *core.Request) {
-	s.conn.front.admission.Released(t)
+	s.conn.front.admission.RememberID(t)
 	s.job, s.body = nil, nil
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,11 +39,11 @@
 func New(conf *config.Config, log *slog.Logger) *Gateway {
 	g := &Gateway{Conf: conf, Loop: core.NewLoop(), log: log}
 	settings := conf.Settings
-	if conf.Faktory.On() {
+	if conf.Faktory.IsEnabled() {
 		settings = core.WithAtMostOnceClasses(settings)
 	}
 	g.Core = core.New(g.Loop, settings, conf.Seed, log)
-	if conf.Sites.Plan {
+	if conf.Sites.FailoverEnabled {
 		g.Core.WatchSites(conf.Sites.Settings(&conf.Settings), conf.Names.Zones, conf.Seed)
 	}
 	if conf.Ownership != nil {
@@ -51,10 +51,10 @@
 	}
 	controller := admission.NewController(g.Core, &conf.Names)
 	g.Front = platform.New(g.Core, conf, controller, log)
-	if conf.HTTP2.On() {
+	if conf.HTTP2.IsEnabled() {
 		g.HTTP2 = http2.New(g.Core, conf, controller, log)
 	}
-	if conf.Faktory.On() {
+	if conf.Faktory.IsEnabled() {
 		g.Faktory = faktory.New(g.Core, conf, log)
 	}
 	return g
@@ -62,7 +62,7 @@
 
 // Start opens the listeners. It must be called before Run. If an address cannot be used, the error names its settings key.
 func (g *Gateway) Start() error {
-	for _, note := range g.Conf.Notes {
+	for _, note := range g.Conf.Warnings {
 		g.log.Info("configuration", "note", note)
 	}
 	g.directives = openDirectives(g.Conf, g.Core, g.Front, g.log)
--- a/internal/gateway/statefile.go
+++ b/internal/gateway/statefile.go
@@ -28,7 +28,7 @@
 	if strings.HasSuffix(conf.Listen, ":0") {
 		suffix += "-" + strconv.Itoa(os.Getpid())
 	}
-	folder := conf.StateFolder
+	folder := conf.StateDir
 	if folder == "" {
 		folder = os.TempDir()
 	}
--- a/internal/ownership/api.go
+++ b/internal/ownership/api.go
@@ -40,7 +40,7 @@
 )
 
 // AnyZone is the zone of a member of which none is known.
-const AnyZone = -1
+const UnknownZone = -1
 
 // Worker is what has to be known of a worker to find its owner.
 type Worker struct {
@@ -52,21 +52,21 @@
 
 // Settings are given once, at the start. A zero value stands for the default noted.
 type Settings struct {
-	Self    int // the rank of this scheduler, from 0 to Members-1
+	Rank    int // the rank of this scheduler, from 0 to Members-1
 	Members int
 	Zone    int // this scheduler's own; AnyZone: none
 	// LeastShare is the number of workers of one kind for each member from which on the kind is divided. Fewer are
 	// known whole to all members. 0: 256.
-	LeastShare int
+	MinShare int
 	// Heartbeats tells that members may send one another messages.
-	Heartbeats bool
+	UsesHeartbeats bool
 	// NearFirst tells that a job at a worker of another zone has a price: members of a worker's zone come first.
-	NearFirst      bool
-	HeartbeatEvery Time // 0: 2 s
-	ExpireAfter    Time // 0: 3.5 times HeartbeatEvery
-	AdjustEvery    Time // the span is looked at this often, and the share brought up to date within it; 0: 1 s
+	PrefersOwnZone    bool
+	HeartbeatInterval Time // 0: 2 s
+	ExpireAfter       Time // 0: 3.5 times HeartbeatEvery
+	AdjustInterval    Time // the span is looked at this often, and the share brought up to date within it; 0: 1 s
 	// ColdFor is how long after its start a worker counts as cold. A cold worker is its owner's alone. 0: 30 s.
-	ColdFor Time
+	SlowStartWindow Time
 	// GrowAbove and ShrinkBelow are the parts of the share's slots that are taken by this scheduler's own jobs at
 	// which the span grows and shrinks. 0: 0.95 and 0.85.
 	GrowAbove, ShrinkBelow float64
@@ -74,49 +74,49 @@
 
 // Sizes and bounds.
 const (
-	MostMembers = 4096    // a setting over it is refused
-	MostWorkers = 500_000 // workers beyond are not divided: their names are left out and counted
+	MaxMembers = 4096    // a setting over it is refused
+	MaxWorkers = 500_000 // workers beyond are not divided: their names are left out and counted
 
-	defaultLeastShare = 256
-	defaultHeartbeat  = 2 * Second
-	defaultAdjust     = Second
-	defaultColdFor    = 30 * Second
-	defaultGrow       = 0.95
-	defaultShrink     = 0.85
+	defaultMinShare          = 256
+	defaultHeartbeatInterval = 2 * Second
+	defaultAdjustInterval    = Second
+	defaultSlowStartWindow   = 30 * Second
+	defaultGrowAbove         = 0.95
+	defaultShrinkBelow       = 0.85
 )
 
 // Errors of the settings.
 var (
-	ErrMembers = errors.New("the number of members is out of range")
-	ErrSelf    = errors.New("the own rank is not among the members")
-	ErrSpan    = errors.New("the thresholds of the span are out of order")
-	ErrExpire  = errors.New("a member would expire between two heartbeats")
+	ErrMembers    = errors.New("the number of members is out of range")
+	ErrRank       = errors.New("the own rank is not among the members")
+	ErrThresholds = errors.New("the thresholds of the span are out of order")
+	ErrExpiry     = errors.New("a member would expire between two heartbeats")
 )
 
 // Check tells what is wrong with the settings; nil: nothing.
 func (s Settings) Check() error {
 	s = s.withDefaults()
 	switch {
-	case s.Members < 1 || s.Members > MostMembers:
-		return fmt.Errorf("%w: %d is not from 1 to %d", ErrMembers, s.Members, MostMembers)
-	case s.Self < 0 || s.Self >= s.Members:
-		return fmt.Errorf("%w: %d is not from 0 to %d", ErrSelf, s.Self, s.Members-1)
+	case s.Members < 1 || s.Members > MaxMembers:
+		return fmt.Errorf("%w: %d is not from 1 to %d", ErrMembers, s.Members, MaxMembers)
+	case s.Rank < 0 || s.Rank >= s.Members:
+		return fmt.Errorf("%w: %d is not from 0 to %d", ErrRank, s.Rank, s.Members-1)
 	case !(0 < s.ShrinkBelow && s.ShrinkBelow < s.GrowAbove && s.GrowAbove <= 1):
-		return fmt.Errorf("%w: 0 < %g < %g <= 1 does not hold", ErrSpan, s.ShrinkBelow, s.GrowAbove)
-	case s.ExpireAfter <= s.HeartbeatEvery:
-		return fmt.Errorf("%w: %d us is not over %d us", ErrExpire, s.ExpireAfter, s.HeartbeatEvery)
+		return fmt.Errorf("%w: 0 < %g < %g <= 1 does not hold", ErrThresholds, s.ShrinkBelow, s.GrowAbove)
+	case s.ExpireAfter <= s.HeartbeatInterval:
+		return fmt.Errorf("%w: %d us is not over %d us", ErrExpiry, s.ExpireAfter, s.HeartbeatInterval)
 	}
 	return nil
 }
 
 func (s Settings) withDefaults() Settings {
-	setDefault(&s.LeastShare, defaultLeastShare)
-	setDefault(&s.HeartbeatEvery, defaultHeartbeat)
-	setDefault(&s.ExpireAfter, 7*s.HeartbeatEvery/2)
-	setDefault(&s.AdjustEvery, defaultAdjust)
-	setDefault(&s.ColdFor, defaultColdFor)
-	setDefault(&s.GrowAbove, defaultGrow)
-	setDefault(&s.ShrinkBelow, defaultShrink)
+	setDefault(&s.MinShare, defaultMinShare)
+	setDefault(&s.HeartbeatInterval, defaultHeartbeatInterval)
+	setDefault(&s.ExpireAfter, 7*s.HeartbeatInterval/2)
+	setDefault(&s.AdjustInterval, defaultAdjustInterval)
+	setDefault(&s.SlowStartWindow, defaultSlowStartWindow)
+	setDefault(&s.GrowAbove, defaultGrowAbove)
+	setDefault(&s.ShrinkBelow, defaultShrinkBelow)
 	return s
 }
 
@@ -128,32 +128,32 @@
 
 // Update is news of the workers.
 type Update struct {
-	Whole   bool // these are all workers there are
-	Listed  []Worker
-	Removed []string
+	IsSnapshot bool // these are all workers there are
+	Listed     []Worker
+	Removed    []string
 }
 
 // Actions is what a Table asks of its host.
 type Actions interface {
 	// Enter tells that the scheduler may send to the worker from now on.
-	Enter(worker string)
+	AcquireWorker(worker string)
 	// Leave tells that it sends nothing new there. What is in hand there goes on.
-	Leave(worker string)
+	ReleaseWorker(worker string)
 	// Divide tells how the workers of a kind are divided from now on. Before the first call they are not.
-	Divide(d Division)
+	SetDivision(d Division)
 	// Member tells that a member was taken for dead, or is back.
-	Member(rank int, alive bool)
+	MemberChanged(rank int, alive bool)
 	// Broadcast sends a heartbeat to all other members. It may be lost.
 	Broadcast(h Heartbeat)
 }
 
 // Division tells how the workers of one kind are divided at present.
 type Division struct {
-	Kind    int // AllKinds: what holds for a job that any kind may run
-	Divided bool
+	Kind      int // AllKinds: what holds for a job that any kind may run
+	IsDivided bool
 	// Senders is the number of schedulers that may send to a cold worker of the share at once, while views of the
 	// membership differ.
-	Senders int
+	ColdSenders int
 	// Foreign is the part of the load on the share's workers that may be other schedulers', from 0 to 1.
-	Foreign float64
+	ForeignLoad float64
 }
--- a/internal/ownership/hash.go
+++ b/internal/ownership/hash.go
@@ -16,7 +16,7 @@
 }
 
 // fraction is a number from 0 to under 1, drawn for a pair and independent of its hash in the other order.
-func fraction(worker, member uint64) float64 {
+func pairFraction(worker, member uint64) float64 {
 	return float64(pairHash(worker, member)>>11) / (1 << 53)
 }
 
@@ -41,21 +41,21 @@
 }()
 
 // place is a member's in the order of a worker: the greater score comes first, then the greater hash.
-type place struct {
+type priority struct {
 	score float64
 	hash  uint64
 }
 
-func (p place) before(other place) bool {
+func (p priority) precedes(other priority) bool {
 	return p.score > other.score || p.score == other.score && p.hash > other.hash
 }
 
 // placeOf gives a member's place for a worker. Near is what a member of the worker's zone has more.
-func placeOf(m *member, worker uint64, zone int, near float64) place {
+func priorityOf(m *member, worker uint64, zone int, near float64) priority {
 	hash := pairHash(m.hash, worker)
-	score := m.applied + float64(gumbel[hash>>(64-gumbelBits)])
-	if m.zone != AnyZone && m.zone == zone {
+	score := m.appliedWeight + float64(gumbel[hash>>(64-gumbelBits)])
+	if m.zone != UnknownZone && m.zone == zone {
 		score += near
 	}
-	return place{score, hash}
+	return priority{score, hash}
 }
--- a/internal/ownership/members.go
+++ b/internal/ownership/members.go
@@ -4,12 +4,12 @@
 
 // members is the membership as one scheduler sees it.
 type members struct {
-	set     *Settings
-	each    []member
-	live    int
-	turned  Time
-	settled Time // from then on the membership is believed, and cold workers are taken on
-	nextAt  Time // of the next heartbeat
+	cfg           *Settings
+	byRank        []member
+	liveCount     int
+	lastTurn      Time
+	settledAt     Time // from then on the membership is believed, and cold workers are taken on
+	nextHeartbeat Time // of the next heartbeat
 	// epoch counts the changes of who is alive and in which zone. Each may change the order of any worker.
 	epoch int
 	// drift is how far two members' places may have moved against each other by weights, at most, since the start.
@@ -17,72 +17,72 @@
 }
 
 type member struct {
-	hash     uint64
-	zone     int
-	alive    bool
-	known    bool // a heartbeat of it came
-	heard    Time
-	weight   float64 // natural logarithm of its weight in rendezvous hashing
-	applied  float64 // the weight by which workers are ordered in the present round
-	occupied float64
+	hash          uint64
+	zone          int
+	isAlive       bool
+	hasHeartbeat  bool // a heartbeat of it came
+	lastSeen      Time
+	weight        float64 // natural logarithm of its weight in rendezvous hashing
+	appliedWeight float64 // the weight by which workers are ordered in the present round
+	utilization   float64
 }
 
 const (
 	// settleBeats is the number of heartbeat intervals in which all other live members should have been heard.
-	settleBeats = 1.5
+	settleIntervals = 1.5
 
-	weightGain  = 0.3  // part of the difference to the mean, as logarithms, that is corrected with each heartbeat
-	weightStep  = 0.05 // of the logarithm, at most with each heartbeat: the share changes by a twentieth
-	weightClose = 0.05 // a difference under it is let be
-	weightMost  = 3.0  // of the logarithm, either way
-	idle        = 0.02 // mean part of slots taken under which the weights go back to 1
+	weightGain      = 0.3  // part of the difference to the mean, as logarithms, that is corrected with each heartbeat
+	maxWeightStep   = 0.05 // of the logarithm, at most with each heartbeat: the share changes by a twentieth
+	weightTolerance = 0.05 // a difference under it is let be
+	maxLogWeight    = 3.0  // of the logarithm, either way
+	idleUtilization = 0.02 // mean part of slots taken under which the weights go back to 1
 )
 
 func newMembers(set *Settings, now Time) members {
-	m := members{set: set, each: make([]member, set.Members), live: set.Members, turned: now}
-	for i := range m.each {
-		m.each[i] = member{hash: memberHash(i), zone: AnyZone, alive: true, heard: now}
+	m := members{cfg: set, byRank: make([]member, set.Members), liveCount: set.Members, lastTurn: now}
+	for i := range m.byRank {
+		m.byRank[i] = member{hash: memberHash(i), zone: UnknownZone, isAlive: true, lastSeen: now}
 	}
-	m.self().zone, m.self().known = set.Zone, true
-	m.settle(now)
+	m.self().zone, m.self().hasHeartbeat = set.Zone, true
+	m.delaySettling(now)
 	return m
 }
 
-func (m *members) self() *member { return &m.each[m.set.Self] }
+func (m *members) self() *member { return &m.byRank[m.cfg.Rank] }
 
 // settle waits until the other members may have been heard again.
-func (m *members) settle(now Time) {
-	if m.set.Heartbeats {
-		m.settled = now + Time(settleBeats*float64(m.set.HeartbeatEvery))
+func (m *members) delaySettling(now Time) {
+	if m.cfg.UsesHeartbeats {
+		m.settledAt = now + Time(settleIntervals*float64(m.cfg.HeartbeatInterval))
 	}
 }
 
 // hear takes a heartbeat, and tells whether the member was taken for alive before, and is now.
-func (m *members) hear(now Time, rank int, h Heartbeat) (was, is bool) {
-	if rank < 0 || rank >= len(m.each) || rank == m.set.Self {
+func (m *members) handleHeartbeat(now Time, rank int, h Heartbeat) (was, is bool) {
+	if rank < 0 || rank >= len(m.byRank) || rank == m.cfg.Rank {
 		return false, false
 	}
-	x := &m.each[rank]
-	was = x.alive
-	if h.Leaving {
-		m.died(x)
+	x := &m.byRank[rank]
+	was = x.isAlive
+	if h.IsLeaving {
+		m.markDead(x)
 		return was, false
 	}
-	if !x.alive {
-		m.live++
+	if !x.isAlive {
+		m.liveCount++
 	}
-	if !x.alive || x.zone != h.Zone {
+	if !x.isAlive || x.zone != h.Zone {
 		m.epoch++
 	}
-	x.alive, x.known, x.heard = true, true, now
-	x.zone, x.weight, x.occupied = h.Zone, h.Weight, h.Occupied
+	x.isAlive, x.hasHeartbeat, x.lastSeen = true, true, now
+	x.zone, x.weight, x.utilization = h.Zone, h.Weight, h.Utilization
 	return was, true
 }
 
-func (m *members) died(x *member) {
-	if x.alive {
-		x.alive = false
-		m.live--
+func (m *members) markDead(x *member) {
+	if x.isAlive {
+		x.isAlive = false
+		m.liveCount--
 		m.epoch++
 	}
 }
@@ -90,10 +90,10 @@
 // applyWeights begins a round, whose order goes by the weights as they are now.
 func (m *members) applyWeights() {
 	own, others := 0.0, 0.0
-	for i := range m.each {
-		x := &m.each[i]
-		moved := math.Abs(x.weight - x.applied)
-		if x.applied = x.weight; i == m.set.Self {
+	for i := range m.byRank {
+		x := &m.byRank[i]
+		moved := math.Abs(x.weight - x.appliedWeight)
+		if x.appliedWeight = x.weight; i == m.cfg.Rank {
 			own = moved
 		} else {
 			others = max(others, moved)
@@ -104,25 +104,25 @@
 
 // wake notices that the host was stopped for so long that others may have taken this scheduler for dead. What was not
 // heard meanwhile proves nothing against the others: each has until the next heartbeats are due.
-func (m *members) wake(now Time) {
-	if m.set.Heartbeats && now-m.turned > m.set.ExpireAfter/2 {
-		m.settle(now)
-		m.nextAt = now
-		for i := range m.each {
-			m.each[i].heard = max(m.each[i].heard, m.settled-m.set.ExpireAfter)
+func (m *members) resumeAfterPause(now Time) {
+	if m.cfg.UsesHeartbeats && now-m.lastTurn > m.cfg.ExpireAfter/2 {
+		m.delaySettling(now)
+		m.nextHeartbeat = now
+		for i := range m.byRank {
+			m.byRank[i].lastSeen = max(m.byRank[i].lastSeen, m.settledAt-m.cfg.ExpireAfter)
 		}
 	}
-	m.turned = now
+	m.lastTurn = now
 }
 
 // expire gives the members that were not heard for too long, and takes them for dead.
 func (m *members) expire(now Time) (dead []int) {
-	if !m.set.Heartbeats {
+	if !m.cfg.UsesHeartbeats {
 		return nil
 	}
-	for i := range m.each {
-		if x := &m.each[i]; i != m.set.Self && x.alive && now-x.heard > m.set.ExpireAfter {
-			m.died(x)
+	for i := range m.byRank {
+		if x := &m.byRank[i]; i != m.cfg.Rank && x.isAlive && now-x.lastSeen > m.cfg.ExpireAfter {
+			m.markDead(x)
 			dead = append(dead, i)
 		}
 	}
@@ -130,33 +130,33 @@
 }
 
 // balance moves the own weight towards that at which as much of the own share is taken as of the others'.
-func (m *members) balance(occupied float64) {
+func (m *members) adjustWeight(occupied float64) {
 	self := m.self()
-	self.occupied = occupied
-	mean := m.meanOccupied()
-	if mean < idle {
-		self.weight = rounded(self.weight * (1 - 2*weightStep))
+	self.utilization = occupied
+	mean := m.meanUtilization()
+	if mean < idleUtilization {
+		self.weight = quantizeWeight(self.weight * (1 - 2*maxWeightStep))
 		return
 	}
-	difference := math.Log(max(occupied, idle/2) / mean)
-	if math.Abs(difference) < weightClose {
+	difference := math.Log(max(occupied, idleUtilization/2) / mean)
+	if math.Abs(difference) < weightTolerance {
 		return
 	}
-	step := min(max(weightGain*difference, -weightStep), weightStep)
-	self.weight = rounded(self.weight + step)
+	step := min(max(weightGain*difference, -maxWeightStep), maxWeightStep)
+	self.weight = quantizeWeight(self.weight + step)
 }
 
 // rounded is a weight as a heartbeat tells it: all members have to find the same order by it.
-func rounded(weight float64) float64 {
-	return math.Round(min(max(weight, -weightMost), weightMost)*weightUnit) / weightUnit
+func quantizeWeight(weight float64) float64 {
+	return math.Round(min(max(weight, -maxLogWeight), maxLogWeight)*weightStepsPerUnit) / weightStepsPerUnit
 }
 
 // meanOccupied is the mean over the live members that are known.
-func (m *members) meanOccupied() float64 {
+func (m *members) meanUtilization() float64 {
 	sum, count := 0.0, 0
-	for i := range m.each {
-		if m.each[i].alive && m.each[i].known {
-			sum += m.each[i].occupied
+	for i := range m.byRank {
+		if m.byRank[i].isAlive && m.byRank[i].hasHeartbeat {
+			sum += m.byRank[i].utilization
 			count++
 		}
 	}
--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -27,10 +27,10 @@
 
 // otherFrontSockets returns the number of connections that the other fronts may have open.
 func (f *Front) otherFrontSockets() (n int) {
-	if f.conf.Faktory.On() {
+	if f.conf.Faktory.IsEnabled() {
 		n = f.conf.Faktory.MaxSessions
 	}
-	if f.conf.HTTP2.On() {
+	if f.conf.HTTP2.IsEnabled() {
 		n += f.conf.HTTP2.MaxConnections
 	}
 	if f.conf.Admin != "" {
--- a/internal/platform/events.go
+++ b/internal/platform/events.go
@@ -32,7 +32,7 @@
 		return false
 	}
 	attempt, inFlight := f.core.FindAttempt(event.ID, event.From)
-	if !inFlight && !f.admission.Seen(event.ID) {
+	if !inFlight && !f.admission.HasSeenID(event.ID) {
 		if f.forwardCallback(c, req) {
 			return true
 		}
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -140,9 +140,9 @@
 // Start loads the last known worker list, opens the watch on discovery and listens for connections. It is called before
 // the loop runs. An address that can't be listened on is reported as a *config.Error.
 func (f *Front) Start() error {
-	list, err := discovery.ParseList(f.conf.Known, f.listFormat())
+	list, err := discovery.ParseList(f.conf.KnownWorkers, f.listFormat())
 	if err != nil {
-		if len(f.conf.Known) > 0 {
+		if len(f.conf.KnownWorkers) > 0 {
 			f.log.Warn("known worker list ignored", "error", err)
 		}
 		list = &discovery.Update{}
@@ -191,7 +191,7 @@
 // address at once, and the connection budgets are recomputed. Open connections and requests continue, and what is known
 // of the workers is kept. Other keys keep their values; those that differ are logged.
 func (f *Front) Reload(next *config.Config) {
-	for _, key := range f.conf.Unchangeable(next) {
+	for _, key := range f.conf.RestartRequired(next) {
 		f.log.Warn("reload: key can't be changed at run time, old value kept", "key", key)
 	}
 	merged := *f.conf
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -319,7 +319,7 @@
 // Connections to workers that have been idle for too long are closed.
 func TestIdleWorkerConnectionsAreClosed(t *testing.T) {
 	w := standin.NewWorker(t, "s-1", nil)
-	n := standin.Start(t, func(c *config.Config) { c.Names.ConnIdle = 400_000 }, w)
+	n := standin.Start(t, func(c *config.Config) { c.Names.ConnIdleTimeout = 400_000 }, w)
 	require.Equal(t, 200, n.Ask("move", "k", "id-1", 5000, "").Status)
 	n.Eventually(func() bool { return n.Logged("party=worker") && n.Logged("reason=idle") })
 	require.Equal(t, 200, n.Ask("move", "k", "id-2", 5000, "").Status)
--- a/internal/platform/idle_test.go
+++ b/internal/platform/idle_test.go
@@ -22,7 +22,7 @@
 
 // newIdlePool returns a pool that knows the given number of workers and has no connection, and the workers.
 func newIdlePool(workers int) (*connPool, []*poolWorker) {
-	f := &Front{loop: core.NewLoop(), log: slog.New(slog.DiscardHandler), conf: &config.Config{Names: config.Names{ConnIdle: 60_000_000}}}
+	f := &Front{loop: core.NewLoop(), log: slog.New(slog.DiscardHandler), conf: &config.Config{Names: config.Names{ConnIdleTimeout: 60_000_000}}}
 	f.pool = newConnPool(f)
 	all := make([]*poolWorker, workers)
 	for i := range all {
--- a/internal/platform/list_test.go
+++ b/internal/platform/list_test.go
@@ -100,7 +100,9 @@
 		t.Run(name, func(t *testing.T) {
 			d := newFakeDiscovery(t)
 			w, later := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
-			n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery, c.Known = form.pushed, d.Addr().String(), nil })
+			n := standin.Start(t, func(c *config.Config) {
+				c.DiscoveryIsLocal, c.Discovery, c.KnownWorkers = form.pushed, d.Addr().String(), nil
+			})
 			w.BackTo(n)
 			later.BackTo(n)
 			list := largeList(t, 7, largeFleet, w)
@@ -161,7 +163,7 @@
 				t.Parallel()
 				d := newFakeDiscovery(t)
 				w := standin.NewWorker(t, "s-1", nil)
-				n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery = pushed, d.Addr().String() }, w)
+				n := standin.Start(t, func(c *config.Config) { c.DiscoveryIsLocal, c.Discovery = pushed, d.Addr().String() }, w)
 				var isRepaired atomic.Bool
 				valid := n.Farm.Tell(true, w.Entry("up"), standin.Entry("s-2", "127.0.0.1:9", "draining"))
 				watches := make(chan discoveryCall, 64)
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -45,13 +45,13 @@
 	if err != nil {
 		return &config.Error{Key: "peer_listen", Text: err.Error()}
 	}
-	p := &peers{front: f, socket: socket, ranks: make(map[netip.AddrPort]int, len(conf.Each)), outbox: make(chan []byte, maxUnsentPeerMessages)}
-	for rank, a := range conf.Each {
+	p := &peers{front: f, socket: socket, ranks: make(map[netip.AddrPort]int, len(conf.ByRank)), outbox: make(chan []byte, maxUnsentPeerMessages)}
+	for rank, a := range conf.ByRank {
 		p.ranks[a] = rank
 	}
 	f.peers = p
 	f.core.Broadcast = p.broadcast
-	go p.sendLoop(conf.All)
+	go p.sendLoop(conf.Group)
 	go p.receiveLoop()
 	return nil
 }
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -28,8 +28,8 @@
 	a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 	n := standin.Start(t, func(c *config.Config) {
 		c.Settings.GroupSize, c.Settings.MayBroadcast = 2, true
-		c.Peers = config.Peers{Listen: "127.0.0.1:0", All: at,
-			Each: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), at}}
+		c.Peers = config.Peers{Listen: "127.0.0.1:0", Group: at,
+			ByRank: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), at}}
 	}, a, b)
 	require.Equal(t, 200, n.Ask("move", "k", "first", 5000, "").Status)
 	home, other := a, b
--- a/internal/platform/pool.go
+++ b/internal/platform/pool.go
@@ -74,7 +74,7 @@
 	// A worker may close a connection at the end of the configured idle time. A request that is sent at that moment ends
 	// in a reset and may have run, so the pool closes its idle connections earlier: by a fifth of the time or by 2 s (by
 	// half of the time if that is less), whichever is more.
-	idle := f.conf.Names.ConnIdle
+	idle := f.conf.Names.ConnIdleTimeout
 	connect := f.conf.Settings.ConnectTimeout
 	if connect <= 0 {
 		connect = defaultConnectTimeout
--- a/internal/platform/pool_test.go
+++ b/internal/platform/pool_test.go
@@ -23,7 +23,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	f := &Front{loop: core.NewLoop(), log: slog.New(slog.DiscardHandler), conf: &config.Config{Names: config.Names{ConnIdle: 60_000_000}}}
+	f := &Front{loop: core.NewLoop(), log: slog.New(slog.DiscardHandler), conf: &config.Config{Names: config.Names{ConnIdleTimeout: 60_000_000}}}
 	f.budget.workers = 9
 	f.pool = newConnPool(f)
 	p, now := &f.pool, f.loop.Now()
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -187,7 +187,7 @@
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer server.Close()
-	n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Settings.GroupSize = true, 300 }, standin.NewWorker(t, "s-1", nil))
+	n := standin.Start(t, func(c *config.Config) { c.DiscoveryIsLocal, c.Settings.GroupSize = true, 300 }, standin.NewWorker(t, "s-1", nil))
 	reloadDiscovery(n, server.Addr().String())
 	for range 3 {
 		require.NoError(t, server.(*net.TCPListener).SetDeadline(time.Now().Add(standin.Patience/4)))
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -132,7 +132,7 @@
 // no worker.
 func (f *Front) admit(c *clientConn, req *http1.Request, path string) bool {
 	request, fault := f.admission.Admit(&admission.Request{Method: string(req.Method), Target: string(req.Target), Path: path, Body: req.Body,
-		Header: func(name string) ([]byte, int) { return req.Get(name), req.Count(name) }, Fields: func(b []byte) []byte {
+		Header: func(name string) ([]byte, int) { return req.Get(name), req.Count(name) }, HeaderFields: func(b []byte) []byte {
 			connection := req.Get("Connection")
 			for _, h := range req.Headers {
 				b = admission.AppendField(b, h.Name, h.Value, connection)
@@ -163,7 +163,7 @@
 
 // Released implements core.Client. It comes after the answer or after the client's disconnect.
 func (c *clientConn) Released(request *core.Request) {
-	c.front.admission.Released(request)
+	c.front.admission.RememberID(request)
 	c.releaseRequest(request)
 }
 
--- a/internal/platform/silence_test.go
+++ b/internal/platform/silence_test.go
@@ -71,7 +71,7 @@
 func TestStartWaitsForLocalDiscovery(t *testing.T) {
 	server := newFakeDiscovery(t)
 	a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
-	n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery = true, server.Addr().String() }, a)
+	n := standin.Start(t, func(c *config.Config) { c.DiscoveryIsLocal, c.Discovery = true, server.Addr().String() }, a)
 	b.BackTo(n)
 	first := receive(t, server.calls)
 	require.Equal(t, "/api/targets", first.target, "the full list: a watch sends nothing if nothing has changed")
@@ -88,7 +88,7 @@
 func TestSilentDiscoveryDoesNotBlockReadiness(t *testing.T) {
 	server := newFakeDiscovery(t)
 	a := standin.NewWorker(t, "s-1", nil)
-	n := standin.Start(t, func(c *config.Config) { c.Pushed, c.Discovery = true, server.Addr().String() }, a)
+	n := standin.Start(t, func(c *config.Config) { c.DiscoveryIsLocal, c.Discovery = true, server.Addr().String() }, a)
 	n.Eventually(func() bool { return isReady(n) })
 	assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 5000, "").Status)
 }
@@ -122,7 +122,7 @@
 				d := newFakeDiscovery(t)
 				a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 				n := standin.Start(t, func(c *config.Config) {
-					c.Pushed, c.Discovery, c.Settings.GroupSize = pushed, d.Addr().String(), 300
+					c.DiscoveryIsLocal, c.Discovery, c.Settings.GroupSize = pushed, d.Addr().String(), 300
 				}, a)
 				b.BackTo(n)
 				first := receive(t, d.calls)
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -42,7 +42,7 @@
 		f.loop.Post(func() { f.core.AttemptEnded(ref, rules.NotSent, nil, rules.Load{}) })
 		return
 	}
-	timeLeft := min(max(1, request.TimeLeft(f.loop.Now())/core.Millisecond), admission.LongestLeft)
+	timeLeft := min(max(1, request.TimeLeft(f.loop.Now())/core.Millisecond), admission.MaxTimeLeftMS)
 	// The message is a copy: it may still be being written when the request is closed.
 	message := http1.AppendRequest(make([]byte, 0, 320+len(request.Job.HeaderFields)+len(request.Job.Body)), "POST", request.Job.Target, w.address,
 		len(request.Job.Body), request.Job.HeaderFields, HeaderID, request.ID, HeaderClass, f.conf.Names.Classes[request.Job.Class],
--- a/internal/platform/unreachable_test.go
+++ b/internal/platform/unreachable_test.go
@@ -82,7 +82,7 @@
 func startBeforeDiscovery(t *testing.T, d *fakeDiscovery, pushed bool, schedulers int) (known, other *standin.Worker, n *standin.Node) {
 	known, other = standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 	n = standin.Start(t, func(c *config.Config) {
-		c.Pushed, c.Discovery, c.Settings.GroupSize = pushed, d.Addr().String(), schedulers
+		c.DiscoveryIsLocal, c.Discovery, c.Settings.GroupSize = pushed, d.Addr().String(), schedulers
 	}, known)
 	other.BackTo(n)
 	return known, other, n
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -93,7 +93,7 @@
 func newDiscoveryWatch(f *Front, address string, version int64) *discoveryWatch {
 	// The list that is known at the start may be outdated. Where the discovery server is local, a full list costs
 	// little and is requested first: unlike a watch, its answer also shows that nothing has changed.
-	return &discoveryWatch{front: f, dial: dialTCP, address: address, version: version, needsFullList: f.conf.Pushed, rng: rand.New(rand.NewPCG(f.conf.Seed, watchRandStream))}
+	return &discoveryWatch{front: f, dial: dialTCP, address: address, version: version, needsFullList: f.conf.DiscoveryIsLocal, rng: rand.New(rand.NewPCG(f.conf.Seed, watchRandStream))}
 }
 
 // scheduleRetry reopens the watch after a wait. One discovery server may serve all schedulers and fail calls when there
@@ -106,7 +106,7 @@
 func (w *discoveryWatch) scheduleRetry(epoch int) {
 	now := w.front.loop.Now()
 	wait := retryWait(w.front.conf.Settings.GroupSize, w.failures, now-max(w.lastDial, w.lastReceived), w.rng.Float64())
-	if w.front.conf.Pushed {
+	if w.front.conf.DiscoveryIsLocal {
 		wait = jitter(localRetryWait(w.front.conf.Settings.DrainGrace), w.rng.Float64())
 	}
 	if w.listRefused {
@@ -161,7 +161,7 @@
 	loop, address, dial := w.front.loop, w.address, w.dial
 	w.lastDial = loop.Now()
 	timeout := watchDialTimeout
-	if w.front.conf.Pushed {
+	if w.front.conf.DiscoveryIsLocal {
 		timeout = w.answerTimeout()
 	}
 	go func() { // a dial blocks and must not run on the loop
@@ -238,7 +238,7 @@
 
 // answerTimeout returns how long an answer may take to begin.
 func (w *discoveryWatch) answerTimeout() core.Time {
-	if w.front.conf.Pushed {
+	if w.front.conf.DiscoveryIsLocal {
 		return localAnswerTimeout(w.front.conf.Settings.DrainGrace)
 	}
 	return watchAnswerTimeout
--- a/internal/scale/hollow/candidates.go
+++ b/internal/scale/hollow/candidates.go
@@ -19,7 +19,7 @@
 // ownershipSettings divide fleets of any size, with messages between schedulers or without, and the schedulers of a
 // worker's zone before others or not.
 func ownershipSettings(heartbeats, near bool) *ownership.Settings {
-	return &ownership.Settings{LeastShare: 1, Heartbeats: heartbeats, NearFirst: near, ColdFor: coldFor}
+	return &ownership.Settings{MinShare: 1, UsesHeartbeats: heartbeats, PrefersOwnZone: near, SlowStartWindow: coldFor}
 }
 
 // Candidates are those that are compared.
--- a/internal/scale/process/config_test.go
+++ b/internal/scale/process/config_test.go
@@ -32,10 +32,10 @@
 	environment := map[string]string{config.EnvConfig: s.path("platform.json")}
 	read, err := config.Load(func(key string) string { return environment[key] }, path, true)
 	require.NoError(t, err)
-	require.Empty(t, read.Notes)
+	require.Empty(t, read.Warnings)
 	require.Equal(t, "s03", read.Name)
-	require.True(t, read.Pushed)
-	require.JSONEq(t, string(c.Known), string(read.Known))
+	require.True(t, read.DiscoveryIsLocal)
+	require.JSONEq(t, string(c.Known), string(read.KnownWorkers))
 	require.Equal(t, config.Limits{Cores: 1, MemoryMB: 256, Sockets: 2048}, read.Limits)
 	require.Equal(t, uint64(9), read.Seed)
 	require.Equal(t, 2, read.Settings.GroupSize)
--- a/internal/sites/api.go
+++ b/internal/sites/api.go
@@ -12,17 +12,17 @@
 
 // Settings are given once. A zero value stands for the default noted.
 type Settings struct {
-	Sites  int  // at least 1
-	Own    int  // this scheduler's
-	MayAsk bool // workers may be asked for a sign of life; otherwise jobs alone show who is there
-
-	Proof        int  // workers of a site that must be silent, and none heard, before it counts as lost; 0: 5
-	LeastWait    Time // a worker may take so long for its first answer, at least; 0: 75 ms
-	MostWait     Time // and at most, however slow answers have been; 0: 600 ms
-	TrialEvery   Time // a worker of a lost site is asked so often; 0: 500 ms
-	QuietFor     Time // a site of which nothing was heard for so long is asked; 0: 1 s
-	ReturnWithin Time // a site that is back gets all its workers back within it; 0: 2 s
-	Distrust     Time // each further loss within a minute doubles how long a site must answer before it is let back, from
+	SiteCount int  // at least 1
+	OwnSite   int  // this scheduler's
+	MayProbe  bool // workers may be asked for a sign of life; otherwise jobs alone show who is there
+
+	MinSilentWorkers int  // workers of a site that must be silent, and none heard, before it counts as lost; 0: 5
+	MinReplyTimeout  Time // a worker may take so long for its first answer, at least; 0: 75 ms
+	MaxReplyTimeout  Time // and at most, however slow answers have been; 0: 600 ms
+	ProbeInterval    Time // a worker of a lost site is asked so often; 0: 500 ms
+	IdleProbeDelay   Time // a site of which nothing was heard for so long is asked; 0: 1 s
+	ReturnWindow     Time // a site that is back gets all its workers back within it; 0: 2 s
+	FlapBackoff      Time // each further loss within a minute doubles how long a site must answer before it is let back, from
 	// this; 0: 250 ms
 }
 
@@ -51,12 +51,12 @@
 // Actions is what a Machine asks of its host.
 type Actions interface {
 	// Ask wants a sign of life of a worker; Asked is told when it goes out.
-	Ask(worker string)
+	ProbeWorker(worker string)
 	// Out has a worker get nothing new. siteLost tells whether with all of its site.
-	Out(worker string, siteLost bool)
+	DisableWorker(worker string, siteLost bool)
 	// Back lets it have jobs again. With its site it may have been started anew meanwhile: then cold tells that it has to
 	// be taken for cold, whatever the list says.
-	Back(worker string, cold bool)
+	EnableWorker(worker string, cold bool)
 	// Changed tells of a site's state.
-	Changed(site int, from, to State)
+	StateChanged(site int, from, to State)
 }
--- a/internal/sites/digest_test.go
+++ b/internal/sites/digest_test.go
@@ -31,52 +31,52 @@
 	fmt.Fprintf(d.log, format+"\n", args...)
 }
 
-func (d *digestWorld) Ask(worker string) {
+func (d *digestWorld) ProbeWorker(worker string) {
 	d.write("ask %s", worker)
-	d.world.Ask(worker)
+	d.world.ProbeWorker(worker)
 }
 
 // Out has another worker asked at once, from within the call, as the core does with jobs that it sends elsewhere.
-func (d *digestWorld) Out(worker string, siteLost bool) {
+func (d *digestWorld) DisableWorker(worker string, siteLost bool) {
 	d.write("out %s %v", worker, siteLost)
 	d.jobs++
-	if other := d.list[(d.jobs*7)%len(d.list)].Worker; d.jobs%3 == 0 && !d.m.Out(other) {
-		d.ask(other)
+	if other := d.list[(d.jobs*7)%len(d.list)].Worker; d.jobs%3 == 0 && !d.m.IsDisabled(other) {
+		d.sendJob(other)
 	}
 }
 
-func (d *digestWorld) Back(worker string, cold bool) { d.write("back %s %v", worker, cold) }
+func (d *digestWorld) EnableWorker(worker string, cold bool) { d.write("back %s %v", worker, cold) }
 
-func (d *digestWorld) Changed(site int, from, to State) {
-	out, all := d.m.OutOf(site)
+func (d *digestWorld) StateChanged(site int, from, to State) {
+	out, all := d.m.WorkerCounts(site)
 	d.write("changed %d %s %s: %d of %d out", site, from, to, out, all)
 }
 
 func newDigestWorld(set Settings, seed uint64, sizes ...int) *digestWorld {
 	d := &digestWorld{rng: rand.New(rand.NewPCG(seed, 21)), log: sha256.New(),
-		world: &world{now: second, there: map[string]bool{}, late: 3 * millisecond}}
-	set.Sites = len(sizes)
+		world: &world{now: second, reachable: map[string]bool{}, replyDelay: 3 * millisecond}}
+	set.SiteCount = len(sizes)
 	d.m = New(set, seed, d.now, d)
 	for s, n := range sizes {
 		for i := range n {
-			d.list = append(d.list, Member{name(s, i), s})
-			d.there[name(s, i)] = true
+			d.list = append(d.list, Member{workerName(s, i), s})
+			d.reachable[workerName(s, i)] = true
 		}
 	}
-	d.m.Listed(d.now, d.list)
+	d.m.UpdateWorkers(d.now, d.list)
 	d.next = d.m.Turn(d.now)
 	return d
 }
 
 // job sends to any worker that is not out, and now and then has its end told in another way than by an answer.
-func (d *digestWorld) job(int) string {
+func (d *digestWorld) randomWorker(int) string {
 	worker := d.list[d.rng.IntN(len(d.list))].Worker
 	switch d.rng.IntN(30) {
 	case 0:
-		d.m.Dropped(worker)
+		d.m.ReplyAbandoned(worker)
 	case 1:
-		if !d.there[worker] {
-			d.m.Refused(d.now, worker)
+		if !d.reachable[worker] {
+			d.m.ConnectFailed(d.now, worker)
 		}
 	}
 	return worker
@@ -94,23 +94,23 @@
 		case 1:
 			x := Member{fmt.Sprint("new", d.rng.IntN(1000)), d.rng.IntN(sites)}
 			d.list = append(d.list, x)
-			d.there[x.Worker] = d.rng.IntN(3) > 0
+			d.reachable[x.Worker] = d.rng.IntN(3) > 0
 		case 2:
 			d.list[i].Site = d.rng.IntN(sites + 1) // one past the last: not a site
 		}
 	}
-	d.m.Listed(d.now, d.list)
+	d.m.UpdateWorkers(d.now, d.list)
 }
 
-func (d *digestWorld) fault(sites int) {
+func (d *digestWorld) randomFault(sites int) {
 	site := d.rng.IntN(sites)
 	there, all := d.rng.IntN(2) == 0, d.rng.IntN(2) == 0
 	for _, x := range d.list {
 		if x.Site == site && (all || d.rng.IntN(4) == 0) {
-			d.there[x.Worker] = there
+			d.reachable[x.Worker] = there
 		}
 	}
-	d.late = Time(1+d.rng.IntN(200)) * millisecond
+	d.replyDelay = Time(1+d.rng.IntN(200)) * millisecond
 	if d.rng.IntN(12) == 0 { // the host stops for a while
 		d.now += Time(d.rng.IntN(3000)) * millisecond
 		d.next = d.m.Turn(d.now)
@@ -128,9 +128,9 @@
 		sizes  []int
 		digest string
 	}{
-		{"two sites", Settings{MayAsk: true}, []int{12, 12}, "6f386500c0d5fa839abac2e2"},
-		{"four sites", Settings{MayAsk: true, Own: 1, ReturnWithin: 4 * second}, []int{30, 8, 1, 70}, "475af92081192f1060bd7465"},
-		{"jobs alone", Settings{Own: 1}, []int{10, 6, 10}, "eca6ef48ffe8ee2a1c130c21"},
+		{"two sites", Settings{MayProbe: true}, []int{12, 12}, "6f386500c0d5fa839abac2e2"},
+		{"four sites", Settings{MayProbe: true, OwnSite: 1, ReturnWindow: 4 * second}, []int{30, 8, 1, 70}, "475af92081192f1060bd7465"},
+		{"jobs alone", Settings{OwnSite: 1}, []int{10, 6, 10}, "eca6ef48ffe8ee2a1c130c21"},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			d := newDigestWorld(v.set, 5, v.sizes...)
@@ -138,8 +138,8 @@
 				if d.rng.IntN(3) == 0 {
 					d.changeList(len(v.sizes))
 				}
-				d.fault(len(v.sizes))
-				d.run(d.now+Time(50+d.rng.IntN(4000))*millisecond, Time(2+d.rng.IntN(60))*millisecond, d.job)
+				d.randomFault(len(v.sizes))
+				d.run(d.now+Time(50+d.rng.IntN(4000))*millisecond, Time(2+d.rng.IntN(60))*millisecond, d.randomWorker)
 			}
 			require.Equal(t, v.digest, hex.EncodeToString(d.log.Sum(nil)[:12]), "of %d actions", d.actions)
 		})
--- a/internal/sites/members.go
+++ b/internal/sites/members.go
@@ -12,51 +12,53 @@
 )
 
 type site struct {
-	state   State
-	since   Time
-	heard   Time // last sign of life of any worker
-	checked Time // the last check ...
-	checks  int  // ... and how many in a row found the site alive
-	flaps   float64
-	flapAt  Time
-	trialAt Time
-	answers Time // since when it answers again
+	state           State
+	since           Time
+	lastSeen        Time // last sign of life of any worker
+	nextCheckAt     Time // the last check ...
+	checkCount      int  // ... and how many in a row found the site alive
+	flapCount       float64
+	lastFlapAt      Time
+	probeAt         Time
+	respondingSince Time // since when it answers again
 
-	members []*member     // in the order of their hashes, which is the same at all schedulers
-	marked  bitset.BitSet // by member.place: those that are pending, and some that were
-	outs    int           // members that are out
-	coming  []*member     // listed just now, and not yet among the members
-	leaving bool          // a member of it is listed no more
+	members       []*member     // in the order of their hashes, which is the same at all schedulers
+	marked        bitset.BitSet // by member.place: those that are pending, and some that were
+	disabledCount int           // members that are out
+	added         []*member     // listed just now, and not yet among the members
+	hasRemovals   bool          // a member of it is listed no more
 }
 
 type member struct {
 	Member
-	hash    uint64
-	place   int  // in site.members
-	asked   Time // the first thing asked that has no answer yet; 0: none
-	refused Time // it refused a connection, and has said nothing since; 0: it did not
-	heard   Time
-	doubted Time // it was asked once more, for being silent
-	out     bool
-	outAt   Time
-	trialAt Time
-	trials  int
-	listed  uint64 // the number of the last list that it was on; 0: another has taken its name
+	hash            uint64
+	index           int  // in site.members
+	unansweredSince Time // the first thing asked that has no answer yet; 0: none
+	connectFailedAt Time // it refused a connection, and has said nothing since; 0: it did not
+	lastSeen        Time
+	recheckedAt     Time // it was asked once more, for being silent
+	isDisabled      bool
+	disabledAt      Time
+	probeAt         Time
+	probeCount      int
+	lastList        uint64 // the number of the last list that it was on; 0: another has taken its name
 }
 
 // pending tells of a member that a turn has to look at: it owes an answer, has refused a connection, or is out.
-func (w *member) pending() bool { return w.asked > 0 || w.refused > 0 || w.out }
+func (w *member) isPending() bool {
+	return w.unansweredSince > 0 || w.connectFailedAt > 0 || w.isDisabled
+}
 
 // mark has the turns look at a member for as long as it is pending.
-func (m *Machine) mark(w *member) { m.sites[w.Site].marked.Set(uint(w.place)) }
+func (m *Machine) markPending(w *member) { m.sites[w.Site].marked.Set(uint(w.index)) }
 
 // pending gives the members that are pending, in order. One that comes to be so meanwhile is given too if its place is
 // yet to come.
-func (s *site) pending() iter.Seq[*member] {
+func (s *site) pendingMembers() iter.Seq[*member] {
 	return func(yield func(*member) bool) {
 		for i, more := s.marked.NextSet(0); more; i, more = s.marked.NextSet(i + 1) {
 			w := s.members[i]
-			if !w.pending() {
+			if !w.isPending() {
 				s.marked.Clear(i)
 			} else if !yield(w) {
 				return
@@ -66,15 +68,15 @@
 }
 
 // OutOf is how many workers of a site get nothing new, and how many it has.
-func (m *Machine) OutOf(site int) (out, all int) {
+func (m *Machine) WorkerCounts(site int) (out, all int) {
 	s := &m.sites[site]
-	return s.outs, len(s.members)
+	return s.disabledCount, len(s.members)
 }
 
 // Listed takes the whole list of workers that may get jobs. One that is not on it is forgotten; one that is new, or back
 // after it was away, is held for alive.
-func (m *Machine) Listed(now Time, list []Member) {
-	m.lists++
+func (m *Machine) UpdateWorkers(now Time, list []Member) {
+	m.listCount++
 	listed := 0
 	for _, x := range list {
 		if x.Site < 0 || x.Site >= len(m.sites) {
@@ -82,51 +84,51 @@
 		}
 		w := m.members[x.Worker]
 		if w != nil && w.Site != x.Site {
-			m.back(w, false)
-			if w.listed == m.lists {
+			m.enable(w, false)
+			if w.lastList == m.listCount {
 				listed--
 			}
-			w.listed = 0
-			m.sites[w.Site].leaving = true
+			w.lastList = 0
+			m.sites[w.Site].hasRemovals = true
 		}
 		if w == nil || w.Site != x.Site {
-			w = &member{Member: x, hash: hash(x.Worker)}
+			w = &member{Member: x, hash: hashName(x.Worker)}
 			m.members[x.Worker] = w
-			m.sites[x.Site].coming = append(m.sites[x.Site].coming, w)
+			m.sites[x.Site].added = append(m.sites[x.Site].added, w)
 		}
-		if w.listed != m.lists {
-			w.listed = m.lists
+		if w.lastList != m.listCount {
+			w.lastList = m.listCount
 			listed++
 		}
 	}
-	for _, w := range m.affected(listed) {
-		if w.listed != m.lists {
-			m.back(w, false)
+	for _, w := range m.affectedMembers(listed) {
+		if w.lastList != m.listCount {
+			m.enable(w, false)
 			delete(m.members, w.Worker)
-			m.sites[w.Site].leaving = true
+			m.sites[w.Site].hasRemovals = true
 		} else { // a lost site stays lost when its list grows
-			m.out(now, w, true)
+			m.disable(now, w, true)
 		}
 	}
 	for i := range m.sites {
-		m.sites[i].arrange(m.lists)
+		m.sites[i].applyList(m.listCount)
 	}
 }
 
 // affected gives, by name, the workers that are listed no more, and those of lost sites that are not out. It is told how
 // many are listed.
-func (m *Machine) affected(listed int) (some []*member) {
+func (m *Machine) affectedMembers(listed int) (some []*member) {
 	if listed < len(m.members) {
 		for _, w := range m.members {
-			if w.listed != m.lists {
+			if w.lastList != m.listCount {
 				some = append(some, w)
 			}
 		}
 	}
 	for i := range m.sites {
-		if s := &m.sites[i]; m.gone(i) && s.outs < len(s.members)+len(s.coming) {
-			for _, w := range slices.Concat(s.members, s.coming) {
-				if w.listed == m.lists && !w.out {
+		if s := &m.sites[i]; m.isLost(i) && s.disabledCount < len(s.members)+len(s.added) {
+			for _, w := range slices.Concat(s.members, s.added) {
+				if w.lastList == m.listCount && !w.isDisabled {
 					some = append(some, w)
 				}
 			}
@@ -137,12 +139,12 @@
 }
 
 // arrange puts those that come among the members and lets go of those that are not on the list of that number.
-func (s *site) arrange(list uint64) {
-	if len(s.coming) == 0 && !s.leaving {
+func (s *site) applyList(list uint64) {
+	if len(s.added) == 0 && !s.hasRemovals {
 		return
 	}
-	other := func(w *member) bool { return w.listed != list }
-	coming := slices.DeleteFunc(s.coming, other)
+	other := func(w *member) bool { return w.lastList != list }
+	coming := slices.DeleteFunc(s.added, other)
 	slices.SortFunc(coming, func(a, b *member) int { return cmp.Compare(a.hash, b.hash) })
 	staying := slices.DeleteFunc(s.members, other)
 	members := make([]*member, 0, len(staying)+len(coming))
@@ -153,21 +155,21 @@
 		}
 		members = append(members, w)
 	}
-	s.members, s.coming, s.leaving = append(members, coming...), nil, false
-	s.outs = 0
+	s.members, s.added, s.hasRemovals = append(members, coming...), nil, false
+	s.disabledCount = 0
 	s.marked.ClearAll()
 	for place, w := range s.members {
-		if w.place = place; w.pending() {
+		if w.index = place; w.isPending() {
 			s.marked.Set(uint(place))
 		}
-		if w.out {
-			s.outs++
+		if w.isDisabled {
+			s.disabledCount++
 		}
 	}
 }
 
 // hash is the FNV-1a of a name, mixed: the same at all schedulers.
-func hash(name string) uint64 {
+func hashName(name string) uint64 {
 	f := fnv.New64a()
 	f.Write([]byte(name))
 	h := f.Sum64()
--- a/internal/sites/members_test.go
+++ b/internal/sites/members_test.go
@@ -9,7 +9,7 @@
 )
 
 // requireInStep compares what is kept in step with what a walk over all members gives.
-func requireInStep(t require.TestingT, m *Machine) {
+func requireConsistent(t require.TestingT, m *Machine) {
 	all, out := 0, 0
 	for i := range m.sites {
 		s := &m.sites[i]
@@ -18,38 +18,38 @@
 		for place, w := range s.members {
 			require.Same(t, w, m.members[w.Worker])
 			require.Equal(t, i, w.Site)
-			require.Equal(t, place, w.place)
-			if w.pending() {
+			require.Equal(t, place, w.index)
+			if w.isPending() {
 				require.True(t, s.marked.Test(uint(place)), "%s is pending and not marked", w.Worker)
 			}
-			if w.out {
+			if w.isDisabled {
 				outs++
 			}
 		}
-		require.Equal(t, outs, s.outs)
-		require.Empty(t, s.coming)
+		require.Equal(t, outs, s.disabledCount)
+		require.Empty(t, s.added)
 		all += len(s.members)
 		out += outs
 	}
 	require.Equal(t, len(m.members), all)
-	require.Equal(t, all-out, m.left(-1))
+	require.Equal(t, all-out, m.enabledWorkers(-1))
 }
 
 // The members that are kept for each site, counted out and marked as pending are those that a walk finds.
 func TestMembersAreKeptInStep(t *testing.T) {
 	for _, asks := range []bool{true, false} {
 		sizes := []int{9, 1, 25}
-		d := newDigestWorld(Settings{MayAsk: asks, Own: 1}, 9, sizes...)
+		d := newDigestWorld(Settings{MayProbe: asks, OwnSite: 1}, 9, sizes...)
 		for range 300 {
 			if d.rng.IntN(2) == 0 {
 				d.changeList(len(sizes))
-				requireInStep(t, d.m)
+				requireConsistent(t, d.m)
 			}
-			d.fault(len(sizes))
-			requireInStep(t, d.m)
+			d.randomFault(len(sizes))
+			requireConsistent(t, d.m)
 			for range 10 {
-				d.run(d.now+Time(d.rng.IntN(300))*millisecond, Time(2+d.rng.IntN(60))*millisecond, d.job)
-				requireInStep(t, d.m)
+				d.run(d.now+Time(d.rng.IntN(300))*millisecond, Time(2+d.rng.IntN(60))*millisecond, d.randomWorker)
+				requireConsistent(t, d.m)
 			}
 		}
 	}
@@ -57,13 +57,13 @@
 
 // One name at two sites of one list is at the last that is named.
 func TestANameListedTwice(t *testing.T) {
-	w := newWorld(Settings{MayAsk: true}, 2, 2)
-	w.m.Listed(w.now, []Member{{"a", 0}, {"b", 0}, {"a", 1}})
-	requireInStep(t, w.m)
+	w := newWorld(Settings{MayProbe: true}, 2, 2)
+	w.m.UpdateWorkers(w.now, []Member{{"a", 0}, {"b", 0}, {"a", 1}})
+	requireConsistent(t, w.m)
 	require.Len(t, w.m.sites[0].members, 1)
 	require.Len(t, w.m.sites[1].members, 1)
-	w.m.Listed(w.now, []Member{{"new", 0}, {"new", 1}, {"new", 0}, {"b", 0}})
-	requireInStep(t, w.m)
+	w.m.UpdateWorkers(w.now, []Member{{"new", 0}, {"new", 1}, {"new", 0}, {"b", 0}})
+	requireConsistent(t, w.m)
 	require.Len(t, w.m.sites[0].members, 2)
 	require.Empty(t, w.m.sites[1].members)
 }
@@ -71,14 +71,14 @@
 // A turn looks at the members that owe an answer, however many are listed.
 func TestATurnLooksAtWhoIsPending(t *testing.T) {
 	for _, size := range []int{30, 300, 3000} {
-		w := newWorld(Settings{MayAsk: true}, size, size)
+		w := newWorld(Settings{MayProbe: true}, size, size)
 		for i := range 8 {
-			w.m.Asked(w.now, name(i%2, i))
+			w.m.ReplyExpected(w.now, workerName(i%2, i))
 		}
 		w.m.Turn(w.now)
 		require.EqualValues(t, 8, w.m.sites[0].marked.Count()+w.m.sites[1].marked.Count())
 		for i := range 8 {
-			w.m.Answered(w.now, name(i%2, i))
+			w.m.WorkerResponded(w.now, workerName(i%2, i))
 		}
 		w.m.Turn(w.now)
 		require.Zero(t, w.m.sites[0].marked.Count()+w.m.sites[1].marked.Count())
--- a/internal/sites/scale_test.go
+++ b/internal/sites/scale_test.go
@@ -13,9 +13,9 @@
 func BenchmarkTurn(b *testing.B) {
 	for _, members := range scaleSizes {
 		b.Run(fmt.Sprint(members, " members"), func(b *testing.B) {
-			w := newWorld(Settings{MayAsk: true}, members/3, members/3, members/3)
+			w := newWorld(Settings{MayProbe: true}, members/3, members/3, members/3)
 			for i := range 10 {
-				w.m.Asked(w.now, name(i%3, i))
+				w.m.ReplyExpected(w.now, workerName(i%3, i))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -28,17 +28,17 @@
 func BenchmarkListed(b *testing.B) {
 	for _, members := range scaleSizes {
 		b.Run(fmt.Sprint(members, " members"), func(b *testing.B) {
-			w := newWorld(Settings{MayAsk: true}, 1)
+			w := newWorld(Settings{MayProbe: true}, 1)
 			var list []Member
 			for i := range members {
-				list = append(list, Member{name(0, i), 0})
+				list = append(list, Member{workerName(0, i), 0})
 			}
-			w.m.Listed(w.now, list)
+			w.m.UpdateWorkers(w.now, list)
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
 				n++
-				w.m.Listed(w.now, list[:members-n%2])
+				w.m.UpdateWorkers(w.now, list[:members-n%2])
 			}
 		})
 	}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -57,16 +57,16 @@
 		Name: "n0", Listen: "127.0.0.1:0", Discovery: n.Farm.Address(), Seed: 1,
 		Limits: config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		Names: config.Names{Classes: []string{"board-view", "move", "settle"}, Zones: []string{"suva", "lautoka"},
-			Kinds: []string{"gen1"}, ConnIdle: 60_000_000},
+			Kinds: []string{"gen1"}, ConnIdleTimeout: 60_000_000},
 		Settings: rules.Settings{MayCancel: true, MaxAttempts: 4, RetryAfter: true, ReportsStart: true, Zones: 2, Kinds: 1,
 			ConnectTimeout: 150_000, AnswerSlack: 16_000, DrainGrace: 1_000_000, Classes: []rules.Class{
 				{LatencyTarget: 500_000, Deadline: 5_000_000, Value: 3, Effect: rules.Repeatable, Kind: -1},
 				{LatencyTarget: 1_000_000, Deadline: 10_000_000, Value: 2, Kind: -1},
 				{LatencyTarget: 1_200_000, Deadline: 20_000_000, Value: 10, Kind: -1}}},
-		Faktory: config.DefaultFaktory(), HTTP2: config.DefaultHTTP2(), StateFolder: t.TempDir(),
+		Faktory: config.DefaultFaktory(), HTTP2: config.DefaultHTTP2(), StateDir: t.TempDir(),
 	}
-	n.Conf.Known = n.Farm.Tell(true, entries("up", workers)...)
-	n.Farm.Whole(n.Conf.Known)
+	n.Conf.KnownWorkers = n.Farm.Tell(true, entries("up", workers)...)
+	n.Farm.Whole(n.Conf.KnownWorkers)
 	if change != nil {
 		change(n.Conf)
 	}
--- a/internal/world/faults_test.go
+++ b/internal/world/faults_test.go
@@ -82,7 +82,7 @@
 		if name == "directory" {
 			s.Directory = halves{20}
 		} else {
-			s.Ownership = &ownership.Settings{LeastShare: 1, Heartbeats: true, HeartbeatEvery: 200_000}
+			s.Ownership = &ownership.Settings{MinShare: 1, UsesHeartbeats: true, HeartbeatInterval: 200_000}
 		}
 		s.Faults = []Fault{{Kind: PauseScheduler, At: 9_000_000, For: 2_000_000, Scheduler: 1}}
 		f := Play(s)
--- a/internal/world/ownership.go
+++ b/internal/world/ownership.go
@@ -16,7 +16,7 @@
 func (x *scheduler) divideFleet() {
 	w := x.world
 	set := *w.set.Ownership
-	set.Self, set.Members = x.rank, w.set.Schedulers
+	set.Rank, set.Members = x.rank, w.set.Schedulers
 	set.Zone = ZoneOf(x.rank, w.set.Rules.Zones)
 	x.fleet = &fleetShare{scheduler: x}
 	x.fleet.table = ownership.New(set, w.now, x.fleet)
@@ -26,7 +26,7 @@
 func (s *fleetShare) turn() {
 	x, now := s.scheduler, s.scheduler.world.now
 	occupied := 0.0
-	if s.table.Divided() {
+	if s.table.IsDivided() {
 		occupied = x.dispatcher.Utilization(now)
 	}
 	next := s.table.Turn(now, occupied)
@@ -40,7 +40,7 @@
 
 // listed tells the table of workers and gives what the decisions are told of them.
 func (s *fleetShare) listed(whole bool, entries []rules.ListEntry) (kept []rules.ListEntry) {
-	update := ownership.Update{Whole: whole}
+	update := ownership.Update{IsSnapshot: whole}
 	for _, e := range entries {
 		if e.State == rules.Gone {
 			update.Removed = append(update.Removed, string(e.Worker))
@@ -49,9 +49,9 @@
 		}
 	}
 	x := s.scheduler
-	s.table.Listed(x.world.now, update)
+	s.table.UpdateWorkers(x.world.now, update)
 	for _, e := range entries {
-		holds := e.State != rules.Gone && s.table.Holds(string(e.Worker))
+		holds := e.State != rules.Gone && s.table.InShare(string(e.Worker))
 		place := x.world.byID[e.Worker].place
 		known := x.knows[place]
 		x.knows[place] = holds
@@ -66,14 +66,14 @@
 }
 
 // Enter implements ownership.Actions, like the methods below.
-func (s *fleetShare) Enter(name string) {
+func (s *fleetShare) AcquireWorker(name string) {
 	t := s.scheduler.world.byID[rules.WorkerID(name)]
 	s.scheduler.knows[t.place] = true
 	s.changed = append(s.changed, t.entry)
 }
 
 // Leave has the decisions send nothing new to a worker.
-func (s *fleetShare) Leave(name string) {
+func (s *fleetShare) ReleaseWorker(name string) {
 	t := s.scheduler.world.byID[rules.WorkerID(name)]
 	s.scheduler.knows[t.place] = false
 	gone := t.entry
@@ -82,12 +82,12 @@
 }
 
 // Divide tells the decisions how a kind is divided.
-func (s *fleetShare) Divide(d ownership.Division) {
-	s.scheduler.dispatcher.SetSharing(d.Kind, d.Senders, d.Foreign)
+func (s *fleetShare) SetDivision(d ownership.Division) {
+	s.scheduler.dispatcher.SetSharing(d.Kind, d.ColdSenders, d.ForeignLoad)
 }
 
 // Member is not counted here.
-func (s *fleetShare) Member(int, bool) {}
+func (s *fleetShare) MemberChanged(int, bool) {}
 
 // Broadcast sends a heartbeat to all other schedulers.
 func (s *fleetShare) Broadcast(h ownership.Heartbeat) {
@@ -95,7 +95,7 @@
 	data := h.Append(nil)
 	x.broadcast(len(data), func(y *scheduler) {
 		if heartbeat, err := ownership.ParseHeartbeat(data); err == nil && y.fleet != nil {
-			y.fleet.table.Heard(x.world.now, x.rank, heartbeat)
+			y.fleet.table.HandleHeartbeat(x.world.now, x.rank, heartbeat)
 		}
 	})
 }
