--- a/internal/ownership/api.go
+++ b/internal/ownership/api.go
@@ -1,28 +1,30 @@
-// Package ownership divides a large fleet of workers among the schedulers that send to it. Each worker has an owner
-// among the live schedulers, found by rendezvous hashing, so that a scheduler keeps state, connections and probes for
-// its own part of the fleet only. The package is a state machine without I/O, clock or goroutine: events in, actions
-// out. It never chooses a worker for a job; that is what package rules does, among the workers that it is handed.
+// Package ownership divides a large fleet of workers among the schedulers, so that each scheduler keeps state,
+// connections and probes for its own share only. Package core feeds it events and executes the actions that it emits; it
+// does no I/O, reads no clock and starts no goroutine. It does not choose a worker for a job: package rules does, among
+// the workers of the share.
 //
 // # Rendezvous hashing
 //
-// For each worker all live members are ordered by a hash of the pair and the member's weight; a member of the worker's
-// zone may weigh more. The first is the worker's owner, the next one takes its place when it dies, and so on. Every
-// member finds the same order without a message, and a member that joins or leaves changes the owner of its own
+// For each worker the live members (schedulers) are ranked by a hash of the pair and by the member's weight; members in
+// the worker's zone may get a bonus. The first member is the worker's owner, and the next one replaces it when it dies.
+// All members compute the same ranking without messages, and a member that joins or leaves changes the owner of its own
 // workers only.
 //
 // # With heartbeats
 //
-// Where members may send one another messages, each sends a heartbeat in equal intervals, and one that was not heard
-// for Settings.ExpireAfter is taken for dead. The heartbeat tells the member's weight and which part of its share's
-// slots its jobs take. Each member moves its own weight in small steps until that part is the same at all, so that
-// unlike loads of the schedulers, of the zones and of the shares even out, and each worker still has one owner.
+// Where members may exchange messages, each broadcasts a heartbeat at a fixed interval and expires members whose last
+// heartbeat is older than Settings.ExpireAfter. A heartbeat contains the member's weight and the utilization of its
+// share, the fraction of the slots that its own jobs occupy. Each member adjusts its weight in small steps until the
+// utilization of all members is equal. Uneven loads of schedulers, zones and shares even out, and each worker still has
+// one owner.
 //
-// # Without
+// # Without heartbeats
 //
-// Where they may not, all members are taken to be alive, and all weights are equal. A scheduler's span tells how far
-// down the workers' orders it goes: 1 is the workers that it owns, 2 those for which it is the next one as well, and
-// the number of members is the whole fleet. It grows in small steps while its workers are busy, and shrinks again when
-// they are not: unlike loads even out, and the workers of a dead member are reached as the others get its load.
+// Where members may not exchange messages, all members are assumed to be alive and have equal weights. A scheduler's
+// span is the number of positions in the workers' rankings that it covers: 1 covers the workers that it owns, 2 also
+// those for which it is second, and the number of members covers the whole fleet. The span grows in small steps while
+// the share is busy and shrinks while it is not. Uneven loads even out, and the workers of a dead member are used again
+// as the other schedulers receive its load.
 package ownership
 
 import (
@@ -30,52 +32,53 @@
 	"fmt"
 )
 
-// Time is a point on, or a length of, the host's clock, in microseconds. The clock never goes back.
+// Time is an instant or a duration of the host's monotonic clock, in microseconds.
 type Time = int64
 
-// Lengths of time.
+// Durations.
 const (
 	Millisecond Time = 1_000
 	Second      Time = 1_000_000
 )
 
-// AnyZone is the zone of a member of which none is known.
+// UnknownZone is the zone of a member whose zone is not known.
 const UnknownZone = -1
 
-// Worker is what has to be known of a worker to find its owner.
+// Worker holds the attributes of a worker that determine its owner.
 type Worker struct {
 	Name      string
 	Zone      int
 	Kind      int
-	StartedAt Time // 0: long ago
+	StartedAt Time // 0: unknown, treated as warm
 }
 
-// Settings are given once, at the start. A zero value stands for the default noted.
+// Settings configures a Table. A zero value selects the default noted at the field.
 type Settings struct {
-	Rank    int // the rank of this scheduler, from 0 to Members-1
+	Rank    int // this scheduler's rank, from 0 to Members-1
 	Members int
-	Zone    int // this scheduler's own; AnyZone: none
-	// LeastShare is the number of workers of one kind for each member from which on the kind is divided. Fewer are
-	// known whole to all members. 0: 256.
+	Zone    int // this scheduler's zone, or UnknownZone
+	// MinShare is the number of workers of one kind per member at which the kind is divided. Below it every member uses
+	// all workers of the kind. 0: 256.
 	MinShare int
-	// Heartbeats tells that members may send one another messages.
+	// UsesHeartbeats reports whether members may exchange messages.
 	UsesHeartbeats bool
-	// NearFirst tells that a job at a worker of another zone has a price: members of a worker's zone come first.
+	// PrefersOwnZone ranks members in a worker's zone first, because jobs sent to another zone have a cost.
 	PrefersOwnZone    bool
 	HeartbeatInterval Time // 0: 2 s
 	ExpireAfter       Time // 0: 3.5 times HeartbeatEvery
-	AdjustInterval    Time // the span is looked at this often, and the share brought up to date within it; 0: 1 s
-	// ColdFor is how long after its start a worker counts as cold. A cold worker is its owner's alone. 0: 30 s.
+	AdjustInterval    Time // of the span; all workers are updated once within it; 0: 1 s
+	// SlowStartWindow is the time after its start during which a worker is cold. Only its owner uses a cold worker.
+	// 0: 30 s.
 	SlowStartWindow Time
-	// GrowAbove and ShrinkBelow are the parts of the share's slots that are taken by this scheduler's own jobs at
-	// which the span grows and shrinks. 0: 0.95 and 0.85.
+	// GrowAbove and ShrinkBelow are the utilizations of the share by this scheduler's own jobs above which the span
+	// grows and below which it shrinks. 0: 0.95 and 0.85.
 	GrowAbove, ShrinkBelow float64
 }
 
-// Sizes and bounds.
+// Limits.
 const (
-	MaxMembers = 4096    // a setting over it is refused
-	MaxWorkers = 500_000 // workers beyond are not divided: their names are left out and counted
+	MaxMembers = 4096    // larger values of Settings.Members are rejected
+	MaxWorkers = 500_000 // further workers are omitted from the table and counted
 
 	defaultMinShare          = 256
 	defaultHeartbeatInterval = 2 * Second
@@ -85,15 +88,15 @@
 	defaultShrinkBelow       = 0.85
 )
 
-// Errors of the settings.
+// Errors that Settings.Check wraps.
 var (
 	ErrMembers    = errors.New("the number of members is out of range")
-	ErrRank       = errors.New("the own rank is not among the members")
-	ErrThresholds = errors.New("the thresholds of the span are out of order")
-	ErrExpiry     = errors.New("a member would expire between two heartbeats")
+	ErrRank       = errors.New("the scheduler's rank is out of range")
+	ErrThresholds = errors.New("the span thresholds are out of order")
+	ErrExpiry     = errors.New("the expiry time does not exceed the heartbeat interval")
 )
 
-// Check tells what is wrong with the settings; nil: nothing.
+// Check validates the settings. It wraps ErrMembers, ErrRank, ErrThresholds or ErrExpiry.
 func (s Settings) Check() error {
 	s = s.withDefaults()
 	switch {
@@ -120,40 +123,40 @@
 	return s
 }
 
-func setDefault[T int | Time | float64](value *T, otherwise T) {
+func setDefault[T int | Time | float64](value *T, fallback T) {
 	if *value == 0 {
-		*value = otherwise
+		*value = fallback
 	}
 }
 
-// Update is news of the workers.
+// Update is a worker list update.
 type Update struct {
-	IsSnapshot bool // these are all workers there are
+	IsSnapshot bool // Listed holds all workers
 	Listed     []Worker
 	Removed    []string
 }
 
-// Actions is what a Table asks of its host.
+// Actions are the effects that a Table emits for its host to execute.
 type Actions interface {
-	// Enter tells that the scheduler may send to the worker from now on.
+	// AcquireWorker adds a worker to the share: the scheduler may send to it.
 	AcquireWorker(worker string)
-	// Leave tells that it sends nothing new there. What is in hand there goes on.
+	// ReleaseWorker removes a worker from the share: it gets no new attempts. Attempts in flight continue.
 	ReleaseWorker(worker string)
-	// Divide tells how the workers of a kind are divided from now on. Before the first call they are not.
+	// SetDivision sets how the workers of a kind are divided. Until the first call for a kind it is not divided.
 	SetDivision(d Division)
-	// Member tells that a member was taken for dead, or is back.
+	// MemberChanged reports that a member expired, left or came back.
 	MemberChanged(rank int, alive bool)
-	// Broadcast sends a heartbeat to all other members. It may be lost.
+	// Broadcast sends a heartbeat to all other members. Delivery is not guaranteed.
 	Broadcast(h Heartbeat)
 }
 
-// Division tells how the workers of one kind are divided at present.
+// Division describes how the workers of one kind are divided.
 type Division struct {
-	Kind      int // AllKinds: what holds for a job that any kind may run
+	Kind      int // AllKinds: for jobs that any kind may run
 	IsDivided bool
-	// Senders is the number of schedulers that may send to a cold worker of the share at once, while views of the
-	// membership differ.
+	// ColdSenders is the maximum number of schedulers that may send to a cold worker of the share at the same time while
+	// their views of the membership differ.
 	ColdSenders int
-	// Foreign is the part of the load on the share's workers that may be other schedulers', from 0 to 1.
+	// ForeignLoad is the maximum fraction, from 0 to 1, of the load on the share's workers that other schedulers cause.
 	ForeignLoad float64
 }
--- a/internal/ownership/bench_test.go
+++ b/internal/ownership/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// nobody takes what a table asks for.
+// discardActions implements Actions by doing nothing.
 type discardActions struct{}
 
 func (discardActions) AcquireWorker(string)    {}
@@ -14,7 +14,8 @@
 func (discardActions) MemberChanged(int, bool) {}
 func (discardActions) Broadcast(Heartbeat)     {}
 
-// BenchmarkSecond is what a second costs at rest: sixteen turns that bring the share up to date.
+// BenchmarkSecond measures one second of an idle table: the turns in which all workers are updated once, and the
+// heartbeats of the other members.
 func BenchmarkSecond(b *testing.B) {
 	for _, workers := range []int{8192, 33_000} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
@@ -34,7 +35,7 @@
 	}
 }
 
-// BenchmarkWholeList is what the first list costs.
+// BenchmarkWholeList measures a table's first worker list.
 func BenchmarkWholeList(b *testing.B) {
 	list := newWorkers(33_000, 19)
 	for range b.N {
--- a/internal/ownership/hash.go
+++ b/internal/ownership/hash.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// pairHash is that of a member and a worker: the same at all schedulers.
+// pairHash hashes a member and a worker. All schedulers compute the same value.
 func pairHash(member, worker uint64) uint64 {
 	var pair [16]byte
 	binary.LittleEndian.PutUint64(pair[:8], member)
@@ -15,12 +15,13 @@
 	return xxhash.Sum64(pair[:])
 }
 
-// fraction is a number from 0 to under 1, drawn for a pair and independent of its hash in the other order.
+// pairFraction returns a pseudo-random number in [0, 1) for a pair. It hashes the pair in reverse order, so that it is
+// independent of pairHash.
 func pairFraction(worker, member uint64) float64 {
 	return float64(pairHash(worker, member)>>11) / (1 << 53)
 }
 
-// memberHash stands for a member.
+// memberHash hashes a member's rank.
 func memberHash(rank int) uint64 {
 	var number [8]byte
 	binary.LittleEndian.PutUint64(number[:], uint64(rank))
@@ -29,8 +30,8 @@
 
 const gumbelBits = 16
 
-// gumbel holds -ln(-ln u) for evenly spaced u. In weighted rendezvous hashing the member with the greatest
-// -w/ln(u) owns a worker, which is the one with the greatest ln(w) + gumbel(u).
+// gumbel holds -ln(-ln u) for evenly spaced u. In weighted rendezvous hashing the member with the greatest -w/ln(u) owns
+// a worker; that is the member with the greatest ln(w) + gumbel(u).
 var gumbel = func() *[1 << gumbelBits]float32 {
 	table := new([1 << gumbelBits]float32)
 	for i := range table {
@@ -40,7 +41,7 @@
 	return table
 }()
 
-// place is a member's in the order of a worker: the greater score comes first, then the greater hash.
+// priority orders the members in a worker's ranking: by descending score, then by descending hash.
 type priority struct {
 	score float64
 	hash  uint64
@@ -50,12 +51,12 @@
 	return p.score > other.score || p.score == other.score && p.hash > other.hash
 }
 
-// placeOf gives a member's place for a worker. Near is what a member of the worker's zone has more.
-func priorityOf(m *member, worker uint64, zone int, near float64) priority {
+// priorityOf returns a member's priority for a worker. zoneBonus is added to the score of a member in the worker's zone.
+func priorityOf(m *member, worker uint64, zone int, zoneBonus float64) priority {
 	hash := pairHash(m.hash, worker)
 	score := m.appliedWeight + float64(gumbel[hash>>(64-gumbelBits)])
 	if m.zone != UnknownZone && m.zone == zone {
-		score += near
+		score += zoneBonus
 	}
 	return priority{score, hash}
 }
--- a/internal/ownership/heartbeat.go
+++ b/internal/ownership/heartbeat.go
@@ -6,52 +6,52 @@
 	"math"
 )
 
-// HeartbeatSize is the length of an encoded heartbeat, in bytes. It is no multiple of the length of a record of package
-// rules, so that neither can be taken for the other.
+// HeartbeatSize is the length of an encoded heartbeat, in bytes. It is not a multiple of the record length of package
+// rules' peer messages, so that neither can be mistaken for the other.
 const HeartbeatSize = 6
 
 const (
 	heartbeatVersion   = 0xb2
-	weightStepsPerUnit = 40 // steps of a weight's logarithm in an encoded heartbeat, for each whole
+	weightStepsPerUnit = 40 // encoding steps per unit of the weight's logarithm
 	weightOffset       = 128
-	utilizationSteps   = 64 // the same of the part of slots that is taken
+	utilizationSteps   = 64 // encoding steps per unit of utilization
 	encodedUnknownZone = math.MaxUint16
 	flagLeaving        = 1
 )
 
-// ErrHeartbeat tells of bytes that are no heartbeat of a known version.
+// ErrHeartbeat reports data that is not a heartbeat of a known version.
 var ErrHeartbeat = errors.New("not a heartbeat")
 
-// Heartbeat tells the other members that one is alive, and what they need to know of it.
+// Heartbeat reports to the other members that a member is alive, with its zone, weight and load.
 type Heartbeat struct {
-	Zone        int     // AnyZone: none
-	Weight      float64 // natural logarithm of the member's weight, to a fortieth, from -3 to 3
-	Utilization float64 // part of its share's slots that its jobs take, to a 64th, up to 3.9
-	// Leaving tells that the member ends in order: its workers are the others' at once.
+	Zone        int     // or UnknownZone
+	Weight      float64 // natural logarithm of the member's weight, -3 to 3; encoded in steps of 1/40
+	Utilization float64 // of its share's slots by its own jobs, 0 to 3.9; encoded in steps of 1/64
+	// IsLeaving reports an orderly shutdown: the other members own its workers immediately.
 	IsLeaving bool
 }
 
-// IsHeartbeat tells whether a message of a peer is one.
+// IsHeartbeat reports whether a peer message is a heartbeat.
 func IsHeartbeat(data []byte) bool { return len(data) == HeartbeatSize && data[0] == heartbeatVersion }
 
-// Append adds the encoded heartbeat.
-func (h Heartbeat) Append(to []byte) []byte {
+// Append appends the encoded heartbeat to b.
+func (h Heartbeat) Append(b []byte) []byte {
 	zone := uint16(encodedUnknownZone)
 	if h.Zone >= 0 && h.Zone < encodedUnknownZone {
 		zone = uint16(h.Zone)
 	}
-	to = append(to, heartbeatVersion)
-	to = binary.BigEndian.AppendUint16(to, zone)
+	b = append(b, heartbeatVersion)
+	b = binary.BigEndian.AppendUint16(b, zone)
 	flags := byte(0)
 	if h.IsLeaving {
 		flags |= flagLeaving
 	}
 	weight := math.Round(quantizeWeight(h.Weight)*weightStepsPerUnit) + weightOffset
-	occupied := math.Round(min(max(0, h.Utilization)*utilizationSteps, math.MaxUint8))
-	return append(to, byte(weight), byte(occupied), flags)
+	utilization := math.Round(min(max(0, h.Utilization)*utilizationSteps, math.MaxUint8))
+	return append(b, byte(weight), byte(utilization), flags)
 }
 
-// ParseHeartbeat decodes a heartbeat.
+// ParseHeartbeat decodes a heartbeat, or returns ErrHeartbeat.
 func ParseHeartbeat(data []byte) (Heartbeat, error) {
 	if !IsHeartbeat(data) {
 		return Heartbeat{}, ErrHeartbeat
--- a/internal/ownership/members.go
+++ b/internal/ownership/members.go
@@ -2,17 +2,18 @@
 
 import "math"
 
-// members is the membership as one scheduler sees it.
+// members is one scheduler's view of the membership.
 type members struct {
 	cfg           *Settings
 	byRank        []member
 	liveCount     int
 	lastTurn      Time
-	settledAt     Time // from then on the membership is believed, and cold workers are taken on
-	nextHeartbeat Time // of the next heartbeat
-	// epoch counts the changes of who is alive and in which zone. Each may change the order of any worker.
+	settledAt     Time // time from which the membership is complete enough to acquire cold workers
+	nextHeartbeat Time
+	// epoch counts the changes of the set of live members and of their zones. Each may change the ranking of any worker.
 	epoch int
-	// drift is how far two members' places may have moved against each other by weights, at most, since the start.
+	// drift is an upper bound on how far weight changes have moved this member's score against any other's since the
+	// start.
 	drift float64
 }
 
@@ -20,22 +21,22 @@
 	hash          uint64
 	zone          int
 	isAlive       bool
-	hasHeartbeat  bool // a heartbeat of it came
+	hasHeartbeat  bool // at least one was received
 	lastSeen      Time
-	weight        float64 // natural logarithm of its weight in rendezvous hashing
-	appliedWeight float64 // the weight by which workers are ordered in the present round
+	weight        float64 // natural logarithm of the weight in rendezvous hashing
+	appliedWeight float64 // weight that ranks the workers in the current update round
 	utilization   float64
 }
 
 const (
-	// settleBeats is the number of heartbeat intervals in which all other live members should have been heard.
+	// settleIntervals is the number of heartbeat intervals within which every live member's heartbeat should arrive.
 	settleIntervals = 1.5
 
-	weightGain      = 0.3  // part of the difference to the mean, as logarithms, that is corrected with each heartbeat
-	maxWeightStep   = 0.05 // of the logarithm, at most with each heartbeat: the share changes by a twentieth
-	weightTolerance = 0.05 // a difference under it is let be
-	maxLogWeight    = 3.0  // of the logarithm, either way
-	idleUtilization = 0.02 // mean part of slots taken under which the weights go back to 1
+	weightGain      = 0.3  // fraction of the logarithmic difference to the mean that each heartbeat corrects
+	maxWeightStep   = 0.05 // of the logarithm, per heartbeat: the share changes by a twentieth
+	weightTolerance = 0.05 // smaller differences are not corrected
+	maxLogWeight    = 3.0  // absolute value
+	idleUtilization = 0.02 // mean utilization below which the weights return to 1
 )
 
 func newMembers(set *Settings, now Time) members {
@@ -50,44 +51,44 @@
 
 func (m *members) self() *member { return &m.byRank[m.cfg.Rank] }
 
-// settle waits until the other members may have been heard again.
+// delaySettling postpones settledAt until the other members' next heartbeats should have arrived.
 func (m *members) delaySettling(now Time) {
 	if m.cfg.UsesHeartbeats {
 		m.settledAt = now + Time(settleIntervals*float64(m.cfg.HeartbeatInterval))
 	}
 }
 
-// hear takes a heartbeat, and tells whether the member was taken for alive before, and is now.
-func (m *members) handleHeartbeat(now Time, rank int, h Heartbeat) (was, is bool) {
+// handleHeartbeat records a member's heartbeat. It reports whether the member was alive before and is alive now.
+func (m *members) handleHeartbeat(now Time, rank int, h Heartbeat) (wasAlive, isAlive bool) {
 	if rank < 0 || rank >= len(m.byRank) || rank == m.cfg.Rank {
 		return false, false
 	}
-	x := &m.byRank[rank]
-	was = x.isAlive
+	peer := &m.byRank[rank]
+	wasAlive = peer.isAlive
 	if h.IsLeaving {
-		m.markDead(x)
-		return was, false
+		m.markDead(peer)
+		return wasAlive, false
 	}
-	if !x.isAlive {
+	if !peer.isAlive {
 		m.liveCount++
 	}
-	if !x.isAlive || x.zone != h.Zone {
+	if !peer.isAlive || peer.zone != h.Zone {
 		m.epoch++
 	}
-	x.isAlive, x.hasHeartbeat, x.lastSeen = true, true, now
-	x.zone, x.weight, x.utilization = h.Zone, h.Weight, h.Utilization
-	return was, true
+	peer.isAlive, peer.hasHeartbeat, peer.lastSeen = true, true, now
+	peer.zone, peer.weight, peer.utilization = h.Zone, h.Weight, h.Utilization
+	return wasAlive, true
 }
 
-func (m *members) markDead(x *member) {
-	if x.isAlive {
-		x.isAlive = false
+func (m *members) markDead(peer *member) {
+	if peer.isAlive {
+		peer.isAlive = false
 		m.liveCount--
 		m.epoch++
 	}
 }
 
-// applyWeights begins a round, whose order goes by the weights as they are now.
+// applyWeights starts an update round, which ranks the workers by the current weights.
 func (m *members) applyWeights() {
 	own, others := 0.0, 0.0
 	for i := range m.byRank {
@@ -102,8 +103,8 @@
 	m.drift += own + others
 }
 
-// wake notices that the host was stopped for so long that others may have taken this scheduler for dead. What was not
-// heard meanwhile proves nothing against the others: each has until the next heartbeats are due.
+// resumeAfterPause detects that the host was stopped for so long that other members may have expired this scheduler.
+// Missing heartbeats during the pause are no evidence against the others: each gets until the next heartbeats are due.
 func (m *members) resumeAfterPause(now Time) {
 	if m.cfg.UsesHeartbeats && now-m.lastTurn > m.cfg.ExpireAfter/2 {
 		m.delaySettling(now)
@@ -115,30 +116,30 @@
 	m.lastTurn = now
 }
 
-// expire gives the members that were not heard for too long, and takes them for dead.
+// expire marks members dead whose last heartbeat is older than Settings.ExpireAfter, and returns their ranks.
 func (m *members) expire(now Time) (dead []int) {
 	if !m.cfg.UsesHeartbeats {
 		return nil
 	}
 	for i := range m.byRank {
-		if x := &m.byRank[i]; i != m.cfg.Rank && x.isAlive && now-x.lastSeen > m.cfg.ExpireAfter {
-			m.markDead(x)
+		if peer := &m.byRank[i]; i != m.cfg.Rank && peer.isAlive && now-peer.lastSeen > m.cfg.ExpireAfter {
+			m.markDead(peer)
 			dead = append(dead, i)
 		}
 	}
 	return dead
 }
 
-// balance moves the own weight towards that at which as much of the own share is taken as of the others'.
-func (m *members) adjustWeight(occupied float64) {
+// adjustWeight moves this member's weight towards the value at which its utilization equals the mean.
+func (m *members) adjustWeight(utilization float64) {
 	self := m.self()
-	self.utilization = occupied
+	self.utilization = utilization
 	mean := m.meanUtilization()
 	if mean < idleUtilization {
 		self.weight = quantizeWeight(self.weight * (1 - 2*maxWeightStep))
 		return
 	}
-	difference := math.Log(max(occupied, idleUtilization/2) / mean)
+	difference := math.Log(max(utilization, idleUtilization/2) / mean)
 	if math.Abs(difference) < weightTolerance {
 		return
 	}
@@ -146,12 +147,12 @@
 	self.weight = quantizeWeight(self.weight + step)
 }
 
-// rounded is a weight as a heartbeat tells it: all members have to find the same order by it.
+// quantizeWeight rounds a weight to a value that a heartbeat can encode, so that all members compute the same ranking.
 func quantizeWeight(weight float64) float64 {
 	return math.Round(min(max(weight, -maxLogWeight), maxLogWeight)*weightStepsPerUnit) / weightStepsPerUnit
 }
 
-// meanOccupied is the mean over the live members that are known.
+// meanUtilization is the mean over the live members that have sent a heartbeat.
 func (m *members) meanUtilization() float64 {
 	sum, count := 0.0, 0
 	for i := range m.byRank {
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -7,39 +7,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// AllKinds stands for the workers of all kinds together.
+// AllKinds denotes the workers of all kinds together.
 const AllKinds = -1
 
 const (
-	spanGrowStep   = 1.0 / 8  // of the span, each Settings.AdjustEvery
-	spanShrinkStep = 1.0 / 32 // the same
-	// keepDivided is the part of the least share down to which a kind that is divided stays so: a list that grows and
-	// shrinks by a few workers would move all of them otherwise.
+	spanGrowStep   = 1.0 / 8  // added to the span per Settings.AdjustInterval
+	spanShrinkStep = 1.0 / 32 // subtracted from it
+	// undivideFraction is the fraction of Settings.MinShare below which a divided kind becomes undivided. Without this
+	// hysteresis a list that grows and shrinks by a few workers would move all of them.
 	undivideFraction = 0.8
-	// coldSenders is the number of schedulers that may send to a cold worker while they differ about the membership:
-	// the one that owned it and the one that does now.
+	// maxColdSenders is the number of schedulers that may send to a cold worker while their views of the membership
+	// differ: its previous owner and its current one.
 	maxColdSenders = 2
-	// nearer is the logarithm of the factor by which a member of a worker's zone weighs more than others. Nearly all
-	// of a zone's workers are its members', unless those have far more workers for their jobs than others have.
+	// ownZoneBonus is the logarithm of the factor by which a member's weight is greater for workers in its zone. Nearly
+	// all workers of a zone are owned by its members, unless these have far more workers for their jobs than others.
 	ownZoneBonus = 5.3
-	updateTurns  = 16 // turns in which all workers are brought up to date
+	updateTurns  = 16 // number of turns in which all workers are updated once
 
-	minForeignChange = 0.02 // a change of Division.Foreign under it is not told
+	minForeignChange = 0.02 // smaller changes of Division.ForeignLoad are not reported
 )
 
-// Table knows all workers and which of them are this scheduler's share. One goroutine at a time uses it.
+// Table holds all workers and decides which of them form this scheduler's share. It is not safe for concurrent use.
 type Table struct {
 	cfg               Settings
 	actions           Actions
 	members           members
-	byName            map[string]int // places in workers
+	byName            map[string]int // indices in workers
 	workers           []worker
 	kinds             map[int]*kind
 	span              float64
-	zoneBonus         float64 // what a member of a worker's zone has more in the worker's order
-	adjustAt          Time    // when the span is looked at next
-	updatedCount      int     // workers that were brought up to date in this round
-	positionsComputed uint64  // orders that were worked out, so far
+	zoneBonus         float64 // added to the score of members in a worker's zone
+	adjustAt          Time    // time of the next adjustment of the span
+	updatedCount      int     // workers updated in the current round
+	positionsComputed uint64  // total, for tests
 	reported          map[int]Division
 	omittedCount      int
 	isLeaving         bool
@@ -48,19 +48,19 @@
 type worker struct {
 	Worker
 	hash       uint64
-	spanOffset float64 // from 0 to under 1: how far within a whole step of the span the worker lies
+	spanOffset float64 // in [0, 1): spreads the workers of one position over a whole step of the span
 	position
 	kind     *kind
 	inShare  bool
 	isListed bool
 }
 
-// order is this scheduler's place in a worker's order, as it was when it was last worked out.
+// position is this scheduler's position in a worker's ranking when it was last computed.
 type position struct {
-	membersAhead int     // live members that come before this scheduler
-	margin       float64 // between its score and the best of the others': so far weights may move without changing the owner
-	epoch        int     // of the members, then
-	drift        float64 // the same
+	membersAhead int     // live members ranked before this scheduler
+	margin       float64 // difference to the best other score; the owner can't change while drift grows by less
+	epoch        int     // members.epoch at that time
+	drift        float64 // members.drift at that time
 }
 
 type kind struct {
@@ -69,7 +69,7 @@
 	isDivided bool
 }
 
-// New makes a table without workers. The settings must have passed Check.
+// New returns a table without workers. The settings must have passed Check.
 func New(set Settings, now Time, act Actions) *Table {
 	t := &Table{cfg: set.withDefaults(), actions: act, byName: map[string]int{}, kinds: map[int]*kind{}, span: 1, adjustAt: now,
 		reported: map[int]Division{}}
@@ -80,34 +80,35 @@
 	return t
 }
 
-// Span is how far down the workers' orders the scheduler goes at present.
+// Span returns the number of positions in the workers' rankings that the share covers, from 1 to the number of members.
 func (t *Table) Span() float64 { return t.span }
 
-// Weight is this scheduler's against that of others, by which its share is larger or smaller; 1: as much.
+// Weight returns this scheduler's weight, to which the size of its share is proportional; 1 is neutral.
 func (t *Table) Weight() float64 { return math.Exp(t.members.self().weight) }
 
-// Live is the number of members taken to be alive, this scheduler among them.
+// LiveMembers returns the number of live members, including this scheduler.
 func (t *Table) LiveMembers() int { return t.members.liveCount }
 
-// Held is the number of workers of the share, and Size that of all.
-func (t *Table) ShareSize() (held, size int) {
+// ShareSize returns the number of workers in the share and in the whole table.
+func (t *Table) ShareSize() (inShare, total int) {
 	for _, k := range t.kinds {
-		held += k.inShare
+		inShare += k.inShare
 	}
-	return held, len(t.workers)
+	return inShare, len(t.workers)
 }
 
-// LeftOut is the number of workers that were not taken on, for being over MostWorkers.
+// OmittedWorkers returns how many times a worker was omitted because the table held MaxWorkers already.
 func (t *Table) OmittedWorkers() int { return t.omittedCount }
 
-// Holds tells whether the scheduler may send to the worker.
+// InShare reports whether the scheduler may send to the worker.
 func (t *Table) InShare(name string) bool {
-	at, known := t.byName[name]
-	return known && t.workers[at].inShare
+	index, known := t.byName[name]
+	return known && t.workers[index].inShare
 }
 
-// Listed takes news of the workers. Whether those that it names are part of the share is decided at once, without
-// Enter and Leave: the host asks Holds for each. What follows for others comes with the next Turn.
+// UpdateWorkers applies a worker list update. It decides at once whether the listed workers are in the share, without
+// calling AcquireWorker or ReleaseWorker: the host calls InShare for each. Consequences for other workers follow in the
+// next turns.
 func (t *Table) UpdateWorkers(now Time, u Update) {
 	if u.IsSnapshot {
 		for i := range t.workers {
@@ -125,38 +126,38 @@
 	}
 	t.updateDivisions()
 	for _, w := range u.Listed {
-		if at, known := t.byName[w.Name]; known {
-			t.setInShare(at, t.belongsToShare(now, &t.workers[at]))
+		if index, known := t.byName[w.Name]; known {
+			t.setInShare(index, t.belongsToShare(now, &t.workers[index]))
 		}
 	}
 }
 
 func (t *Table) removeUnlisted() {
-	var gone []string
+	var unlisted []string
 	for i := range t.workers {
 		if !t.workers[i].isListed {
-			gone = append(gone, t.workers[i].Name)
+			unlisted = append(unlisted, t.workers[i].Name)
 		}
 	}
-	for _, name := range gone {
+	for _, name := range unlisted {
 		t.remove(name)
 	}
 }
 
-// put adds a worker or brings it up to date.
+// upsert adds a worker or updates it.
 func (t *Table) upsert(w Worker) {
-	at, known := t.byName[w.Name]
+	index, known := t.byName[w.Name]
 	if !known {
 		if len(t.workers) >= MaxWorkers {
 			t.omittedCount++
 			return
 		}
-		at = len(t.workers)
-		t.byName[w.Name] = at
+		index = len(t.workers)
+		t.byName[w.Name] = index
 		hash := xxhash.Sum64String(w.Name)
 		t.workers = append(t.workers, worker{hash: hash, spanOffset: pairFraction(hash, t.members.byRank[t.cfg.Rank].hash)})
 	}
-	x := &t.workers[at]
+	x := &t.workers[index]
 	if known && x.Kind != w.Kind {
 		t.countKind(x, -1)
 	}
@@ -164,24 +165,24 @@
 		x.Kind = w.Kind
 		t.countKind(x, 1)
 	}
-	moved := !known || x.Zone != w.Zone
+	zoneChanged := !known || x.Zone != w.Zone
 	x.Worker, x.isListed = w, true
-	if moved {
+	if zoneChanged {
 		x.position = t.computePosition(x)
 	}
 }
 
-// count counts the worker among those of its kind, or no more.
-func (t *Table) countKind(w *worker, one int) {
+// countKind adds delta, 1 or -1, for the worker to the counts of its kind.
+func (t *Table) countKind(w *worker, delta int) {
 	k := t.kinds[w.Kind]
 	if k == nil {
 		k = &kind{}
 		t.kinds[w.Kind] = k
 	}
 	w.kind = k
-	k.count += one
+	k.count += delta
 	if w.inShare {
-		k.inShare += one
+		k.inShare += delta
 	}
 	if k.count == 0 {
 		delete(t.kinds, w.Kind)
@@ -189,34 +190,34 @@
 }
 
 func (t *Table) remove(name string) {
-	at, known := t.byName[name]
+	index, known := t.byName[name]
 	if !known {
 		return
 	}
-	t.countKind(&t.workers[at], -1)
+	t.countKind(&t.workers[index], -1)
 	delete(t.byName, name)
 	last := len(t.workers) - 1
-	if at != last {
-		t.workers[at] = t.workers[last]
-		t.byName[t.workers[at].Name] = at
+	if index != last {
+		t.workers[index] = t.workers[last]
+		t.byName[t.workers[index].Name] = index
 	}
 	t.workers[last] = worker{}
 	t.workers = t.workers[:last]
 }
 
-// divide tells for each kind whether it has enough workers to be divided.
+// updateDivisions decides for each kind whether it has enough workers to be divided.
 func (t *Table) updateDivisions() {
 	for _, k := range t.kinds {
-		least := float64(t.cfg.MinShare * t.cfg.Members)
+		minWorkers := float64(t.cfg.MinShare * t.cfg.Members)
 		if k.isDivided {
-			least *= undivideFraction
+			minWorkers *= undivideFraction
 		}
-		k.isDivided = t.cfg.Members > 1 && float64(k.count) >= least
+		k.isDivided = t.cfg.Members > 1 && float64(k.count) >= minWorkers
 	}
 }
 
-// wants tells whether a worker belongs to the share. A cold one is its owner's alone, and nobody's new one before the
-// membership is settled: the sum of what several send is what would push it over.
+// belongsToShare reports whether a worker belongs to the share. A cold worker belongs to its owner only, and is not
+// acquired before the membership has settled: the sum of what several schedulers send would overload it.
 func (t *Table) belongsToShare(now Time, w *worker) bool {
 	if !w.kind.isDivided {
 		return true
@@ -227,14 +228,14 @@
 	return float64(w.membersAhead)+w.spanOffset < t.span
 }
 
-// hold takes a worker into the share or out of it, and tells whether that changed anything.
-func (t *Table) setInShare(at int, held bool) (changed bool) {
-	w := &t.workers[at]
-	if w.inShare == held {
+// setInShare adds a worker to the share or removes it, and reports whether that was a change.
+func (t *Table) setInShare(index int, inShare bool) (changed bool) {
+	w := &t.workers[index]
+	if w.inShare == inShare {
 		return false
 	}
-	w.inShare = held
-	if held {
+	w.inShare = inShare
+	if inShare {
 		w.kind.inShare++
 	} else {
 		w.kind.inShare--
@@ -242,24 +243,24 @@
 	return true
 }
 
-// Heard takes a heartbeat of another member.
+// HandleHeartbeat processes a heartbeat of another member. A rank that is out of range or this scheduler's is ignored.
 func (t *Table) HandleHeartbeat(now Time, rank int, h Heartbeat) {
-	if was, is := t.members.handleHeartbeat(now, rank, h); was != is {
-		t.actions.MemberChanged(rank, is)
+	if wasAlive, isAlive := t.members.handleHeartbeat(now, rank, h); wasAlive != isAlive {
+		t.actions.MemberChanged(rank, isAlive)
 	}
 }
 
-// Leave tells the other members that this one ends: its workers are theirs from now on, while it goes on with those
-// that it holds.
+// AnnounceLeaving reports to the other members that this scheduler shuts down. They own its workers from then on, while
+// it continues to use the workers in its share.
 func (t *Table) AnnounceLeaving() {
 	if t.isLeaving = true; t.cfg.UsesHeartbeats && t.IsDivided() {
 		t.actions.Broadcast(t.newHeartbeat(true))
 	}
 }
 
-// Turn does what is due and gives the time at which it wants to be called again. Occupied is the part of the share's
-// slots that this scheduler's own jobs take, from 0 to 1 and over.
-func (t *Table) Turn(now Time, occupied float64) (next Time) {
+// Turn performs the work that is due and returns the time of the next call. utilization is the fraction of the share's
+// slots that this scheduler's own jobs occupy; it may exceed 1.
+func (t *Table) Turn(now Time, utilization float64) (next Time) {
 	t.members.resumeAfterPause(now)
 	for _, rank := range t.members.expire(now) {
 		t.actions.MemberChanged(rank, false)
@@ -267,14 +268,14 @@
 	if now >= t.adjustAt {
 		t.adjustAt = now + t.cfg.AdjustInterval
 		if !t.cfg.UsesHeartbeats {
-			t.adjustSpan(occupied)
+			t.adjustSpan(utilization)
 		}
 		t.reportDivisions()
 	}
 	if t.cfg.UsesHeartbeats && now >= t.members.nextHeartbeat {
 		t.members.nextHeartbeat = now + t.cfg.HeartbeatInterval
 		if t.IsDivided() && !t.isLeaving {
-			t.members.adjustWeight(occupied)
+			t.members.adjustWeight(utilization)
 			t.actions.Broadcast(t.newHeartbeat(false))
 		}
 	}
@@ -294,7 +295,7 @@
 	return Heartbeat{Zone: self.zone, Weight: self.weight, Utilization: self.utilization, IsLeaving: leaving}
 }
 
-// Divided tells whether workers of any kind are divided.
+// IsDivided reports whether any kind of workers is divided.
 func (t *Table) IsDivided() bool {
 	for _, k := range t.kinds {
 		if k.isDivided {
@@ -304,30 +305,30 @@
 	return false
 }
 
-func (t *Table) adjustSpan(occupied float64) {
+func (t *Table) adjustSpan(utilization float64) {
 	switch {
-	case occupied > t.cfg.GrowAbove:
+	case utilization > t.cfg.GrowAbove:
 		t.span += spanGrowStep
-	case occupied < t.cfg.ShrinkBelow:
+	case utilization < t.cfg.ShrinkBelow:
 		t.span -= spanShrinkStep
 	}
 	t.span = min(max(1, t.span), float64(t.members.liveCount))
 }
 
-// update brings the next so many workers up to date: what has changed of the members and weights reaches all workers
-// within Settings.AdjustEvery, and no turn takes long.
+// update updates the next count workers. Changes of members and weights thereby reach all workers within
+// Settings.AdjustInterval, and no single turn takes long.
 func (t *Table) update(now Time, count int) {
 	if t.updatedCount == 0 {
 		t.members.applyWeights()
 	}
 	first := t.updatedCount
 	t.updatedCount = min(len(t.workers), first+count)
-	for at := first; at < t.updatedCount; at++ {
-		w := &t.workers[at]
+	for index := first; index < t.updatedCount; index++ {
+		w := &t.workers[index]
 		if w.kind.isDivided && t.isStale(&w.position) {
 			w.position = t.computePosition(w)
 		}
-		if !t.setInShare(at, t.belongsToShare(now, w)) {
+		if !t.setInShare(index, t.belongsToShare(now, w)) {
 			continue
 		}
 		if w.inShare {
@@ -341,25 +342,25 @@
 	}
 }
 
-// tell tells the host of divisions that have changed, of each kind and of all together.
+// reportDivisions reports changed divisions to the host, for each kind and for all kinds together.
 func (t *Table) reportDivisions() {
-	foreign := 1 - 1/t.span
+	foreignLoad := 1 - 1/t.span
 	all := Division{Kind: AllKinds}
-	held := 0
+	inShare := 0
 	for _, number := range t.kindNumbers() {
 		k := t.kinds[number]
 		d := Division{Kind: number, ColdSenders: t.cfg.Members, ForeignLoad: 1}
 		if k.isDivided {
-			d = Division{Kind: number, IsDivided: true, ColdSenders: maxColdSenders, ForeignLoad: foreign}
+			d = Division{Kind: number, IsDivided: true, ColdSenders: maxColdSenders, ForeignLoad: foreignLoad}
 			all.IsDivided = true
 		}
 		all.ForeignLoad += d.ForeignLoad * float64(k.inShare)
 		all.ColdSenders = max(all.ColdSenders, d.ColdSenders)
-		held += k.inShare
+		inShare += k.inShare
 		t.reportDivision(d)
 	}
-	if held > 0 {
-		all.ForeignLoad /= float64(held)
+	if inShare > 0 {
+		all.ForeignLoad /= float64(inShare)
 		t.reportDivision(all)
 	}
 }
@@ -376,7 +377,7 @@
 func (t *Table) reportDivision(d Division) {
 	last, known := t.reported[d.Kind]
 	if !known && !d.IsDivided {
-		return // as at the start
+		return // undivided is the initial state
 	}
 	if known && last.IsDivided == d.IsDivided && last.ColdSenders == d.ColdSenders && math.Abs(last.ForeignLoad-d.ForeignLoad) < minForeignChange {
 		return
@@ -385,15 +386,15 @@
 	t.actions.SetDivision(d)
 }
 
-// stale tells whether the owner of a worker may have changed since its order was worked out.
-func (t *Table) isStale(o *position) bool {
-	return o.epoch != t.members.epoch || t.members.drift-o.drift >= o.margin
+// isStale reports whether a worker's owner may have changed since the position was computed.
+func (t *Table) isStale(p *position) bool {
+	return p.epoch != t.members.epoch || t.members.drift-p.drift >= p.margin
 }
 
-// order works out this scheduler's place in a worker's order.
+// computePosition computes this scheduler's position in a worker's ranking.
 func (t *Table) computePosition(w *worker) position {
 	t.positionsComputed++
-	o := position{margin: math.Inf(1), epoch: t.members.epoch, drift: t.members.drift}
+	p := position{margin: math.Inf(1), epoch: t.members.epoch, drift: t.members.drift}
 	own := priorityOf(t.members.self(), w.hash, w.Zone, t.zoneBonus)
 	best := math.Inf(-1)
 	for rank := range t.members.byRank {
@@ -403,10 +404,10 @@
 		}
 		other := priorityOf(m, w.hash, w.Zone, t.zoneBonus)
 		if other.precedes(own) {
-			o.membersAhead++
+			p.membersAhead++
 		}
 		best = max(best, other.score)
 	}
-	o.margin = math.Abs(own.score - best)
-	return o
+	p.margin = math.Abs(own.score - best)
+	return p
 }
--- a/internal/ownership/table_test.go
+++ b/internal/ownership/table_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// scheduler is one member with the share that its actions and answers give it.
+// scheduler is one member, with the share that results from its table's actions and its InShare.
 type scheduler struct {
 	t          *testing.T
 	rank       int
@@ -40,9 +40,10 @@
 	return s
 }
 
-func (s *scheduler) updateWorkers(now Time, whole bool, listed []Worker, removed ...string) {
-	s.table.UpdateWorkers(now, Update{IsSnapshot: whole, Listed: listed, Removed: removed})
-	if whole {
+// updateWorkers applies a worker list update as the host does: it calls InShare for the listed workers.
+func (s *scheduler) updateWorkers(now Time, isSnapshot bool, listed []Worker, removed ...string) {
+	s.table.UpdateWorkers(now, Update{IsSnapshot: isSnapshot, Listed: listed, Removed: removed})
+	if isSnapshot {
 		clear(s.share)
 	}
 	for _, w := range listed {
@@ -57,21 +58,21 @@
 	}
 }
 
-// turns has the table take its turns for a time.
+// runTurns calls the table's Turn every 50 ms.
 func (s *scheduler) runTurns(from, to Time) {
 	for now := from; now <= to; now += 50 * Millisecond {
 		s.table.Turn(now, 0.5)
 	}
 }
 
-// fleet is members that play together in virtual time.
+// fleet simulates all members in virtual time.
 type fleet struct {
 	t           *testing.T
 	now         Time
 	members     []*scheduler
-	stopped     map[int]bool               // they take no turn
-	isCut       func(from, to int) bool    // messages that are lost; nil: none
-	utilization func(rank int) (b float64) // part of the share's slots that is taken; nil: none
+	stopped     map[int]bool               // neither take turns nor receive heartbeats
+	isCut       func(from, to int) bool    // whether heartbeats are lost; nil: none
+	utilization func(rank int) (b float64) // of the member's share; nil: 0.5
 }
 
 func newFleet(t *testing.T, count int, set Settings) *fleet {
@@ -83,18 +84,18 @@
 	return f
 }
 
-// pass lets time go by in steps of a tenth of a second.
-func (f *fleet) advance(length Time) {
-	for end := f.now + length; f.now < end; f.now += 100 * Millisecond {
+// advance advances the virtual clock in steps of 100 ms.
+func (f *fleet) advance(duration Time) {
+	for end := f.now + duration; f.now < end; f.now += 100 * Millisecond {
 		for rank, m := range f.members {
 			if f.stopped[rank] {
 				continue
 			}
-			occupied := 0.5
+			utilization := 0.5
 			if f.utilization != nil {
-				occupied = f.utilization(rank)
+				utilization = f.utilization(rank)
 			}
-			m.table.Turn(f.now, occupied)
+			m.table.Turn(f.now, utilization)
 		}
 		for rank, m := range f.members {
 			f.deliver(rank, m.heartbeats)
@@ -121,13 +122,13 @@
 	}
 }
 
-// holders gives for each worker the members that hold it.
+// holders returns for each worker the ranks of the running members that have it in their share.
 func (f *fleet) holders(workers []Worker) map[string][]int {
 	held := map[string][]int{}
 	for _, w := range workers {
 		held[w.Name] = nil
 		for rank, m := range f.members {
-			require.Equal(f.t, m.share[w.Name], m.table.InShare(w.Name), "what scheduler %d was told of %s", rank, w.Name)
+			require.Equal(f.t, m.share[w.Name], m.table.InShare(w.Name), "scheduler %d's actions and InShare differ for %s", rank, w.Name)
 			if !f.stopped[rank] && m.share[w.Name] {
 				held[w.Name] = append(held[w.Name], rank)
 			}
@@ -163,7 +164,7 @@
 	}
 }
 
-// newZonedFleet makes members in as many zones, in turn.
+// newZonedFleet returns a fleet whose members are assigned to the zones in rotation.
 func newZonedFleet(t *testing.T, count, zones int) *fleet {
 	f := &fleet{t: t, now: 1_000 * Second, stopped: map[int]bool{}}
 	for rank := range count {
@@ -173,41 +174,41 @@
 	return f
 }
 
-// crossings gives the part of the workers of the zones that have members whose owner is in another zone.
+// crossZoneFraction returns, for the workers of the first zones, the fraction whose owner is in another zone.
 func (f *fleet) crossZoneFraction(workers []Worker, zones int) float64 {
-	far, all := 0, 0
+	crossZone, all := 0, 0
 	for _, w := range workers {
 		for rank, m := range f.members {
 			if m.share[w.Name] && w.Zone < zones {
 				all++
 				if w.Zone != rank%zones {
-					far++
+					crossZone++
 				}
 			}
 		}
 	}
-	return float64(far) / float64(all)
+	return float64(crossZone) / float64(all)
 }
 
 func TestOwnZoneComesFirst(t *testing.T) {
 	f := newZonedFleet(t, 8, 4)
-	workers := newWorkers(2000, 5) // nobody is in the last zone
+	workers := newWorkers(2000, 5) // no member is in the last zone
 	f.updateWorkers(workers)
 	f.advance(5 * Second)
 	f.requireOneOwner(workers)
 	require.Less(t, f.crossZoneFraction(workers, 4), 0.03)
 }
 
-// Where a zone has far more workers for its jobs than the others, their members get some of them.
-func TestAPoorZoneIsHelped(t *testing.T) {
+// Members of a zone with too few workers for its jobs get workers of zones that have more.
+func TestOverloadedZoneUsesWorkersOfOtherZones(t *testing.T) {
 	f := newZonedFleet(t, 5, 4) // two members in zone 0
 	workers := newWorkers(2000, 4)
 	f.updateWorkers(workers)
-	const jobs = 320.0 // at each member, and a slot a worker
+	const jobs = 320.0 // per member; each worker has one slot
 	f.utilization = func(rank int) float64 { return jobs / float64(max(1, len(f.members[rank].share))) }
 	f.advance(300 * Second)
 	for rank := range f.members {
-		require.InDelta(t, 0.8, f.utilization(rank), 0.12, "part of the slots of scheduler %d that is taken", rank)
+		require.InDelta(t, 0.8, f.utilization(rank), 0.12, "utilization of scheduler %d's share", rank)
 	}
 	f.requireOneOwner(workers)
 	require.Less(t, f.crossZoneFraction(workers, 4), 0.3)
@@ -226,7 +227,7 @@
 	}
 }
 
-// A kind of which there are few is known whole, beside one that is divided.
+// A kind with few workers is used whole by all members while another kind is divided.
 func TestRareKindIsNotDivided(t *testing.T) {
 	f := newFleet(t, 4, Settings{Zone: UnknownZone, MinShare: 50})
 	workers := newWorkers(1000, 1)
@@ -264,8 +265,9 @@
 	require.Equal(t, Division{Kind: AllKinds, ColdSenders: 4, ForeignLoad: 1}, s.divisions[AllKinds])
 }
 
-// A member that is killed loses its workers to the others, and nobody else's move.
-func TestKilledMember(t *testing.T) {
+// The workers of a killed member move to the others, and no other worker moves. After a restart without state the member
+// gets the same workers back.
+func TestKilledMemberLosesOnlyItsOwnWorkers(t *testing.T) {
 	f := newFleet(t, 8, Settings{UsesHeartbeats: true, Zone: UnknownZone, MinShare: 32})
 	workers := newWorkers(1024, 1)
 	f.updateWorkers(workers)
@@ -279,7 +281,7 @@
 			require.Equal(t, before[name], ranks, "owner of %s", name)
 		}
 	}
-	// It comes back with no memory.
+	// The member restarts without state.
 	set := f.members[3].table.cfg
 	f.members[3] = newScheduler(t, set, f.now)
 	f.members[3].updateWorkers(f.now, true, workers)
@@ -288,8 +290,8 @@
 	require.Equal(t, before, f.holders(workers))
 }
 
-// A member that ends in order is not waited for.
-func TestLeavingMember(t *testing.T) {
+// The workers of a member that announces its shutdown move without waiting for it to expire.
+func TestLeavingMemberIsReplacedAtOnce(t *testing.T) {
 	f := newFleet(t, 8, Settings{UsesHeartbeats: true, Zone: UnknownZone, MinShare: 32})
 	workers := newWorkers(1024, 1)
 	f.updateWorkers(workers)
@@ -299,12 +301,13 @@
 	held := f.holders(workers)
 	for _, w := range workers {
 		others := slices.DeleteFunc(held[w.Name], func(rank int) bool { return rank == 3 })
-		require.Len(t, others, 1, "holders of %s beside the one that leaves", w.Name)
+		require.Len(t, others, 1, "holders of %s besides the leaving member", w.Name)
 	}
 }
 
-// A member that stops for 10 s was taken for dead; awake, it finds the others alive and they find it.
-func TestStoppedMemberWakesWithAnOldView(t *testing.T) {
+// A member whose process stops for 10 s expires at the others. When it resumes with its old view it must not expire the
+// others for the heartbeats that it missed.
+func TestResumedMemberDoesNotExpireOthers(t *testing.T) {
 	f := newFleet(t, 8, Settings{UsesHeartbeats: true, Zone: UnknownZone, MinShare: 32})
 	workers := newWorkers(1024, 1)
 	f.updateWorkers(workers)
@@ -321,11 +324,12 @@
 	}
 	f.advance(5 * Second)
 	require.Equal(t, before, f.holders(workers))
-	require.Equal(t, deaths, f.members[5].deaths, "members that the woken one took for dead")
+	require.Equal(t, deaths, f.members[5].deaths, "members that the resumed one expired")
 }
 
-// While two halves don't hear each other every worker has an owner in both, and a cold one no more than that.
-func TestTwoViewsOfTheMembership(t *testing.T) {
+// While a network partition separates two halves of the members, every worker has a holder, and at most one in each half.
+// That holds for cold workers too.
+func TestPartitionLimitsTheHoldersOfAWorker(t *testing.T) {
 	f := newFleet(t, 8, Settings{UsesHeartbeats: true, Zone: UnknownZone, MinShare: 32})
 	workers := newWorkers(1024, 1)
 	for i := range 100 {
@@ -346,7 +350,8 @@
 	f.requireOneOwner(workers)
 }
 
-// Nobody takes on a cold worker before the other members can have been heard: each new process would be its owner.
+// A scheduler acquires no cold worker before the other members' heartbeats can have arrived. Otherwise each new process
+// would own all of them.
 func TestColdWorkerWaitsForTheMembership(t *testing.T) {
 	set := Settings{Rank: 0, Members: 8, UsesHeartbeats: true, Zone: 0, MinShare: 8}
 	now := 1_000 * Second
@@ -367,8 +372,8 @@
 	require.InDelta(t, 100, len(s.share), 40)
 }
 
-// A worker that starts anew is its owner's alone at once, however far the spans go.
-func TestColdWorkerIsItsOwnersAlone(t *testing.T) {
+// A restarted worker is immediately used by its owner only, however large the spans are.
+func TestColdWorkerIsUsedByItsOwnerOnly(t *testing.T) {
 	f := newFleet(t, 8, Settings{Zone: UnknownZone, MinShare: 32})
 	workers := newWorkers(1024, 1)
 	f.updateWorkers(workers)
@@ -385,11 +390,11 @@
 	f.requireOneOwner(restarted)
 	f.advance(60 * Second)
 	for name, ranks := range f.holders(restarted) {
-		require.Greater(t, len(ranks), 1, "holders of %s when it is warm", name)
+		require.Greater(t, len(ranks), 1, "holders of %s once warm", name)
 	}
 }
 
-// The share of a scheduler with more jobs than the others grows in small steps, and each worker has one owner.
+// The share of a scheduler with more jobs than the others grows in small steps, and each worker keeps one owner.
 func TestWeightsFollowTheLoad(t *testing.T) {
 	f := newFleet(t, 8, Settings{UsesHeartbeats: true, Zone: UnknownZone, MinShare: 32})
 	workers := newWorkers(4096, 1)
@@ -405,20 +410,21 @@
 	size := len(f.members[2].share)
 	for range 30 {
 		f.advance(2 * Second)
-		require.InDelta(t, size, len(f.members[2].share), 0.12*float64(size), "workers within a heartbeat")
+		require.InDelta(t, size, len(f.members[2].share), 0.12*float64(size), "workers after one heartbeat interval")
 		size = len(f.members[2].share)
 	}
 	f.advance(60 * Second)
 	f.requireOneOwner(workers)
 	for rank := range f.members {
-		require.InDelta(t, 3000.0/4096, f.utilization(rank), 0.12, "part of the slots of scheduler %d that is taken", rank)
+		require.InDelta(t, 3000.0/4096, f.utilization(rank), 0.12, "utilization of scheduler %d's share", rank)
 	}
 	f.utilization = func(int) float64 { return 0 }
 	f.advance(120 * Second)
-	require.InDelta(t, 0, f.members[2].table.members.self().weight, 0.2, "of an idle fleet")
+	require.InDelta(t, 0, f.members[2].table.members.self().weight, 0.2, "weight in an idle fleet")
 }
 
-// Without heartbeats the share of a busy scheduler grows in small steps over workers of others, and shrinks again.
+// Without heartbeats the share of a busy scheduler grows in small steps over other schedulers' workers, and shrinks again
+// when the load is gone.
 func TestSpanFollowsTheLoad(t *testing.T) {
 	f := newFleet(t, 8, Settings{Zone: UnknownZone, MinShare: 32})
 	workers := newWorkers(1024, 1)
@@ -429,7 +435,7 @@
 	for range 16 {
 		f.advance(Second)
 		grown := len(f.members[2].share) - size
-		require.LessOrEqual(t, grown, 50, "workers taken in within a second")
+		require.LessOrEqual(t, grown, 50, "workers acquired within a second")
 		size += grown
 	}
 	require.Greater(t, size, 300)
@@ -439,8 +445,9 @@
 	f.requireOneOwner(workers)
 }
 
-// At rest nothing is worked out again, and a step of a weight touches few workers: the cost must not follow the fleet.
-func TestOrdersAreWorkedOutOnlyWhereTheyMayHaveChanged(t *testing.T) {
+// An idle table recomputes no position, and a single weight step recomputes few: the cost of a turn must not grow with
+// the fleet.
+func TestPositionsAreComputedOnlyWhereTheyMayHaveChanged(t *testing.T) {
 	f := newFleet(t, 8, Settings{UsesHeartbeats: true, Zone: UnknownZone, MinShare: 32})
 	workers := newWorkers(8192, 1)
 	f.updateWorkers(workers)
@@ -448,20 +455,20 @@
 	table := f.members[0].table
 	before := table.positionsComputed
 	f.advance(20 * Second)
-	require.Equal(t, before, table.positionsComputed, "orders worked out at rest")
+	require.Equal(t, before, table.positionsComputed, "positions computed while idle")
 	table.HandleHeartbeat(f.now, 3, Heartbeat{Zone: UnknownZone, Weight: maxWeightStep})
 	f.advance(5 * Second)
 	require.Positive(t, table.positionsComputed-before)
-	require.Less(t, table.positionsComputed-before, uint64(len(workers)/4), "orders worked out for two steps of one weight, there and back")
+	require.Less(t, table.positionsComputed-before, uint64(len(workers)/4), "positions computed for one weight step up and one down")
 	f.requireOneOwner(workers)
 	before = table.positionsComputed
 	table.HandleHeartbeat(f.now, 3, Heartbeat{Zone: UnknownZone, IsLeaving: true})
-	f.advance(1700 * Millisecond) // sixteen turns, of a tenth of a second here
-	require.GreaterOrEqual(t, table.positionsComputed-before, uint64(len(workers)), "a member that leaves may change them all")
+	f.advance(1700 * Millisecond) // at least updateTurns turns, 100 ms apart
+	require.GreaterOrEqual(t, table.positionsComputed-before, uint64(len(workers)), "a leaving member may change all positions")
 }
 
-// Where schedulers may not send messages, the workers of one that is dead are reached by the others as they get its load.
-func TestWithoutHeartbeatsTheDeadOnesWorkersAreReached(t *testing.T) {
+// Without heartbeats the other members acquire the workers of a dead one as they receive its load.
+func TestWithoutHeartbeatsADeadMembersWorkersAreAcquired(t *testing.T) {
 	f := newFleet(t, 4, Settings{Zone: UnknownZone, MinShare: 32})
 	workers := newWorkers(1024, 1)
 	f.updateWorkers(workers)
@@ -475,9 +482,9 @@
 	}
 }
 
-// Whatever happens, the counts are those of the lists, the host was told of each change, and a second without further
-// news brings the share up to date.
-func TestRandomEvents(t *testing.T) {
+// After any sequence of events the counts match the lists, the host knows each change of the share, and the share is
+// current after two seconds without further updates.
+func TestShareIsConsistentUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		set := Settings{Rank: rapid.IntRange(0, 4).Draw(r, "self"), Members: 5, Zone: rapid.IntRange(UnknownZone, 2).Draw(r, "zone"),
 			UsesHeartbeats: true, MinShare: 4}
@@ -488,7 +495,7 @@
 			now += Time(rapid.IntRange(0, 3000).Draw(r, "ms")) * Millisecond
 			switch rapid.IntRange(0, 4).Draw(r, "event") {
 			case 0:
-				s.table.Turn(now, rapid.Float64Range(0, 1.5).Draw(r, "occupied"))
+				s.table.Turn(now, rapid.Float64Range(0, 1.5).Draw(r, "utilization"))
 			case 1:
 				s.table.HandleHeartbeat(now, rapid.IntRange(-1, 6).Draw(r, "rank"), Heartbeat{Zone: rapid.IntRange(UnknownZone, 2).Draw(r, "zone"),
 					Weight: rapid.Float64Range(-3, 3).Draw(r, "weight"), IsLeaving: rapid.Bool().Draw(r, "leaving")})
@@ -511,41 +518,41 @@
 }
 
 func updateRandomly(r *rapid.T, s *scheduler, now Time, listed map[string]Worker) {
-	var news []Worker
+	var updated []Worker
 	for range rapid.IntRange(0, 12).Draw(r, "workers") {
 		w := Worker{Name: fmt.Sprint("w", rapid.IntRange(0, 40).Draw(r, "name")), Zone: rapid.IntRange(0, 2).Draw(r, "zone"),
 			Kind: rapid.IntRange(0, 1).Draw(r, "kind")}
 		if rapid.Bool().Draw(r, "new") {
 			w.StartedAt = now - Time(rapid.IntRange(0, 60).Draw(r, "age"))*Second
 		}
-		if !slices.ContainsFunc(news, func(x Worker) bool { return x.Name == w.Name }) {
-			news = append(news, w)
+		if !slices.ContainsFunc(updated, func(x Worker) bool { return x.Name == w.Name }) {
+			updated = append(updated, w)
 		}
 	}
-	whole := rapid.IntRange(0, 9).Draw(r, "whole") == 0
-	if whole {
+	isSnapshot := rapid.IntRange(0, 9).Draw(r, "snapshot") == 0
+	if isSnapshot {
 		clear(listed)
 	}
 	var removed []string
-	for _, w := range news {
-		if !whole && rapid.IntRange(0, 3).Draw(r, "removed") == 0 {
+	for _, w := range updated {
+		if !isSnapshot && rapid.IntRange(0, 3).Draw(r, "removed") == 0 {
 			removed = append(removed, w.Name)
 		}
 	}
-	news = slices.DeleteFunc(news, func(w Worker) bool { return slices.Contains(removed, w.Name) })
-	s.updateWorkers(now, whole, news, removed...)
+	updated = slices.DeleteFunc(updated, func(w Worker) bool { return slices.Contains(removed, w.Name) })
+	s.updateWorkers(now, isSnapshot, updated, removed...)
 	for _, name := range removed {
 		delete(listed, name)
 	}
-	for _, w := range news {
+	for _, w := range updated {
 		listed[w.Name] = w
 	}
 }
 
 func requireConsistent(r *rapid.T, s *scheduler, listed map[string]Worker) {
-	held, size := s.table.ShareSize()
-	require.Equal(r, len(listed), size)
-	require.Len(r, s.share, held)
+	inShare, total := s.table.ShareSize()
+	require.Equal(r, len(listed), total)
+	require.Len(r, s.share, inShare)
 	live := 0
 	for i := range s.table.members.byRank {
 		if s.table.members.byRank[i].isAlive {
@@ -578,7 +585,7 @@
 	require.NoError(t, Settings{Members: 1}.Check())
 }
 
-func TestHeartbeatIsReadAsWritten(t *testing.T) {
+func TestHeartbeatRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 1000 {
 		h := Heartbeat{Zone: rng.IntN(encodedUnknownZone+1) - 1, Weight: rng.Float64()*6 - 3, Utilization: rng.Float64() * 3.9, IsLeaving: rng.IntN(2) == 0}
@@ -587,12 +594,12 @@
 		}
 		data := h.Append(nil)
 		require.Len(t, data, HeartbeatSize)
-		back, err := ParseHeartbeat(data)
+		decoded, err := ParseHeartbeat(data)
 		require.NoError(t, err)
-		require.InDelta(t, h.Weight, back.Weight, 0.5/weightStepsPerUnit+1e-9)
-		require.InDelta(t, h.Utilization, back.Utilization, 0.5/utilizationSteps)
-		require.Equal(t, h.Zone, back.Zone)
-		require.Equal(t, h.IsLeaving, back.IsLeaving)
+		require.InDelta(t, h.Weight, decoded.Weight, 0.5/weightStepsPerUnit+1e-9)
+		require.InDelta(t, h.Utilization, decoded.Utilization, 0.5/utilizationSteps)
+		require.Equal(t, h.Zone, decoded.Zone)
+		require.Equal(t, h.IsLeaving, decoded.IsLeaving)
 	}
 	for _, bad := range [][]byte{nil, {heartbeatVersion}, {0, 0, 0, 0, 0, 0}, make([]byte, 8)} {
 		_, err := ParseHeartbeat(bad)
@@ -604,11 +611,11 @@
 	require.Less(t, h.Utilization, 4.0)
 }
 
-// Workers over the bound are left out and counted.
-func TestWorkersOverTheBound(t *testing.T) {
+// Workers beyond MaxWorkers are omitted and counted.
+func TestWorkersBeyondTheLimitAreOmitted(t *testing.T) {
 	s := newScheduler(t, Settings{Members: 2, Zone: UnknownZone}, 0)
 	s.updateWorkers(0, true, newWorkers(MaxWorkers+3, 1))
-	_, size := s.table.ShareSize()
-	require.Equal(t, MaxWorkers, size)
+	_, total := s.table.ShareSize()
+	require.Equal(t, MaxWorkers, total)
 	require.Equal(t, 3, s.table.OmittedWorkers())
 }
