--- a/internal/sites/api.go
+++ b/internal/sites/api.go
@@ -1,62 +1,63 @@
-// Package sites knows which sites, and which table workers of them, are there, as far as one scheduler can tell: from
-// what it has asked of workers and what came back. It says which workers get nothing new, which are let back and how
-// fast, and whom to ask for a sign of life. It does no I/O, reads no clock and chooses no worker for a job: package
-// rules does, among those that this one leaves.
+// Package sites detects the loss of sites and of single table workers from the requests that one scheduler sends to
+// workers and the responses that it receives, and decides which workers are disabled, probed and enabled again. Package
+// core reports the events to it and executes the actions that it emits, in order; package rules then chooses workers for
+// jobs among the enabled ones.
 //
-// The host tells every event with now, in microseconds of a clock that never goes back, and calls Turn no later than
-// the time that the last call gave. What Turn emits is carried out in the order given.
+// The package does no I/O and reads no clock. The host passes now, in microseconds of a monotonic clock, with every
+// event, and calls Turn no later than the time that the previous call returned.
 package sites
 
-// Time is a point in, or a length of, the host's clock, in microseconds.
+// Time is an instant or a duration of the host's monotonic clock, in microseconds.
 type Time = int64
 
-// Settings are given once. A zero value stands for the default noted.
+// Settings configures a Machine. A zero value selects the default noted at the field.
 type Settings struct {
-	SiteCount int  // at least 1
-	OwnSite   int  // this scheduler's
-	MayProbe  bool // workers may be asked for a sign of life; otherwise jobs alone show who is there
-
-	MinSilentWorkers int  // workers of a site that must be silent, and none heard, before it counts as lost; 0: 5
-	MinReplyTimeout  Time // a worker may take so long for its first answer, at least; 0: 75 ms
-	MaxReplyTimeout  Time // and at most, however slow answers have been; 0: 600 ms
-	ProbeInterval    Time // a worker of a lost site is asked so often; 0: 500 ms
-	IdleProbeDelay   Time // a site of which nothing was heard for so long is asked; 0: 1 s
-	ReturnWindow     Time // a site that is back gets all its workers back within it; 0: 2 s
-	FlapBackoff      Time // each further loss within a minute doubles how long a site must answer before it is let back, from
-	// this; 0: 250 ms
+	SiteCount int  // number of sites, at least 1
+	OwnSite   int  // index of this scheduler's site
+	MayProbe  bool // workers may be probed; otherwise only jobs show which workers respond
+
+	MinSilentWorkers int  // silent workers, with no response from their site, that make it lost; 0: 5
+	MinReplyTimeout  Time // lower bound of the adaptive reply timeout; 0: 75 ms
+	MaxReplyTimeout  Time // upper bound, however slow past replies were; 0: 600 ms
+	ProbeInterval    Time // between probes of a lost site; 0: 500 ms
+	IdleProbeDelay   Time // a site without any response for this long is probed; 0: 1 s
+	ReturnWindow     Time // time over which the workers of a returning site are enabled; 0: 2 s
+	// FlapBackoff scales the time that a lost site must respond before it returns: half of FlapBackoff after a first loss.
+	// Each further loss raises the time exponentially; past losses decay with a half-life of 30 s. 0: 250 ms.
+	FlapBackoff Time
 }
 
-// Member is a worker of the list.
+// Member is an entry of the worker list.
 type Member struct {
 	Worker string
 	Site   int
 }
 
-// State is what a scheduler holds a site for.
+// State is the state of a site as this scheduler sees it.
 type State uint8
 
-// The states, in the order in which a site goes through them.
+// The states, in the order in which a site passes through them.
 const (
 	Whole     State = iota
-	Suspect         // one of its workers is silent, and nothing was heard since: others are being asked
-	Lost            // enough of them are: it gets nothing new
-	CutOff          // as Lost, but all other sites are gone at once, and ours is there: rather it is us
-	Returning       // some have answered, and are let back in steps
+	Suspect         // a worker is silent and the site has not responded since: other workers are probed
+	Lost            // Settings.MinSilentWorkers, or all if it has fewer, are silent: all its workers are disabled
+	CutOff          // as Lost, but all other sites are lost and the own one is not: this site is likely partitioned
+	Returning       // it responds again: its workers are enabled in steps
 )
 
 func (s State) String() string {
 	return [...]string{"whole", "suspect", "lost", "cut-off", "returning"}[s]
 }
 
-// Actions is what a Machine asks of its host.
+// Actions are the effects that a Machine emits for its host to execute.
 type Actions interface {
-	// Ask wants a sign of life of a worker; Asked is told when it goes out.
+	// ProbeWorker sends a probe to a worker. The host calls ReplyExpected when the probe is sent.
 	ProbeWorker(worker string)
-	// Out has a worker get nothing new. siteLost tells whether with all of its site.
+	// DisableWorker stops new attempts to a worker. siteLost reports whether its whole site is lost.
 	DisableWorker(worker string, siteLost bool)
-	// Back lets it have jobs again. With its site it may have been started anew meanwhile: then cold tells that it has to
-	// be taken for cold, whatever the list says.
+	// EnableWorker allows attempts to a worker again. cold reports that the worker has to be treated as cold even if the
+	// worker list does not say so, because it may have been restarted while its site was lost.
 	EnableWorker(worker string, cold bool)
-	// Changed tells of a site's state.
+	// StateChanged reports a transition of a site's state.
 	StateChanged(site int, from, to State)
 }
--- a/internal/sites/digest_test.go
+++ b/internal/sites/digest_test.go
@@ -12,9 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Random losses, returns, restarts of the host and changes of the list, drawn from a fixed seed. Every action that the
-// machine emits goes into a digest, so that a change of data structures that is meant to leave the decisions alone can
-// be held to it.
+// A simulation of random losses, returns, pauses of the host and list changes, drawn from a fixed seed. A digest of all
+// actions that the machine emits shows whether a refactoring changed a decision.
 
 type digestWorld struct {
 	*world
@@ -22,7 +21,7 @@
 	log     hashes.Hash
 	actions int
 	list    []Member
-	jobs    int // sent by Out, as the core sends the work of a worker that is out to others
+	jobs    int // resent by DisableWorker, as the core resends the jobs of a disabled worker to others
 }
 
 func (d *digestWorld) write(format string, args ...any) {
@@ -36,20 +35,20 @@
 	d.world.ProbeWorker(worker)
 }
 
-// Out has another worker asked at once, from within the call, as the core does with jobs that it sends elsewhere.
+// DisableWorker sends a job to another worker from within the call, as the core does with the jobs that it resends.
 func (d *digestWorld) DisableWorker(worker string, siteLost bool) {
 	d.write("out %s %v", worker, siteLost)
 	d.jobs++
 	if other := d.list[(d.jobs*7)%len(d.list)].Worker; d.jobs%3 == 0 && !d.m.IsDisabled(other) {
-		d.sendJob(other)
+		d.send(other)
 	}
 }
 
 func (d *digestWorld) EnableWorker(worker string, cold bool) { d.write("back %s %v", worker, cold) }
 
 func (d *digestWorld) StateChanged(site int, from, to State) {
-	out, all := d.m.WorkerCounts(site)
-	d.write("changed %d %s %s: %d of %d out", site, from, to, out, all)
+	disabled, total := d.m.WorkerCounts(site)
+	d.write("changed %d %s %s: %d of %d out", site, from, to, disabled, total)
 }
 
 func newDigestWorld(set Settings, seed uint64, sizes ...int) *digestWorld {
@@ -68,7 +67,7 @@
 	return d
 }
 
-// job sends to any worker that is not out, and now and then has its end told in another way than by an answer.
+// randomWorker draws a worker, and occasionally reports an abandoned reply or a failed connection for it.
 func (d *digestWorld) randomWorker(int) string {
 	worker := d.list[d.rng.IntN(len(d.list))].Worker
 	switch d.rng.IntN(30) {
@@ -82,7 +81,7 @@
 	return worker
 }
 
-// changeList has some workers leave, come or change their site.
+// changeList removes, adds or moves some workers.
 func (d *digestWorld) changeList(sites int) {
 	for range 1 + d.rng.IntN(3) {
 		i := d.rng.IntN(len(d.list))
@@ -96,32 +95,34 @@
 			d.list = append(d.list, x)
 			d.reachable[x.Worker] = d.rng.IntN(3) > 0
 		case 2:
-			d.list[i].Site = d.rng.IntN(sites + 1) // one past the last: not a site
+			d.list[i].Site = d.rng.IntN(sites + 1) // one past the last: an invalid site
 		}
 	}
 	d.m.UpdateWorkers(d.now, d.list)
 }
 
+// randomFault makes a random site, or part of it, reachable or unreachable, draws a reply delay, and occasionally stops
+// the host.
 func (d *digestWorld) randomFault(sites int) {
 	site := d.rng.IntN(sites)
-	there, all := d.rng.IntN(2) == 0, d.rng.IntN(2) == 0
+	reachable, all := d.rng.IntN(2) == 0, d.rng.IntN(2) == 0
 	for _, x := range d.list {
 		if x.Site == site && (all || d.rng.IntN(4) == 0) {
-			d.reachable[x.Worker] = there
+			d.reachable[x.Worker] = reachable
 		}
 	}
 	d.replyDelay = Time(1+d.rng.IntN(200)) * millisecond
-	if d.rng.IntN(12) == 0 { // the host stops for a while
+	if d.rng.IntN(12) == 0 { // the host is stopped for a while
 		d.now += Time(d.rng.IntN(3000)) * millisecond
 		d.next = d.m.Turn(d.now)
 	}
 }
 
-func TestDecisionsEqualTheRecordedOnes(t *testing.T) {
+func TestDecisionsMatchRecordedDigests(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("the digests hold where multiplications and additions are rounded one by one")
+		t.Skip("the digests require that multiplications and additions are not fused")
 	}
-	// Recorded with revision 0606057, before lists of the members that are due took the place of walks over all.
+	// Recorded at revision 0606057, before pending sets replaced walks over all members.
 	for _, v := range []struct {
 		name   string
 		set    Settings
--- a/internal/sites/machine.go
+++ b/internal/sites/machine.go
@@ -9,49 +9,49 @@
 	millisecond Time = 1000
 	second      Time = 1000 * millisecond
 
-	timeoutDeviations = 6.0         // deviations past the mean time of an answer at which a worker counts as silent
-	replyTimeGain     = 0.02        // weight of an answer in that mean
-	checkTimeouts     = 4           // times the wait after which a live site with a silent worker is looked at again ...
-	maxCheckInterval  = 4 * second  // ... and twice as late each time, up to this
-	flapHalfLife      = 30 * second // in which half of the distrust of a site that flaps is gone
-	maxFlapDoublings  = 6           // doublings of it
-	maxTurnDelay      = second / 4  // a host that comes so late to its turn was stopped: what was due meanwhile proves nothing
+	timeoutDeviations = 6.0         // deviations above the mean reply time after which a worker is silent
+	replyTimeGain     = 0.02        // weight of a new reply in the moving averages
+	checkTimeouts     = 4           // reply timeouts until a suspect site is checked again; doubles with each check ...
+	maxCheckInterval  = 4 * second  // ... up to this
+	flapHalfLife      = 30 * second // of a site's flap count
+	maxFlapDoublings  = 6           // of Settings.FlapBackoff and Settings.ReturnWindow
+	maxTurnDelay      = second / 4  // beyond idleTurnInterval; a later turn means that the host was stopped, and missing replies are no evidence
 	busyTurnInterval  = 25 * millisecond
 	idleTurnInterval  = second / 4
-	probesPerSecond   = 12.0       // questions a second, of all sites, at most: a host that is short of time finds many silent
-	probeBurst        = 16.0       // and how many may be saved up
-	maxProbeInterval  = 2 * second // a single silent worker is asked again after this at the latest
+	probesPerSecond   = 12.0       // limit for all sites: an overloaded host sees many workers as silent
+	probeBurst        = 16.0       // maximum number of saved probe tokens
+	maxProbeInterval  = 2 * second // between probes of a disabled worker, before jitter
 )
 
-// Machine is what one scheduler knows of sites. One goroutine at a time uses it.
+// Machine is one scheduler's failure detector for sites and workers. It is not safe for concurrent use.
 type Machine struct {
 	cfg           Settings
 	actions       Actions
 	rng           *rand.Rand
 	sites         []site
 	members       map[string]*member
-	listCount     uint64 // taken so far
+	listCount     uint64 // worker lists applied so far
 	lastTurn      Time
-	probeTokens   float64 // questions that may go out
+	probeTokens   float64 // probes that may be sent
 	tokensAt      Time
-	meanReplyTime float64 // mean time to an answer, and its deviation
+	meanReplyTime float64 // moving averages of the reply time and its deviation, in microseconds
 	replyTimeDev  float64
 	replyCount    float64
 }
 
-// New makes a machine that holds all for whole.
+// New returns a machine with all sites Whole and no workers.
 func New(set Settings, seed uint64, now Time, act Actions) *Machine {
 	set.SiteCount = max(1, set.SiteCount)
 	if set.MinSilentWorkers == 0 {
 		set.MinSilentWorkers = 5
 	}
 	for _, d := range []struct {
-		at        *Time
-		otherwise Time
+		setting  *Time
+		fallback Time
 	}{{&set.MinReplyTimeout, 75 * millisecond}, {&set.MaxReplyTimeout, 600 * millisecond}, {&set.ProbeInterval, second / 2}, {&set.IdleProbeDelay, second},
 		{&set.ReturnWindow, 2 * second}, {&set.FlapBackoff, second / 4}} {
-		if *d.at == 0 {
-			*d.at = d.otherwise
+		if *d.setting == 0 {
+			*d.setting = d.fallback
 		}
 	}
 	m := &Machine{cfg: set, actions: act, rng: rand.New(rand.NewPCG(seed, 0x7369746573)), members: map[string]*member{}, lastTurn: now,
@@ -63,10 +63,10 @@
 	return m
 }
 
-// State gives a site's state and since when it has it.
+// State returns a site's state and the time at which it was entered.
 func (m *Machine) State(site int) (State, Time) { return m.sites[site].state, m.sites[site].since }
 
-// Out tells whether a worker gets nothing new.
+// IsDisabled reports whether a worker gets no new attempts.
 func (m *Machine) IsDisabled(worker string) bool {
 	w := m.members[worker]
 	return w != nil && w.isDisabled
@@ -77,7 +77,7 @@
 	return s == Lost || s == CutOff
 }
 
-// Turn looks at all sites and gives the time at which it wants to be called again.
+// Turn checks all sites and returns the time of the next call.
 func (m *Machine) Turn(now Time) (next Time) {
 	if now-m.lastTurn > maxTurnDelay+idleTurnInterval {
 		m.resumeAfterPause(now)
@@ -95,7 +95,8 @@
 	return now + idleTurnInterval
 }
 
-// wake is for a host that was stopped: answers may lie in its sockets that it has not read.
+// resumeAfterPause restarts all reply timeouts after the host was stopped: its sockets may hold responses that it has not
+// read yet.
 func (m *Machine) resumeAfterPause(now Time) {
 	for i := range m.sites {
 		s := &m.sites[i]
@@ -117,7 +118,7 @@
 	}
 }
 
-// look judges one site, and tells whether it wants to be looked at soon again.
+// checkSite updates one site's state and reports whether the next turn is due soon.
 func (m *Machine) checkSite(now Time, i int) (busy bool) {
 	s := &m.sites[i]
 	switch s.state {
@@ -128,10 +129,10 @@
 		m.returnWorkers(now, i)
 		return true
 	}
-	proof, owing := 0, 0
+	silentWorkers, unanswered := 0, 0
 	for w := range s.pendingMembers() {
 		if w.unansweredSince > 0 {
-			owing++
+			unanswered++
 		}
 		if w.isDisabled {
 			m.probeDisabled(now, w)
@@ -141,19 +142,19 @@
 			continue
 		}
 		if w.unansweredSince > s.lastSeen {
-			proof++
+			silentWorkers++
 		}
 		m.recheckSilent(now, w)
 	}
-	need := min(m.cfg.MinSilentWorkers, len(s.members))
+	minSilent := min(m.cfg.MinSilentWorkers, len(s.members))
 	switch {
-	case proof >= need && m.enabledWorkers(i) > 0:
+	case silentWorkers >= minSilent && m.enabledWorkers(i) > 0:
 		m.markSiteLost(now, i)
 		return true
-	case proof > 0:
+	case silentWorkers > 0:
 		m.setState(now, i, Suspect)
 		if now >= s.nextCheckAt {
-			m.probeSome(now, i, need-proof)
+			m.probeSome(now, i, minSilent-silentWorkers)
 			s.nextCheckAt = now + m.replyTimeout()*checkTimeouts<<min(s.checkCount, 8)
 			s.nextCheckAt = min(s.nextCheckAt, now+maxCheckInterval)
 			s.checkCount++
@@ -163,24 +164,24 @@
 		if s.checkCount > 0 && now > s.nextCheckAt+maxCheckInterval {
 			s.checkCount = 0
 		}
-		if m.cfg.MayProbe && owing == 0 && now-s.lastSeen > m.cfg.IdleProbeDelay {
+		if m.cfg.MayProbe && unanswered == 0 && now-s.lastSeen > m.cfg.IdleProbeDelay {
 			m.probeSome(now, i, 1)
 		}
 	}
-	return owing > 0
+	return unanswered > 0
 }
 
-// left is how many workers may get jobs, but for those of a site; below 0: of all sites.
-func (m *Machine) enabledWorkers(but int) (n int) {
+// enabledWorkers returns the number of enabled workers of all sites but one; below 0: of all sites.
+func (m *Machine) enabledWorkers(except int) (n int) {
 	for i := range m.sites {
-		if s := &m.sites[i]; i != but {
+		if s := &m.sites[i]; i != except {
 			n += len(s.members) - s.disabledCount
 		}
 	}
 	return n
 }
 
-// doubt asks a silent worker once more; one that owes that answer too is taken out, though its site is there.
+// recheckSilent probes a silent worker once. If it stays silent while its site responds, the worker alone is disabled.
 func (m *Machine) recheckSilent(now Time, w *member) {
 	s := &m.sites[w.Site]
 	switch {
@@ -207,12 +208,14 @@
 	if !w.isDisabled {
 		return
 	}
-	w.isDisabled, w.unansweredSince, w.connectFailedAt, w.recheckedAt = false, 0, 0, 0 // what it owed from before proves nothing now
+	// Replies missing from before are no evidence any more.
+	w.isDisabled, w.unansweredSince, w.connectFailedAt, w.recheckedAt = false, 0, 0, 0
 	m.sites[w.Site].disabledCount--
 	m.actions.EnableWorker(w.Worker, cold)
 }
 
-// trial asks a worker that is out by itself, later each time, and lets it back when it has answered.
+// probeDisabled enables a disabled worker that has responded, and otherwise probes it with exponential backoff. Where
+// workers may not be probed, it enables the worker after two intervals, so that jobs show whether it responds.
 func (m *Machine) probeDisabled(now Time, w *member) {
 	if w.lastSeen > w.disabledAt {
 		m.enable(w, false)
@@ -227,28 +230,28 @@
 	if m.cfg.MayProbe {
 		m.probe(now, w)
 	} else if w.probeCount > 1 {
-		m.enable(w, false) // its next job shows
+		m.enable(w, false)
 	}
 }
 
-// ask wants a sign of life of some workers of a site, drawn, of those that owe none.
+// probeSome probes n randomly drawn workers of a site, among those without a recent unanswered request.
 func (m *Machine) probeSome(now Time, i, n int) {
 	if !m.cfg.MayProbe || n <= 0 {
 		return
 	}
-	var some []*member
+	var candidates []*member
 	for _, w := range m.sites[i].members {
 		if w.unansweredSince == 0 || now-w.unansweredSince > m.cfg.MaxReplyTimeout {
-			some = append(some, w)
+			candidates = append(candidates, w)
 		}
 	}
-	m.rng.Shuffle(len(some), func(a, b int) { some[a], some[b] = some[b], some[a] })
-	for _, w := range some[:min(n, len(some))] {
+	m.rng.Shuffle(len(candidates), func(a, b int) { candidates[a], candidates[b] = candidates[b], candidates[a] })
+	for _, w := range candidates[:min(n, len(candidates))] {
 		m.probe(now, w)
 	}
 }
 
-// question asks a worker for a sign of life, as far as there are questions to spare.
+// probe probes a worker if the rate limit allows it.
 func (m *Machine) probe(now Time, w *member) {
 	m.probeTokens = min(probeBurst, m.probeTokens+probesPerSecond*float64(now-m.tokensAt)/float64(second))
 	m.tokensAt = now
@@ -257,12 +260,12 @@
 	}
 	m.probeTokens--
 	if w.isDisabled {
-		w.unansweredSince, w.connectFailedAt = 0, 0 // what it owed from before is forgotten
+		w.unansweredSince, w.connectFailedAt = 0, 0 // earlier requests no longer count
 	}
 	m.actions.ProbeWorker(w.Worker)
 }
 
-// lose takes a whole site out.
+// markSiteLost disables all workers of a site.
 func (m *Machine) markSiteLost(now Time, i int) {
 	s := &m.sites[i]
 	s.flapCount = s.decayedFlaps(now) + 1
@@ -271,18 +274,18 @@
 	for _, w := range s.members {
 		m.disable(now, w, true)
 	}
-	// Where all other sites are gone at once and ours is there, rather we are cut off. It changes what is told, not what
-	// is done: nothing of ours gets there.
-	elsewhere, away := 0, 0
+	// If all other sites are lost while the own one is not, the own site is likely partitioned from them. Only the state
+	// differs, not the actions: the other sites are unreachable either way.
+	otherSites, lostSites := 0, 0
 	for j := range m.sites {
 		if j != m.cfg.OwnSite && len(m.sites[j].members) > 0 {
-			elsewhere++
+			otherSites++
 			if j == i || m.isLost(j) {
-				away++
+				lostSites++
 			}
 		}
 	}
-	if i != m.cfg.OwnSite && elsewhere > 1 && away == elsewhere {
+	if i != m.cfg.OwnSite && otherSites > 1 && lostSites == otherSites {
 		for j := range m.sites {
 			if j != m.cfg.OwnSite && j != i && len(m.sites[j].members) > 0 {
 				m.setState(now, j, CutOff)
@@ -294,12 +297,12 @@
 	m.setState(now, i, Lost)
 }
 
-// trialWait spreads the trials of all schedulers.
+// probeDelay returns the probe interval with jitter, which spreads the probes of all schedulers.
 func (m *Machine) probeDelay() Time {
 	return m.cfg.ProbeInterval/2 + Time(m.rng.Float64()*float64(m.cfg.ProbeInterval))
 }
 
-// lost waits for a sign of life. A site that was lost before must have answered for longer.
+// checkLostSite probes a lost site and moves it to Returning once it has responded for requiredResponseTime.
 func (m *Machine) checkLostSite(now Time, i int) {
 	s := &m.sites[i]
 	if s.lastSeen > s.since {
@@ -318,44 +321,45 @@
 		if m.cfg.MayProbe {
 			m.probeSome(now, i, 1)
 		} else if now-s.since > 4*m.cfg.ProbeInterval {
-			m.setState(now, i, Returning) // the first of its workers, whose jobs show
+			m.setState(now, i, Returning) // jobs to the first enabled workers show whether it responds
 		}
 	}
 }
 
-// trust is how long a site must have answered before it is let back.
+// requiredResponseTime returns how long a lost site must have responded before it returns. It grows with recent losses.
 func (m *Machine) requiredResponseTime(now Time, i int) Time {
 	flaps := m.sites[i].decayedFlaps(now)
 	return Time(float64(m.cfg.FlapBackoff) * (math.Exp2(min(maxFlapDoublings, max(0, flaps-1))) - 0.5))
 }
 
-// flapsNow is how often a site was lost of late.
+// decayedFlaps returns the number of times that the site was lost, decayed with flapHalfLife.
 func (s *site) decayedFlaps(now Time) float64 {
 	return s.flapCount * math.Exp2(-float64(now-s.lastFlapAt)/float64(flapHalfLife))
 }
 
-// returning lets workers back in steps, in the order of their hashes, which is the same at all schedulers: keys go home
-// together. Each is asked before. A site none of which answers any more is lost again.
+// returnWorkers enables the workers of a returning site in steps, in the order of their hashes. The order is the same at
+// all schedulers, so that they move keys back to the site at the same time. Each worker is probed first. A site that
+// stops responding is lost again.
 func (m *Machine) returnWorkers(now Time, i int) {
 	s := &m.sites[i]
-	within := m.cfg.ReturnWindow << Time(min(maxFlapDoublings, max(0, s.flapCount-1)))
-	due := int(float64(len(s.members))*float64(now-s.since)/float64(within)) + 1
-	owing, waits := 0, 0
+	window := m.cfg.ReturnWindow << Time(min(maxFlapDoublings, max(0, s.flapCount-1)))
+	due := int(float64(len(s.members))*float64(now-s.since)/float64(window)) + 1
+	silentWorkers, disabled := 0, 0
 	for w := range s.pendingMembers() {
 		if !w.isDisabled {
 			if m.isSilent(now, w) && w.unansweredSince > s.lastSeen {
-				owing++
+				silentWorkers++
 			}
 			continue
 		}
-		waits++
+		disabled++
 		if w.index >= due {
 			continue
 		}
 		switch {
 		case !m.cfg.MayProbe || w.lastSeen > s.since-m.cfg.ProbeInterval && w.lastSeen > w.disabledAt:
 			m.enable(w, true)
-			waits--
+			disabled--
 		case now >= w.probeAt && (w.unansweredSince == 0 || m.isSilent(now, w)):
 			w.probeAt = now + m.cfg.ProbeInterval
 			m.probe(now, w)
@@ -363,9 +367,10 @@
 	}
 	silentFor := now - max(s.lastSeen, s.since)
 	switch {
-	case owing >= min(m.cfg.MinSilentWorkers, len(s.members)) && m.enabledWorkers(i) > 0, silentFor > 2*m.cfg.MaxReplyTimeout+m.cfg.IdleProbeDelay && owing > 0 && m.enabledWorkers(i) > 0:
+	case silentWorkers >= min(m.cfg.MinSilentWorkers, len(s.members)) && m.enabledWorkers(i) > 0,
+		silentFor > 2*m.cfg.MaxReplyTimeout+m.cfg.IdleProbeDelay && silentWorkers > 0 && m.enabledWorkers(i) > 0:
 		m.markSiteLost(now, i)
-	case waits == 0 || now-s.since > 2*within:
-		m.setState(now, i, Whole) // those that have not answered are tried one by one
+	case disabled == 0 || now-s.since > 2*window:
+		m.setState(now, i, Whole) // workers that have not responded are probed individually
 	}
 }
--- a/internal/sites/machine_test.go
+++ b/internal/sites/machine_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// world answers a machine as its workers would: those that are there answer after a while, the others never.
+// world simulates the workers of a machine in virtual time: reachable ones reply after a delay, the others never.
 type world struct {
 	m             *Machine
 	now           Time
 	next          Time
 	reachable     map[string]bool
-	replyDelay    Time // an answer takes so long
+	replyDelay    Time
 	replies       []pendingReply
 	disabledCount int
 	probeCount    int
@@ -29,10 +29,11 @@
 
 func (w *world) ProbeWorker(worker string) {
 	w.probeCount++
-	w.sendJob(worker)
+	w.send(worker)
 }
 
-func (w *world) sendJob(worker string) {
+// send sends a job or probe, and schedules the reply of a reachable worker.
+func (w *world) send(worker string) {
 	w.m.ReplyExpected(w.now, worker)
 	if w.reachable[worker] {
 		w.replies = append(w.replies, pendingReply{w.now + w.replyDelay, worker})
@@ -63,11 +64,12 @@
 	return w
 }
 
-// run lets time pass; jobs a second go out, the i-th to the worker that to names (empty: to nobody).
-func (w *world) run(until Time, every Time, to func(i int) string) {
+// run advances the clock to until. A job is sent every interval (0: none), the i-th one to the worker that target
+// returns (empty: not sent).
+func (w *world) run(until Time, interval Time, target func(i int) string) {
 	for i, job := 0, w.now; w.now < until; {
 		next := min(until, w.next)
-		if every > 0 {
+		if interval > 0 {
 			next = min(next, job)
 		}
 		for _, a := range w.replies {
@@ -83,10 +85,10 @@
 			}
 		}
 		w.replies = kept
-		if every > 0 && w.now >= job {
-			job += every
-			if worker := to(i); worker != "" && !w.m.IsDisabled(worker) {
-				w.sendJob(worker)
+		if interval > 0 && w.now >= job {
+			job += interval
+			if worker := target(i); worker != "" && !w.m.IsDisabled(worker) {
+				w.send(worker)
 			}
 			i++
 		}
@@ -96,9 +98,10 @@
 	}
 }
 
-func (w *world) setReachable(site, n int, there bool) {
+// setReachable sets whether the first n workers of a site are reachable.
+func (w *world) setReachable(site, n int, reachable bool) {
 	for i := range n {
-		w.reachable[workerName(site, i)] = there
+		w.reachable[workerName(site, i)] = reachable
 	}
 }
 
@@ -112,33 +115,33 @@
 	return n
 }
 
-// spread sends jobs to all workers of two sites in turn.
+// alternateSites distributes jobs over all workers of two sites in turn.
 func alternateSites(n int) func(int) string {
 	return func(i int) string { return workerName(i%2, i*7/2%n) }
 }
 
-// A lost site is known within two waits of the first job that goes there, by a quiet scheduler as by a busy one, and a
-// scheduler with nothing to do knows it too.
-func TestALossIsKnown(t *testing.T) {
-	for _, every := range []Time{0, 20 * millisecond, 500 * millisecond} {
+// The loss of a site is detected within a few reply timeouts of the first job sent there, by a scheduler with little
+// traffic as by a busy one. A scheduler without jobs detects it by probes.
+func TestLostSiteIsDetected(t *testing.T) {
+	for _, interval := range []Time{0, 20 * millisecond, 500 * millisecond} {
 		w := newWorld(Settings{MayProbe: true}, 30, 30)
-		w.run(w.now+10*second, every, alternateSites(30))
+		w.run(w.now+10*second, interval, alternateSites(30))
 		require.Equal(t, Whole, w.state(1))
 		w.setReachable(1, 30, false)
 		lost := w.now
-		w.run(lost+2200*millisecond, every, alternateSites(30))
-		require.Equal(t, Lost, w.state(1), "a job every %d us", every)
+		w.run(lost+2200*millisecond, interval, alternateSites(30))
+		require.Equal(t, Lost, w.state(1), "a job every %d us", interval)
 		require.Equal(t, 30, w.disabledAt(1))
 		require.Zero(t, w.disabledAt(0))
 		_, since := w.m.State(1)
-		if every > 0 {
-			require.Less(t, since-lost, 2*every+8*w.m.replyTimeout())
+		if interval > 0 {
+			require.Less(t, since-lost, 2*interval+8*w.m.replyTimeout())
 		}
 	}
 }
 
-// Where workers may not be asked jobs alone show it.
-func TestALossIsKnownWithoutProbes(t *testing.T) {
+// Without probes the loss and the return of a site are detected by jobs alone.
+func TestLostSiteIsDetectedWithoutProbes(t *testing.T) {
 	w := newWorld(Settings{}, 10, 10)
 	w.run(w.now+5*second, 50*millisecond, alternateSites(10))
 	w.setReachable(1, 10, false)
@@ -150,21 +153,21 @@
 	require.Zero(t, w.disabledAt(1))
 }
 
-// A site of one worker, and no probes: what it owed when it was lost is not held against it when it is back.
-func TestASiteOfOneWithoutProbes(t *testing.T) {
+// A site of one worker returns without probes. Replies still missing from before its loss must not disable it again.
+func TestSiteOfOneWorkerReturnsWithoutProbes(t *testing.T) {
 	w := newWorld(Settings{}, 1, 1)
-	to := func(i int) string { return workerName(i%2, 0) }
-	w.run(w.now+second, 80*millisecond, to)
+	target := func(i int) string { return workerName(i%2, 0) }
+	w.run(w.now+second, 80*millisecond, target)
 	w.setReachable(0, 1, false)
-	w.run(w.now+2*second, 80*millisecond, to)
+	w.run(w.now+2*second, 80*millisecond, target)
 	require.Positive(t, w.disabledCount)
 	w.setReachable(0, 1, true)
-	w.run(w.now+10*second, 80*millisecond, to)
+	w.run(w.now+10*second, 80*millisecond, target)
 	require.Zero(t, w.disabledAt(0))
 }
 
-// A worker that is listed at a lost site is out like the others, and one that leaves the list is no longer anybody's.
-func TestTheListChangesWhileASiteIsLost(t *testing.T) {
+// A worker that is added to a lost site is disabled like the others, and one that is removed leaves no state behind.
+func TestListChangesWhileSiteIsLost(t *testing.T) {
 	w := newWorld(Settings{MayProbe: true}, 2, 6)
 	w.run(w.now+5*second, 20*millisecond, alternateSites(2))
 	w.setReachable(1, 6, false)
@@ -174,18 +177,18 @@
 	for i := range 5 {
 		list = append(list, Member{workerName(1, i), 1})
 	}
-	outs := w.disabledCount
+	disabledBefore := w.disabledCount
 	w.m.UpdateWorkers(w.now, list)
 	require.True(t, w.m.IsDisabled("new"))
-	require.Equal(t, outs+1, w.disabledCount, "the host is told of it")
-	require.Equal(t, []string{workerName(1, 5)}, w.enabled, "nothing is kept of one that has left")
+	require.Equal(t, disabledBefore+1, w.disabledCount, "the host gets the action")
+	require.Equal(t, []string{workerName(1, 5)}, w.enabled, "a removed worker is enabled")
 	w.reachable[workerName(0, 0)], w.reachable[workerName(0, 1)] = false, false
 	w.run(w.now+5*second, 20*millisecond, alternateSites(2))
-	require.Less(t, w.disabledAt(0), 2, "somebody is left")
+	require.Less(t, w.disabledAt(0), 2, "a worker stays enabled")
 }
 
-// A third of a site that goes does not make it lost: those that are gone are taken out by themselves.
-func TestAThirdOfASite(t *testing.T) {
+// The failure of a third of a site's workers does not make the site lost: the failed workers are disabled individually.
+func TestPartialFailureDisablesSingleWorkers(t *testing.T) {
 	w := newWorld(Settings{MayProbe: true}, 30, 30)
 	w.run(w.now+5*second, 20*millisecond, alternateSites(30))
 	w.setReachable(1, 10, false)
@@ -197,27 +200,27 @@
 	require.Zero(t, w.disabledAt(1))
 }
 
-// A site that answers late is alive: patience follows what answers take.
-func TestASlowSiteIsAlive(t *testing.T) {
+// A site with slow replies is not lost: the reply timeout follows the measured reply times.
+func TestSlowSiteIsNotLost(t *testing.T) {
 	w := newWorld(Settings{MayProbe: true}, 30, 30)
 	w.run(w.now+5*second, 20*millisecond, alternateSites(30))
 	w.replyDelay = 60 * millisecond
 	w.run(w.now+10*second, 20*millisecond, alternateSites(30))
 	require.NotContains(t, w.states, "1:lost")
-	w.replyDelay = 300 * millisecond // all at once: held for lost for a moment, at most, and back by itself
+	w.replyDelay = 300 * millisecond // a sudden step: the site may be lost briefly, and must return without help
 	w.run(w.now+20*second, 20*millisecond, alternateSites(30))
 	require.Equal(t, Whole, max(w.state(1), Whole)&^Suspect)
 	require.Zero(t, w.disabledAt(0)+w.disabledAt(1))
 }
 
-// A host that was stopped has answers that it has not read: they are no evidence.
-func TestAStoppedHostLosesNobody(t *testing.T) {
+// After a pause of the host, replies that wait unread in its sockets must not make their workers silent.
+func TestPausedHostDisablesNoWorker(t *testing.T) {
 	w := newWorld(Settings{MayProbe: true}, 30, 30)
 	w.run(w.now+5*second, 20*millisecond, alternateSites(30))
 	for i := range 10 {
-		w.sendJob(workerName(1, i))
+		w.send(workerName(1, i))
 	}
-	w.replies, w.now = nil, w.now+5*second // it wakes, and its timers come before its sockets
+	w.replies, w.now = nil, w.now+5*second // the host resumes, and handles its timers before its sockets
 	w.next = w.m.Turn(w.now)
 	require.Zero(t, w.disabledCount)
 	for i := range 10 {
@@ -227,8 +230,8 @@
 	require.Zero(t, w.disabledCount)
 }
 
-// If nobody answers at all it is not the sites that are lost: somebody is always left to send to.
-func TestSomebodyIsLeft(t *testing.T) {
+// If no worker responds at all, some workers stay enabled, so that jobs can still be sent.
+func TestSomeWorkerStaysEnabled(t *testing.T) {
 	w := newWorld(Settings{MayProbe: true}, 8, 8)
 	w.run(w.now+5*second, 20*millisecond, alternateSites(8))
 	w.setReachable(0, 8, false)
@@ -237,8 +240,8 @@
 	require.Less(t, w.disabledAt(0)+w.disabledAt(1), 16)
 }
 
-// All other sites gone at once, and ours there: rather we are cut off.
-func TestCutOff(t *testing.T) {
+// If all other sites are lost while the own one responds, their state is CutOff.
+func TestOtherSitesAreCutOffTogether(t *testing.T) {
 	w := newWorld(Settings{MayProbe: true, OwnSite: 0}, 8, 8, 8)
 	w.run(w.now+5*second, 20*millisecond, func(i int) string { return workerName(i%3, i%8) })
 	w.setReachable(1, 8, false)
@@ -249,8 +252,8 @@
 	require.Equal(t, Whole, w.state(0))
 }
 
-// A site that is back is let back in steps, in an order that all schedulers share.
-func TestTheReturn(t *testing.T) {
+// The workers of a returning site are enabled in steps, in the same order at all schedulers.
+func TestSiteReturnsInSteps(t *testing.T) {
 	var orders [][]string
 	for range 2 {
 		w := newWorld(Settings{MayProbe: true, ReturnWindow: 4 * second}, 20, 20)
@@ -271,63 +274,64 @@
 	require.Equal(t, orders[0], orders[1])
 }
 
-// A site that comes and goes is trusted more slowly each time.
-func TestFlapping(t *testing.T) {
+// A flapping site has to respond for longer after each loss before it returns.
+func TestFlappingSiteReturnsLater(t *testing.T) {
 	w := newWorld(Settings{MayProbe: true}, 10, 10)
 	w.run(w.now+5*second, 20*millisecond, alternateSites(10))
-	var away []Time
+	var returnTimes []Time
 	for range 4 {
 		w.setReachable(1, 10, false)
 		w.run(w.now+5*second, 20*millisecond, alternateSites(10))
-		back := w.now
+		reachableAt := w.now
 		w.setReachable(1, 10, true)
-		for w.state(1) != Returning && w.now < back+10*second {
+		for w.state(1) != Returning && w.now < reachableAt+10*second {
 			w.run(w.now+25*millisecond, 20*millisecond, alternateSites(10))
 		}
-		away = append(away, w.now-back)
-		w.run(back+5*second, 20*millisecond, alternateSites(10))
+		returnTimes = append(returnTimes, w.now-reachableAt)
+		w.run(reachableAt+5*second, 20*millisecond, alternateSites(10))
 	}
-	require.Greater(t, away[3], 2*away[0])
-	require.Less(t, away[3], 5*second)
+	require.Greater(t, returnTimes[3], 2*returnTimes[0])
+	require.Less(t, returnTimes[3], 5*second)
 }
 
-// Whatever goes and comes: somebody is left, what is out is let back once it answers for good, and questions stay few.
-func TestAnyFaults(t *testing.T) {
+// Under random faults some worker stays enabled, all workers are enabled once they respond again for good, and the number
+// of probes stays bounded.
+func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 12), 2, 4).Draw(t, "sizes")
-		asks := rapid.Bool().Draw(t, "asks")
-		w := newWorld(Settings{MayProbe: asks}, sizes...)
-		all := 0
+		mayProbe := rapid.Bool().Draw(t, "mayProbe")
+		w := newWorld(Settings{MayProbe: mayProbe}, sizes...)
+		total := 0
 		for _, n := range sizes {
-			all += n
+			total += n
 		}
-		every := Time(rapid.IntRange(5, 200).Draw(t, "every")) * millisecond
-		to := func(i int) string { s := i % len(sizes); return workerName(s, i/len(sizes)*5%sizes[s]) }
+		interval := Time(rapid.IntRange(5, 200).Draw(t, "interval")) * millisecond
+		target := func(i int) string { s := i % len(sizes); return workerName(s, i/len(sizes)*5%sizes[s]) }
 		from := w.now
 		for range rapid.IntRange(1, 8).Draw(t, "faults") {
 			s := rapid.IntRange(0, len(sizes)-1).Draw(t, "site")
-			w.setReachable(s, rapid.IntRange(0, sizes[s]).Draw(t, "n"), rapid.Bool().Draw(t, "there"))
-			w.replyDelay = Time(rapid.IntRange(1, 400).Draw(t, "late")) * millisecond
-			w.run(w.now+Time(rapid.IntRange(50, 4000).Draw(t, "for"))*millisecond, every, to)
-			out := 0
+			w.setReachable(s, rapid.IntRange(0, sizes[s]).Draw(t, "n"), rapid.Bool().Draw(t, "reachable"))
+			w.replyDelay = Time(rapid.IntRange(1, 400).Draw(t, "delay")) * millisecond
+			w.run(w.now+Time(rapid.IntRange(50, 4000).Draw(t, "duration"))*millisecond, interval, target)
+			disabled := 0
 			for i := range sizes {
-				out += w.disabledAt(i)
+				disabled += w.disabledAt(i)
 			}
-			if out >= all {
-				t.Fatalf("all %d are out", all)
+			if disabled >= total {
+				t.Fatalf("all %d workers are disabled", total)
 			}
 		}
-		if most := 40 + int((w.now-from)/second)*(3*all+10); w.probeCount > most {
-			t.Fatalf("%d questions in %d s", w.probeCount, (w.now-from)/second)
+		if maxProbes := 40 + int((w.now-from)/second)*(3*total+10); w.probeCount > maxProbes {
+			t.Fatalf("%d probes in %d s", w.probeCount, (w.now-from)/second)
 		}
 		for i, n := range sizes {
 			w.setReachable(i, n, true)
 		}
 		w.replyDelay = 3 * millisecond
-		w.run(w.now+60*second, every, to)
+		w.run(w.now+60*second, interval, target)
 		for i := range sizes {
 			if w.disabledAt(i) > 0 {
-				t.Fatalf("%d of site %d, %s, are still out", w.disabledAt(i), i, w.state(i))
+				t.Fatalf("%d workers of site %d, %s, are still disabled", w.disabledAt(i), i, w.state(i))
 			}
 		}
 	})
--- a/internal/sites/members.go
+++ b/internal/sites/members.go
@@ -1,6 +1,6 @@
 package sites
 
-// The members of each site, in an order that all schedulers share, and those of them that a turn looks at.
+// The members of each site, in an order that is the same at all schedulers, and the set of members that a turn visits.
 
 import (
 	"cmp"
@@ -14,46 +14,46 @@
 type site struct {
 	state           State
 	since           Time
-	lastSeen        Time // last sign of life of any worker
-	nextCheckAt     Time // the last check ...
-	checkCount      int  // ... and how many in a row found the site alive
-	flapCount       float64
+	lastSeen        Time    // time of the last response of any of its workers
+	nextCheckAt     Time    // while Suspect: time of the next probes
+	checkCount      int     // consecutive checks since the site was last fully responsive
+	flapCount       float64 // number of losses, decayed; as of lastFlapAt
 	lastFlapAt      Time
 	probeAt         Time
-	respondingSince Time // since when it answers again
+	respondingSince Time // while Lost or CutOff: time of the first response; 0: none
 
-	members       []*member     // in the order of their hashes, which is the same at all schedulers
-	marked        bitset.BitSet // by member.place: those that are pending, and some that were
-	disabledCount int           // members that are out
-	added         []*member     // listed just now, and not yet among the members
-	hasRemovals   bool          // a member of it is listed no more
+	members       []*member     // by hash, the same order at all schedulers
+	marked        bitset.BitSet // by member.index: the pending members, and some that were pending
+	disabledCount int           // disabled members
+	added         []*member     // new in the list being applied, not yet in members
+	hasRemovals   bool          // some members are not in the list being applied
 }
 
 type member struct {
 	Member
 	hash            uint64
 	index           int  // in site.members
-	unansweredSince Time // the first thing asked that has no answer yet; 0: none
-	connectFailedAt Time // it refused a connection, and has said nothing since; 0: it did not
+	unansweredSince Time // time of the first request or probe without a response; 0: none
+	connectFailedAt Time // time of a failed connect without a response since; 0: none
 	lastSeen        Time
-	recheckedAt     Time // it was asked once more, for being silent
+	recheckedAt     Time // time of the extra probe sent because it was silent; 0: none
 	isDisabled      bool
 	disabledAt      Time
 	probeAt         Time
 	probeCount      int
-	lastList        uint64 // the number of the last list that it was on; 0: another has taken its name
+	lastList        uint64 // number of the last list that contained it; 0: replaced by a member of another site
 }
 
-// pending tells of a member that a turn has to look at: it owes an answer, has refused a connection, or is out.
+// isPending reports whether a turn has to visit the member: a response is missing, a connect failed, or it is disabled.
 func (w *member) isPending() bool {
 	return w.unansweredSince > 0 || w.connectFailedAt > 0 || w.isDisabled
 }
 
-// mark has the turns look at a member for as long as it is pending.
+// markPending makes turns visit the member for as long as it is pending.
 func (m *Machine) markPending(w *member) { m.sites[w.Site].marked.Set(uint(w.index)) }
 
-// pending gives the members that are pending, in order. One that comes to be so meanwhile is given too if its place is
-// yet to come.
+// pendingMembers iterates over the pending members, by index. A member that becomes pending during the iteration is
+// included if its index has not been passed.
 func (s *site) pendingMembers() iter.Seq[*member] {
 	return func(yield func(*member) bool) {
 		for i, more := s.marked.NextSet(0); more; i, more = s.marked.NextSet(i + 1) {
@@ -67,14 +67,15 @@
 	}
 }
 
-// OutOf is how many workers of a site get nothing new, and how many it has.
-func (m *Machine) WorkerCounts(site int) (out, all int) {
+// WorkerCounts returns the number of disabled workers of a site and the number of all its workers.
+func (m *Machine) WorkerCounts(site int) (disabled, total int) {
 	s := &m.sites[site]
 	return s.disabledCount, len(s.members)
 }
 
-// Listed takes the whole list of workers that may get jobs. One that is not on it is forgotten; one that is new, or back
-// after it was away, is held for alive.
+// UpdateWorkers applies a complete list of the workers that may get jobs. Workers that are not listed are removed; new
+// workers and workers that were not listed before are assumed to respond. Of a worker listed at several sites the last
+// entry counts; entries with an invalid site are ignored.
 func (m *Machine) UpdateWorkers(now Time, list []Member) {
 	m.listCount++
 	listed := 0
@@ -106,7 +107,7 @@
 			m.enable(w, false)
 			delete(m.members, w.Worker)
 			m.sites[w.Site].hasRemovals = true
-		} else { // a lost site stays lost when its list grows
+		} else { // new workers of a lost site are disabled too
 			m.disable(now, w, true)
 		}
 	}
@@ -115,13 +116,13 @@
 	}
 }
 
-// affected gives, by name, the workers that are listed no more, and those of lost sites that are not out. It is told how
-// many are listed.
-func (m *Machine) affectedMembers(listed int) (some []*member) {
+// affectedMembers returns, sorted by name, the workers that are no longer listed and the enabled workers of lost sites.
+// listed is the number of listed workers.
+func (m *Machine) affectedMembers(listed int) (affected []*member) {
 	if listed < len(m.members) {
 		for _, w := range m.members {
 			if w.lastList != m.listCount {
-				some = append(some, w)
+				affected = append(affected, w)
 			}
 		}
 	}
@@ -129,38 +130,38 @@
 		if s := &m.sites[i]; m.isLost(i) && s.disabledCount < len(s.members)+len(s.added) {
 			for _, w := range slices.Concat(s.members, s.added) {
 				if w.lastList == m.listCount && !w.isDisabled {
-					some = append(some, w)
+					affected = append(affected, w)
 				}
 			}
 		}
 	}
-	slices.SortFunc(some, func(a, b *member) int { return cmp.Compare(a.Worker, b.Worker) })
-	return some
+	slices.SortFunc(affected, func(a, b *member) int { return cmp.Compare(a.Worker, b.Worker) })
+	return affected
 }
 
-// arrange puts those that come among the members and lets go of those that are not on the list of that number.
+// applyList merges the added members into members and removes those that the list with that number does not contain.
 func (s *site) applyList(list uint64) {
 	if len(s.added) == 0 && !s.hasRemovals {
 		return
 	}
-	other := func(w *member) bool { return w.lastList != list }
-	coming := slices.DeleteFunc(s.added, other)
-	slices.SortFunc(coming, func(a, b *member) int { return cmp.Compare(a.hash, b.hash) })
-	staying := slices.DeleteFunc(s.members, other)
-	members := make([]*member, 0, len(staying)+len(coming))
-	for _, w := range staying {
-		for len(coming) > 0 && coming[0].hash < w.hash {
-			members = append(members, coming[0])
-			coming = coming[1:]
+	isUnlisted := func(w *member) bool { return w.lastList != list }
+	added := slices.DeleteFunc(s.added, isUnlisted)
+	slices.SortFunc(added, func(a, b *member) int { return cmp.Compare(a.hash, b.hash) })
+	kept := slices.DeleteFunc(s.members, isUnlisted)
+	members := make([]*member, 0, len(kept)+len(added))
+	for _, w := range kept {
+		for len(added) > 0 && added[0].hash < w.hash {
+			members = append(members, added[0])
+			added = added[1:]
 		}
 		members = append(members, w)
 	}
-	s.members, s.added, s.hasRemovals = append(members, coming...), nil, false
+	s.members, s.added, s.hasRemovals = append(members, added...), nil, false
 	s.disabledCount = 0
 	s.marked.ClearAll()
-	for place, w := range s.members {
-		if w.index = place; w.isPending() {
-			s.marked.Set(uint(place))
+	for index, w := range s.members {
+		if w.index = index; w.isPending() {
+			s.marked.Set(uint(index))
 		}
 		if w.isDisabled {
 			s.disabledCount++
@@ -168,7 +169,7 @@
 	}
 }
 
-// hash is the FNV-1a of a name, mixed: the same at all schedulers.
+// hashName returns the FNV-1a hash of a name with its bits mixed. All schedulers compute the same value.
 func hashName(name string) uint64 {
 	f := fnv.New64a()
 	f.Write([]byte(name))
--- a/internal/sites/members_test.go
+++ b/internal/sites/members_test.go
@@ -8,38 +8,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requireInStep compares what is kept in step with what a walk over all members gives.
+// requireConsistent compares the incrementally maintained state with a full walk over all members.
 func requireConsistent(t require.TestingT, m *Machine) {
-	all, out := 0, 0
+	total, disabled := 0, 0
 	for i := range m.sites {
 		s := &m.sites[i]
 		require.True(t, slices.IsSortedFunc(s.members, func(a, b *member) int { return cmp.Compare(a.hash, b.hash) }))
-		outs := 0
-		for place, w := range s.members {
+		disabledHere := 0
+		for index, w := range s.members {
 			require.Same(t, w, m.members[w.Worker])
 			require.Equal(t, i, w.Site)
-			require.Equal(t, place, w.index)
+			require.Equal(t, index, w.index)
 			if w.isPending() {
-				require.True(t, s.marked.Test(uint(place)), "%s is pending and not marked", w.Worker)
+				require.True(t, s.marked.Test(uint(index)), "%s is pending and not marked", w.Worker)
 			}
 			if w.isDisabled {
-				outs++
+				disabledHere++
 			}
 		}
-		require.Equal(t, outs, s.disabledCount)
+		require.Equal(t, disabledHere, s.disabledCount)
 		require.Empty(t, s.added)
-		all += len(s.members)
-		out += outs
+		total += len(s.members)
+		disabled += disabledHere
 	}
-	require.Equal(t, len(m.members), all)
-	require.Equal(t, all-out, m.enabledWorkers(-1))
+	require.Equal(t, len(m.members), total)
+	require.Equal(t, total-disabled, m.enabledWorkers(-1))
 }
 
-// The members that are kept for each site, counted out and marked as pending are those that a walk finds.
-func TestMembersAreKeptInStep(t *testing.T) {
-	for _, asks := range []bool{true, false} {
+// Each site's member list, disabled count and pending marks match a full walk under random faults and list changes.
+func TestMembersStayConsistentUnderRandomFaults(t *testing.T) {
+	for _, mayProbe := range []bool{true, false} {
 		sizes := []int{9, 1, 25}
-		d := newDigestWorld(Settings{MayProbe: asks, OwnSite: 1}, 9, sizes...)
+		d := newDigestWorld(Settings{MayProbe: mayProbe, OwnSite: 1}, 9, sizes...)
 		for range 300 {
 			if d.rng.IntN(2) == 0 {
 				d.changeList(len(sizes))
@@ -55,8 +55,8 @@
 	}
 }
 
-// One name at two sites of one list is at the last that is named.
-func TestANameListedTwice(t *testing.T) {
+// A worker listed at two sites of one list belongs to the last of them.
+func TestWorkerListedTwiceBelongsToItsLastSite(t *testing.T) {
 	w := newWorld(Settings{MayProbe: true}, 2, 2)
 	w.m.UpdateWorkers(w.now, []Member{{"a", 0}, {"b", 0}, {"a", 1}})
 	requireConsistent(t, w.m)
@@ -68,8 +68,8 @@
 	require.Empty(t, w.m.sites[1].members)
 }
 
-// A turn looks at the members that owe an answer, however many are listed.
-func TestATurnLooksAtWhoIsPending(t *testing.T) {
+// A turn visits only the members with a missing response, however many are listed.
+func TestTurnVisitsOnlyPendingMembers(t *testing.T) {
 	for _, size := range []int{30, 300, 3000} {
 		w := newWorld(Settings{MayProbe: true}, size, size)
 		for i := range 8 {
--- a/internal/sites/scale_test.go
+++ b/internal/sites/scale_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What a turn costs as the list grows, with ten members of three sites that owe an answer, and what taking a list does
-// that has changed by one member.
+// The cost of a turn as the list grows, with ten members of three sites that have not replied, and the cost of applying
+// a list that differs by one member.
 
 var scaleSizes = []int{1000, 10_000, 33_000}
 
@@ -25,7 +25,7 @@
 	}
 }
 
-func BenchmarkListed(b *testing.B) {
+func BenchmarkUpdateWorkers(b *testing.B) {
 	for _, members := range scaleSizes {
 		b.Run(fmt.Sprint(members, " members"), func(b *testing.B) {
 			w := newWorld(Settings{MayProbe: true}, 1)
