--- a/internal/front/admission/admission.go
+++ b/internal/front/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission is what the HTTP fronts share: how a request of a client becomes one of the core, what is wrong
-// with one that can't, how an answer reads, and which ids are open or have lately ended. It knows no framing: a
-// front hands it method, path, headers and body, and writes what comes back. All of it is the loop's.
+// Package admission turns clients' HTTP requests into requests of the core, or rejections, turns final answers into HTTP
+// replies, and keeps the ids of open and recently ended requests. The HTTP/1.1 and HTTP/2 fronts call it, on the event
+// loop only, with the parsed method, path, headers and body; it does no framing.
 package admission
 
 import (
@@ -12,7 +12,7 @@
 	"cobaltflow/internal/core"
 )
 
-// Headers of the platform's protocol.
+// Request headers of the platform's protocol.
 const (
 	HeaderID       = "X-Correlation-Id"
 	HeaderClass    = "X-Service-Class"
@@ -22,36 +22,38 @@
 	HeaderFacts    = "X-Facts"
 )
 
-// Bounds of a request.
+// Limits of a request.
 const (
-	MaxIDLength   = 128
-	MaxTimeLeftMS = 24 * 3600 * 1000 // milliseconds
+	MaxIDLength   = 128              // bytes
+	MaxTimeLeftMS = 24 * 3600 * 1000 // one day
 	MaxHint       = 24 * 3600 * core.Second
-	MaxBody       = 64 << 10
-	// An answer at a client's deadline is on its way while the client gives up, so ours is due earlier.
+	MaxBody       = 64 << 10 // bytes
+	// answerMargin is subtracted from the client's time left: an answer sent at the client's deadline would arrive after
+	// the client has given up.
 	answerMargin = 10 * core.Millisecond
 )
 
-// Request is what a front has read of one.
+// Request is a client's request as a front has parsed it.
 type Request struct {
 	Method, Target, Path string
 	Body                 []byte // valid until the core has released the request
-	// Header gives a header's first value and how often it stands there.
+	// Header returns a header's first value and the number of its occurrences.
 	Header func(name string) (value []byte, count int)
-	// Fields appends each of its header fields with AppendField; nil: there are none to pass on.
+	// HeaderFields appends the request's header fields to b, each with AppendField; nil: no fields to forward.
 	HeaderFields func(b []byte) []byte
 }
 
-// notPassed are the fields that end at a hop (RFC 9110, section 7.6.1), and those that a transport writes itself.
+// notForwarded lists the hop-by-hop fields (RFC 9110, section 7.6.1) and the fields that a transport writes itself.
 var notForwarded = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Host", "Content-Length", HeaderID, HeaderClass, HeaderTimeLeft}
 
-// AppendField appends a field of a request as the worker is to have it: all that are not for this hop alone pass
-// unchanged, known here or not. By one of them, as an idempotency key, a worker may tell a repeat from a new request.
-// connection is what the request's Connection field says, which names further ones for this hop.
+// AppendField appends a header field to those forwarded to the worker, unless it is hop-by-hop. All other fields are
+// forwarded unchanged, whether known here or not: a worker may use one of them, such as an idempotency key, to
+// distinguish a retry from a new request. connection is the value of the request's Connection field, which lists further
+// hop-by-hop fields.
 func AppendField[T ~string | ~[]byte](b []byte, name, value, connection T) []byte {
-	for _, own := range notForwarded {
-		if strings.EqualFold(own, string(name)) {
+	for _, field := range notForwarded {
+		if strings.EqualFold(field, string(name)) {
 			return b
 		}
 	}
@@ -63,26 +65,27 @@
 	return append(append(append(append(b, name...), ": "...), value...), "\r\n"...)
 }
 
-// Fault is a request that can't be served.
+// Rejection is the HTTP reply to a request that is not admitted.
 type Rejection struct {
 	Status int
 	Text   string
-	Allow  string // the method that would do, of a 405
+	Allow  string // with status 405: the allowed method; otherwise empty
 }
 
-// Controller admits requests. The fronts of one gateway share it, since ids are unique over all of them.
+// Controller admits requests. The fronts of one gateway share it, because request ids are unique across fronts.
 type Controller struct {
 	core      *core.Core
 	names     *config.Names
 	recentIDs recentIDs
 }
 
-// NewController makes the admission controller of a core.
+// NewController returns an admission controller for a core.
 func NewController(c *core.Core, names *config.Names) *Controller {
 	return &Controller{core: c, names: names}
 }
 
-// Admit turns a request into one of the core's, whose answer goes to the client; what can't be one reaches no worker.
+// Admit validates a request and passes it to the core, which reports its answer to client. A rejected request reaches no
+// worker.
 func (c *Controller) Admit(q *Request, client core.Client) (*core.Request, *Rejection) {
 	segments := strings.Split(strings.TrimPrefix(q.Path, "/"), "/")
 	class := c.names.Class(segments[0])
@@ -92,76 +95,77 @@
 	if q.Method != "POST" {
 		return nil, &Rejection{Status: 405, Text: "POST", Allow: "POST"}
 	}
-	t, text := parseRequest(q, segments, class)
+	request, text := parseRequest(q, segments, class)
 	if text != "" {
 		return nil, &Rejection{Status: 400, Text: text}
 	}
-	// An id is fresh for every request. One that has lately ended is another client's, and workers, which
-	// know whose it was, would turn it away.
-	if c.recentIDs.has(t.ID) {
+	// Every request needs a new id. A recently ended one belongs to an earlier request, which workers still know and for
+	// which they would reject this one.
+	if c.recentIDs.has(request.ID) {
 		return nil, &Rejection{Status: 400, Text: HeaderID + " was in use"}
 	}
 	if tenant, n := q.Header(HeaderTenant); n == 1 {
-		t.Job.Tenant = c.names.Tenant(tenant)
+		request.Job.Tenant = c.names.Tenant(tenant)
 	}
 	if q.HeaderFields != nil {
-		t.Job.HeaderFields = q.HeaderFields(nil)
+		request.Job.HeaderFields = q.HeaderFields(nil)
 	}
-	t.Client = client
-	t.Deadline = c.core.Loop.Now() + max(core.Millisecond, t.Deadline-answerMargin)
-	if !c.core.Accept(t) {
+	request.Client = client
+	request.Deadline = c.core.Loop.Now() + max(core.Millisecond, request.Deadline-answerMargin)
+	if !c.core.Accept(request) {
 		return nil, &Rejection{Status: 400, Text: HeaderID + " is in use"}
 	}
-	return t, nil
+	return request, nil
 }
 
-// Seen tells whether an id is open here or has lately ended here.
+// HasSeenID reports whether a request with the id is open or has recently ended.
 func (c *Controller) HasSeenID(id string) bool { return c.core.HasRequest(id) || c.recentIDs.has(id) }
 
-// Released notes the id of a request that no attempt needs any more.
-func (c *Controller) RememberID(t *core.Request) { c.recentIDs.add(t.ID) }
+// RememberID records the id of a request that the core has released as recently ended.
+func (c *Controller) RememberID(request *core.Request) { c.recentIDs.add(request.ID) }
 
-// newTransaction makes a request of the core from the headers; Deadline is still the time left. A text tells what is wrong.
+// parseRequest builds a core request from the headers, with Deadline set to the time left. A non-empty text is the reason
+// for a rejection.
 func parseRequest(q *Request, segments []string, class int) (*core.Request, string) {
 	id, n := q.Header(HeaderID)
 	if len(id) == 0 || len(id) > MaxIDLength || n > 1 || strings.ContainsAny(string(id), " ,\t\"/?#%") {
 		return nil, HeaderID + " is missing or unusable"
 	}
 	text, n := q.Header(HeaderTimeLeft)
-	left, err := strconv.ParseUint(string(text), 10, 32)
-	if err != nil || left == 0 || left > MaxTimeLeftMS || n > 1 {
+	timeLeftMS, err := strconv.ParseUint(string(text), 10, 32)
+	if err != nil || timeLeftMS == 0 || timeLeftMS > MaxTimeLeftMS || n > 1 {
 		return nil, HeaderTimeLeft + " is missing or unusable"
 	}
-	if named, n := q.Header(HeaderClass); n > 1 || n == 1 && string(named) != segments[0] {
+	if className, n := q.Header(HeaderClass); n > 1 || n == 1 && string(className) != segments[0] {
 		return nil, HeaderClass + " is not the class of the path"
 	}
-	t := &core.Request{ID: string(id), Deadline: core.Time(left) * core.Millisecond,
+	request := &core.Request{ID: string(id), Deadline: core.Time(timeLeftMS) * core.Millisecond,
 		Job: core.Job{Class: class, Target: q.Target, Body: q.Body}}
 	if len(segments) > 1 {
-		t.Job.Key = segments[len(segments)-1]
+		request.Job.Key = segments[len(segments)-1]
 	}
 	if hint, n := q.Header(HeaderHint); n == 1 {
-		t.Hint = parseHint(hint)
+		request.Hint = parseHint(hint)
 	}
 	facts, _ := q.Header(HeaderFacts)
 	for fact := range strings.SplitSeq(string(facts), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(fact), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(v >= 0 && v < 1e9) {
-			continue // a figure that is not known here or is none
+			continue // not a valid number
 		}
 		switch name {
 		case "slots":
-			t.Slots = v
+			request.Slots = v
 		case "memory":
-			t.Memory = v
+			request.Memory = v
 		}
 	}
-	return t, ""
+	return request, ""
 }
 
-// hintOf reads a client's estimate of its job, in microseconds, whole or decimal. What is none is let pass as if
-// nothing had been said: a job is not turned away for the sake of a guess.
+// parseHint parses a client's estimate of its job's run time, a decimal number of microseconds. An invalid estimate
+// yields 0, no hint: a request is not rejected because of an estimate.
 func parseHint(text []byte) core.Time {
 	v, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || !(v >= 1 && v <= float64(MaxHint)) {
@@ -170,15 +174,15 @@
 	return core.Time(v)
 }
 
-// Reply is an answer as HTTP says it.
+// Reply is a final answer in terms of HTTP.
 type Reply struct {
 	Status     int
-	Body       []byte // valid as long as the answer's result
-	RetryAfter string // empty: none
+	Body       []byte // valid as long as the Result of the answer
+	RetryAfter string // value of the Retry-After field; empty: no field
 }
 
-// ReplyTo gives the form of an answer: 200 with the result, 503, with Retry-After where the deployment has its
-// clients told, or 500.
+// ReplyTo returns the HTTP reply for an answer: 200 with the result; 503 for a refusal, with Retry-After if
+// rules.Settings.RetryAfter is set; otherwise 500.
 func (c *Controller) ReplyTo(a core.Answer) Reply {
 	switch a.Kind {
 	case core.Served:
@@ -192,8 +196,8 @@
 	return Reply{Status: 500}
 }
 
-// Seconds writes a length of time in decimal seconds, to the millisecond above.
-func FormatSeconds(t core.Time) string {
-	ms := (t + core.Millisecond - 1) / core.Millisecond
+// FormatSeconds formats a duration in decimal seconds, rounded up to the millisecond.
+func FormatSeconds(duration core.Time) string {
+	ms := (duration + core.Millisecond - 1) / core.Millisecond
 	return fmt.Sprintf("%d.%03d", ms/1000, ms%1000)
 }
--- a/internal/front/admission/admission_test.go
+++ b/internal/front/admission/admission_test.go
@@ -20,7 +20,7 @@
 func (client) Answer(*core.Request, core.Answer) {}
 func (client) Released(*core.Request)            {}
 
-// names reads a platform's file with two tenants, as a scheduler does at its start.
+// loadNames loads a platform file with two tenants, as a scheduler does at startup.
 func loadNames(t *testing.T) *config.Names {
 	text, err := json.Marshal(map[string]any{"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2",
 		"settings": map[string]any{"classes": []any{map[string]any{"name": "foglalás", "deadlineUs": 5_000_000}},
@@ -46,11 +46,11 @@
 		"none":    {nil, 0, 0},
 		"unknown": {map[string][]string{HeaderTenant: {"kék"}, HeaderHint: {"soon"}}, 0, 0},
 		"twice":   {map[string][]string{HeaderTenant: {"agyag-ház", "agyag-ház"}, HeaderHint: {"1", "1"}}, 0, 0},
-		"lies":    {map[string][]string{HeaderTenant: {""}, HeaderHint: {"-3"}}, 0, 0},
+		"invalid": {map[string][]string{HeaderTenant: {""}, HeaderHint: {"-3"}}, 0, 0},
 		"nan":     {map[string][]string{HeaderHint: {"NaN"}}, 0, 0},
-		"endless": {map[string][]string{HeaderHint: {"1e99"}}, 0, 0},
+		"huge":    {map[string][]string{HeaderHint: {"1e99"}}, 0, 0},
 	} {
-		tx, fault := controller.Admit(&Request{Method: "POST", Target: "/foglalás/k", Path: "/foglalás/k", Header: func(name string) ([]byte, int) {
+		request, rejection := controller.Admit(&Request{Method: "POST", Target: "/foglalás/k", Path: "/foglalás/k", Header: func(name string) ([]byte, int) {
 			values := map[string][]string{HeaderID: {id}, HeaderTimeLeft: {"5000"}}[name]
 			values = append(values, v.headers[name]...)
 			if len(values) == 0 {
@@ -58,17 +58,17 @@
 			}
 			return []byte(values[0]), len(values)
 		}}, client{})
-		require.Nil(t, fault, id)
-		assert.Equal(t, []any{v.tenant, v.hint}, []any{tx.Job.Tenant, tx.Hint}, id)
+		require.Nil(t, rejection, id)
+		assert.Equal(t, []any{v.tenant, v.hint}, []any{request.Job.Tenant, request.Hint}, id)
 	}
 }
 
-// Clients are told when to come back only where the deployment has it.
+// A refusal has a Retry-After field only if the settings enable it.
 func TestRetryAfterFollowsTheSettings(t *testing.T) {
-	for _, told := range []bool{true, false} {
-		c := core.New(core.NewLoop(), rules.Settings{RetryAfter: told}, 1, slog.New(slog.DiscardHandler))
+	for _, enabled := range []bool{true, false} {
+		c := core.New(core.NewLoop(), rules.Settings{RetryAfter: enabled}, 1, slog.New(slog.DiscardHandler))
 		r := NewController(c, loadNames(t)).ReplyTo(core.Answer{Kind: core.Refused, RetryAfter: 1_500_000})
 		assert.Equal(t, 503, r.Status)
-		assert.Equal(t, map[bool]string{true: "1.500"}[told], r.RetryAfter)
+		assert.Equal(t, map[bool]string{true: "1.500"}[enabled], r.RetryAfter)
 	}
 }
--- a/internal/front/admission/ledger.go
+++ b/internal/front/admission/ledger.go
@@ -2,14 +2,14 @@
 
 import "cobaltflow/internal/core"
 
-// State is where a job stands in the ledger.
+// State is a job's state in the ledger.
 type State string
 
-// The states; those but Open are final.
+// The states. All except Open are final.
 const (
 	Open    State = "open"
 	Served  State = "served"
-	Refused State = "refused" // it never ran, or asking again is harmless
+	Refused State = "refused" // it never ran, or may be retried safely
 	Failed  State = "failed"  // it may have run
 )
 
@@ -17,33 +17,34 @@
 type Entry struct {
 	ID        string
 	State     State
-	Result    []byte // of Served
+	Result    []byte // set if Served
 	expiresAt core.Time
 }
 
-// Ledger holds, for a bounded time after its end, how each job ended, so that a client that reset its stream or lost
-// its connection can learn it. Who does not know an id learns nothing: nothing is listed.
+// Ledger keeps the outcome of each job for a bounded time after its end, so that a client that reset its stream or lost
+// its connection can look it up. Lookup requires the job's id: entries can't be listed.
 type Ledger struct {
 	maxJobs, maxBytes int
 	retention         core.Time
 	entries           map[string]*Entry
-	ended             []*Entry // in order of their end
-	usedBytes         int      // bytes of the ended
-	Evicted           uint64   // before their time, since there was no room
+	ended             []*Entry // in the order in which the jobs ended
+	usedBytes         int      // of the ended entries
+	Evicted           uint64   // entries removed before their retention time because a limit was reached
 }
 
-// entrySize is what an entry is reckoned to take beyond its texts, in bytes.
+// entryOverheadBytes is the estimated memory of an entry in addition to its id and result.
 const entryOverheadBytes = 160
 
-// NewLedger makes a ledger that holds at most so many ended jobs and bytes of them, each for at most keep.
-func NewLedger(most, bytes int, keep core.Time) *Ledger {
-	return &Ledger{maxJobs: most, maxBytes: bytes, retention: keep, entries: map[string]*Entry{}}
+// NewLedger returns a ledger that keeps at most maxJobs ended jobs of together maxBytes, each for the retention time.
+func NewLedger(maxJobs, maxBytes int, retention core.Time) *Ledger {
+	return &Ledger{maxJobs: maxJobs, maxBytes: maxBytes, retention: retention, entries: map[string]*Entry{}}
 }
 
-// Begin notes a job that was taken.
+// Begin adds an accepted job as Open.
 func (l *Ledger) Begin(id string) { l.entries[id] = &Entry{ID: id, State: Open} }
 
-// End notes its one final answer. The result is copied.
+// End records a job's final answer and copies the result. It does nothing if the job is unknown or has ended. If a limit
+// is exceeded it evicts the jobs that ended first.
 func (l *Ledger) End(now core.Time, id string, s State, result []byte) {
 	e := l.entries[id]
 	if e == nil || e.State != Open {
@@ -61,17 +62,17 @@
 	}
 }
 
-// Find gives a job; nil: it is not known, or no more.
+// Find returns a job's entry, or nil if the job is unknown or no longer kept.
 func (l *Ledger) Find(id string) *Entry { return l.entries[id] }
 
-// Expire forgets what has been kept for its time.
+// Expire removes entries whose retention time has passed.
 func (l *Ledger) Expire(now core.Time) {
 	for len(l.ended) > 0 && l.ended[0].expiresAt <= now {
 		l.removeOldest()
 	}
 }
 
-// Len is the number of ended jobs that are kept, and the bytes they take.
+// Len returns the number of ended jobs that are kept and their size in bytes.
 func (l *Ledger) Len() (jobs, bytes int) { return len(l.ended), l.usedBytes }
 
 func (l *Ledger) removeOldest() {
--- a/internal/front/admission/recent.go
+++ b/internal/front/admission/recent.go
@@ -2,14 +2,14 @@
 
 import "hash/maphash"
 
-// recentKept bounds the ids that are remembered, and with them the memory: a quarter of a MB at most.
+// maxRecentIDs limits the number of remembered ids, and thereby the memory to a quarter of a MB.
 const maxRecentIDs = 8192
 
-// recent remembers the ids of requests that have lately ended, by their hashes.
+// recentIDs remembers the ids of recently ended requests, as hashes.
 type recentIDs struct {
 	seed   maphash.Seed
 	hashes map[uint64]struct{}
-	ring   []uint64 // in order of their end, once it is full from next on
+	ring   []uint64 // in the order in which the requests ended; once full, the oldest is at next
 	next   int
 }
 
