--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config is the one place where configuration is read, checked and given defaults: the
-// environment, the platform's JSON file, and the project's own file under deploy/. Every fault
-// names the key it was found at.
+// Package config reads the configuration from the environment, the platform's JSON file and the project's own file under
+// deploy/, validates it and applies defaults. The gateway and the command call it; each validation error names the key
+// that caused it.
 package config
 
 import (
@@ -22,7 +22,7 @@
 	"cobaltflow/rules"
 )
 
-// Names of the environment's keys.
+// Environment variables.
 const (
 	EnvName      = "RELAY_NAME"
 	EnvListen    = "RELAY_LISTEN"
@@ -31,63 +31,63 @@
 	EnvAdmin     = "RELAY_ADMIN"
 )
 
-// Config is all that a scheduler is told.
+// Config is the whole configuration of a scheduler.
 type Config struct {
 	Name             string
-	Listen           string
-	Discovery        string
-	DiscoveryIsLocal bool   // discovery is an agent on our own machine, which costs nothing to ask
-	Admin            string // the operators' address; empty: there is none
-	Seed             uint64
+	Listen           string // address of the clients' HTTP/1.1 front
+	Discovery        string // address of the discovery server; empty: the worker list is fixed
+	DiscoveryIsLocal bool   // the discovery server runs on this machine, so that calls to it are cheap
+	Admin            string // address of the operators' front; empty: off
+	Seed             uint64 // of random decisions
 	Limits           Limits
-	KnownWorkers     json.RawMessage // the last list, in discovery's form
+	KnownWorkers     json.RawMessage // initial worker list, as JSON in the format of discovery
 	Peers            Peers
 	Settings         rules.Settings
 	Names            Names
 	Faktory          Faktory
 	HTTP2            HTTP2
 	Sites            Sites
-	Ownership        *ownership.Settings // nil: the fleet is not divided
+	Ownership        *ownership.Settings // nil: the fleet is not divided among schedulers
 	Log              log.Settings
-	Warnings         []string // what was read otherwise than it may seem; for the log
+	Warnings         []string // settings whose effect may be unexpected; for the log
 
-	// StateFolder is where files stand that this scheduler's processes share; empty: the system's folder for temporary
-	// files ($TMPDIR).
+	// StateDir is the directory of the files that this scheduler's processes share; empty: the system's directory for
+	// temporary files ($TMPDIR).
 	StateDir string
 
-	projectPath string // the project's own
+	projectPath string // of the project's file, for Reload
 }
 
-// Peers are the other schedulers, and how to send them messages. Listen is empty where that is off.
+// Peers holds the addresses for messages between schedulers. Listen is empty if these messages are off.
 type Peers struct {
 	Listen string
-	Group  netip.AddrPort   // reaches all
-	ByRank []netip.AddrPort // by rank, our own among them
+	Group  netip.AddrPort   // reaches all schedulers
+	ByRank []netip.AddrPort // including this scheduler's own address
 }
 
-// Limits of the process.
+// Limits are the resource limits of the process.
 type Limits struct {
 	Cores    float64
 	MemoryMB int
 	Sockets  int
 }
 
-// Names turn the words on the sockets into the numbers of the decisions.
+// Names maps the names used on the wire to the numbers that package rules uses, and holds the workers' idle timeout.
 type Names struct {
 	Classes, Zones, Kinds []string
-	ConnIdleTimeout       rules.Time // a worker closes a connection that stood idle for so long
+	ConnIdleTimeout       rules.Time // a worker closes a connection that is idle for this long
 
-	tenants map[string]int // numbers from 1
+	tenants map[string]int // name to number, from 1
 }
 
-// Class gives the number of a class by its name; -1: unknown.
+// Class returns the number of a class, or -1 if the name is unknown.
 func (n *Names) Class(name string) int { return slices.Index(n.Classes, name) }
 
-// Tenant gives the number of a tenant by its name, from 1. 0: the settings know none of that name, and what it asks
-// for counts against nobody's share.
+// Tenant returns the number of a tenant, from 1, or 0 if the settings do not contain the name: its requests count against
+// no quota.
 func (n *Names) Tenant(name []byte) int { return n.tenants[string(name)] }
 
-// nameTenants takes the tenants' names, in the order of their numbers.
+// setTenants sets the tenants' names, in the order of their numbers. key is the configuration key of the list.
 func (n *Names) setTenants(names []string, key string) error {
 	n.tenants = make(map[string]int, len(names))
 	for i, name := range names {
@@ -95,14 +95,14 @@
 			return newError(fmt.Sprintf("%s.%d.name", key, i), "missing")
 		}
 		if n.tenants[name] > 0 {
-			return newError(fmt.Sprintf("%s.%d.name", key, i), "%q stands twice", name)
+			return newError(fmt.Sprintf("%s.%d.name", key, i), "duplicate name %q", name)
 		}
 		n.tenants[name] = i + 1
 	}
 	return nil
 }
 
-// Error is a fault at a key.
+// Error is a validation error at a configuration key.
 type Error struct{ Key, Text string }
 
 func (e *Error) Error() string { return e.Key + ": " + e.Text }
@@ -111,6 +111,7 @@
 	return &Error{key, fmt.Sprintf(format, args...)}
 }
 
+// platformFile is the content of the platform's JSON file.
 type platformFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -126,19 +127,18 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration: the platform's file and the project's own, or its embedded example. The
-// environment goes first, then the platform's file, then the section scheduler of the project's own.
-// own is the path of the project's file; it may be absent where the platform tells the rest, unless
-// needed says that somebody named it.
-func Load(getenv func(string) string, own string, needed bool) (*Config, error) {
-	file, err := readProjectFile(own, needed)
+// Load reads the configuration from the environment, the platform's file and the project's file. The environment takes
+// precedence over the platform's file, which takes precedence over the section scheduler of the project's file.
+// projectPath is the path of the project's file. The file may be absent unless isRequired is set.
+func Load(getenv func(string) string, projectPath string, isRequired bool) (*Config, error) {
+	file, err := readProjectFile(projectPath, isRequired)
 	if err != nil {
 		return nil, err
 	}
-	return load(getenv, file, own, false)
+	return load(getenv, file, projectPath, false)
 }
 
-// LoadExample gives the configuration of the embedded example.
+// LoadExample returns the configuration of the embedded example file.
 func LoadExample() (*Config, error) {
 	file := &projectFile{}
 	if err := file.parse(deploy.Example); err != nil {
@@ -147,12 +147,12 @@
 	return load(func(string) string { return "" }, file, "", false)
 }
 
-func load(getenv func(string) string, file *projectFile, own string, again bool) (*Config, error) {
-	c, err := read(getenv, file.Scheduler, again)
+func load(getenv func(string) string, file *projectFile, projectPath string, isReload bool) (*Config, error) {
+	c, err := read(getenv, file.Scheduler, isReload)
 	if err != nil {
 		return nil, err
 	}
-	c.Log, c.Sites, c.projectPath = file.Log, file.Sites, own
+	c.Log, c.Sites, c.projectPath = file.Log, file.Sites, projectPath
 	if err := c.readOwnership(file.Ownership); err != nil {
 		return nil, err
 	}
@@ -162,8 +162,8 @@
 	return c, c.readFaktory(file.Faktory)
 }
 
-// Reload reads the files again for a program that runs. What the environment says of discovery is from
-// the start: the new file goes before it. The other fronts' parts are kept as they are.
+// Reload reads the files again for a running process. The discovery address in the platform's file takes precedence over
+// the environment, which dates from the start of the process. The sections faktory and http2 are kept unchanged.
 func (c *Config) Reload(getenv func(string) string) (*Config, error) {
 	file, err := readProjectFile(c.projectPath, false)
 	if err != nil {
@@ -174,13 +174,13 @@
 		return nil, err
 	}
 	next.Faktory, next.HTTP2 = c.Faktory, c.HTTP2
-	if err := errors.Join(next.checkFaktory(), next.checkHTTP2()); err != nil { // by the new limits
+	if err := errors.Join(next.checkFaktory(), next.checkHTTP2()); err != nil { // against the new limits
 		return nil, err
 	}
 	return next, nil
 }
 
-// Unchangeable names the keys in which next differs but which a running program keeps.
+// RestartRequired returns the keys in which next differs from c but whose values a running process keeps.
 func (c *Config) RestartRequired(next *Config) (keys []string) {
 	for _, k := range []struct {
 		key     string
@@ -198,8 +198,8 @@
 	return keys
 }
 
-// read takes the platform's file, or where there is none the scheduler section of the project's own.
-func read(getenv func(string) string, section *schedulerSection, again bool) (*Config, error) {
+// read reads the platform's file or, without one, the scheduler section of the project's file.
+func read(getenv func(string) string, section *schedulerSection, isReload bool) (*Config, error) {
 	var doc platformFile
 	prefix := ""
 	if getenv(EnvConfig) != "" {
@@ -223,11 +223,11 @@
 		Limits:       Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		KnownWorkers: doc.Known,
 	}
-	if again {
+	if isReload {
 		c.Discovery = firstNonEmpty(doc.Discovery, c.Discovery)
 	}
 	if c.Name == "" {
-		return nil, newError(prefix+"name", "missing (or %s); without a platform's file the section \"scheduler\" of --config tells it", EnvName)
+		return nil, newError(prefix+"name", "missing (or %s); without a platform file the section \"scheduler\" of the --config file must set it", EnvName)
 	}
 	if err := c.checkAddresses(prefix, section == nil); err != nil {
 		return nil, err
@@ -252,35 +252,35 @@
 		return nil, err
 	}
 	if c.Settings.SlowStartWindow == 0 {
-		c.Warnings = append(c.Warnings, "settings.rules.warmWithinUs is absent: a new worker counts as cold for 30 s, and its first jobs wait")
+		c.Warnings = append(c.Warnings, "settings.rules.warmWithinUs is absent: new workers are cold for 30 s, and their first jobs wait")
 	}
 	return c, nil
 }
 
-// readDocument reads the platform's file.
+// readPlatformFile reads the platform's file.
 func readPlatformFile(path string, doc *platformFile) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return newError(EnvConfig, "%v", err)
 	}
 	if err := json.Unmarshal(text, doc); err != nil {
-		var typed *json.UnmarshalTypeError
-		if errors.As(err, &typed) {
-			return newError(typed.Field, "a %s can't stand here", typed.Value)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return newError(typeErr.Field, "unexpected %s", typeErr.Value)
 		}
 		return newError(EnvConfig, "%v", err)
 	}
 	return nil
 }
 
-// checkAddresses checks the addresses; prefix stands before the keys that its errors name. discovered tells that the
-// workers come from discovery, which needs an address then.
-func (c *Config) checkAddresses(prefix string, discovered bool) error {
+// checkAddresses validates the addresses. prefix is prepended to the keys in its errors. usesDiscovery reports whether
+// the discovery address is required.
+func (c *Config) checkAddresses(prefix string, usesDiscovery bool) error {
 	for _, a := range []struct{ key, env, value string }{
 		{"listen", EnvListen, c.Listen}, {"discovery", EnvDiscovery, c.Discovery},
 	} {
-		if a.value == "" && a.key == "discovery" && !discovered {
-			continue // the workers that the section names are all there are
+		if a.value == "" && a.key == "discovery" && !usesDiscovery {
+			continue // the section lists all workers
 		}
 		if a.value == "" {
 			return newError(prefix+a.key, "missing (or %s)", a.env)
@@ -294,13 +294,13 @@
 			return newError(prefix+"admin", "%v", err)
 		}
 		if c.Admin == c.Listen {
-			return newError(prefix+"admin", "%s is the clients' address too; the operators' must be another", c.Admin)
+			return newError(prefix+"admin", "%s is also the clients' address; the operators' address must differ", c.Admin)
 		}
 	}
 	return nil
 }
 
-// readLimits takes the limits of a document over.
+// readLimits applies the limits of the file.
 func (c *Config) readLimits(prefix string, doc *platformFile) error {
 	if v := doc.Limits.Cores; v != nil {
 		if c.Limits.Cores = *v; *v <= 0 {
@@ -320,7 +320,8 @@
 	return nil
 }
 
-// peers reads how to reach the other schedulers. Without addresses nothing is told, and a note says so.
+// readPeers reads the addresses of the other schedulers. If they are absent it turns messages between schedulers off and
+// adds a warning.
 func (c *Config) readPeers(doc *platformFile) error {
 	s := &c.Settings
 	if !s.MayBroadcast || s.GroupSize < 2 {
@@ -329,7 +330,7 @@
 	}
 	if doc.PeerListen == "" || doc.PeersAll == "" || len(doc.Peers) == 0 {
 		s.MayBroadcast = false
-		c.Warnings = append(c.Warnings, "peer_listen, peers or peers_all is absent: nothing is told to the other schedulers, nor heard of them")
+		c.Warnings = append(c.Warnings, "peer_listen, peers or peers_all is absent: no messages are exchanged with the other schedulers")
 		return nil
 	}
 	if len(doc.Peers) != s.GroupSize {
@@ -345,7 +346,7 @@
 			return newError(fmt.Sprintf("peers.%d", i), "%q is not address:port", text)
 		}
 		if slices.Contains(c.Peers.ByRank, a) {
-			return newError(fmt.Sprintf("peers.%d", i), "%s stands twice", text)
+			return newError(fmt.Sprintf("peers.%d", i), "duplicate address %s", text)
 		}
 		c.Peers.ByRank = append(c.Peers.ByRank, a)
 	}
@@ -379,7 +380,7 @@
 	return nil
 }
 
-// settings flattens the nested object into the simulator's path=value and has it read as there.
+// readSettings flattens the settings object into the path=value form of the simulator and parses it with package wire.
 func (c *Config) readSettings(text json.RawMessage) error {
 	if len(text) == 0 || string(text) == "null" {
 		return newError("settings", "missing")
@@ -398,7 +399,7 @@
 	flatten("", root, &fields)
 	s, err := wire.ParseSettings(fields)
 	if err != nil {
-		// The reader's words are "setting PATH: what is wrong".
+		// The error text is "setting PATH: REASON".
 		path, text, _ := strings.Cut(strings.TrimPrefix(err.Error(), "setting "), ": ")
 		return newError("settings."+path, "%s", text)
 	}
@@ -432,24 +433,24 @@
 			return newError(fmt.Sprintf("settings.classes.%d.name", i), "missing")
 		}
 		if c.Names.Class(name) >= 0 {
-			return newError(fmt.Sprintf("settings.classes.%d.name", i), "%q stands twice", name)
+			return newError(fmt.Sprintf("settings.classes.%d.name", i), "duplicate name %q", name)
 		}
 		c.Names.Classes = append(c.Names.Classes, name)
 	}
 	if len(c.Names.Classes) == 0 {
-		return newError("settings.classes", "none are given")
+		return newError("settings.classes", "missing or empty")
 	}
 	return nil
 }
 
-// readConnIdle reads for how long a worker keeps an idle connection.
+// readConnIdle reads how long a worker keeps an idle connection open; default 60 s.
 func (c *Config) readConnIdle(root map[string]any) error {
 	c.Names.ConnIdleTimeout = 60_000_000
 	if caps, ok := root["caps"].(map[string]any); ok {
 		if n, ok := caps["connIdleUs"].(json.Number); ok {
 			v, err := n.Int64()
 			if err != nil || v <= 0 {
-				return newError("settings.caps.connIdleUs", "%q is no length of time", n)
+				return newError("settings.caps.connIdleUs", "%q is not a positive number of microseconds", n)
 			}
 			c.Names.ConnIdleTimeout = v
 		}
@@ -457,13 +458,14 @@
 	return nil
 }
 
-// nameOf gives the name of an item of a list of objects.
+// itemName returns the name of an item in a list of objects.
 func itemName(item any) string {
 	m, _ := item.(map[string]any)
 	name, _ := m["name"].(string)
 	return name
 }
 
+// stringList formats the items of a list.
 func stringList(v any) (out []string) {
 	list, _ := v.([]any)
 	for _, item := range list {
@@ -472,6 +474,8 @@
 	return out
 }
 
+// flatten appends the values below v to out as path=value. A list of scalars is joined with commas; a list of objects is
+// preceded by its length, path.count.
 func flatten(path string, v any, out *[]string) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -482,8 +486,8 @@
 			flatten(key, item, out)
 		}
 	case []any:
-		nested := slices.ContainsFunc(v, func(x any) bool { _, ok := x.(map[string]any); return ok })
-		if !nested {
+		hasObjects := slices.ContainsFunc(v, func(x any) bool { _, ok := x.(map[string]any); return ok })
+		if !hasObjects {
 			*out = append(*out, path+"="+strings.Join(stringList(v), ","))
 			return
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -34,7 +34,7 @@
 func TestLoad(t *testing.T) {
 	c, err := loadPlatform(t, platformText, map[string]string{EnvName: "n4"})
 	require.NoError(t, err)
-	assert.Equal(t, "n4", c.Name, "the environment goes first")
+	assert.Equal(t, "n4", c.Name, "the environment takes precedence")
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
 	assert.Equal(t, Limits{1, 192, 1024}, c.Limits)
 	assert.Equal(t, 0, c.Names.Class("move"))
@@ -56,7 +56,7 @@
 
 	c, err = loadPlatform(t, strings.Replace(platformText, `"cancel":true`, `"cancel":true,"peers":true`, 1), nil)
 	require.NoError(t, err)
-	assert.False(t, c.Settings.MayBroadcast, "without addresses nothing is told")
+	assert.False(t, c.Settings.MayBroadcast, "without addresses no messages are sent")
 	assert.NotEmpty(t, c.Warnings)
 
 	for _, f := range []struct{ from, to, key string }{
@@ -68,36 +68,36 @@
 		{`"127.0.0.1:9"`, `"here"`, "peer_listen"},
 	} {
 		_, err := loadPlatform(t, strings.Replace(with, f.from, f.to, 1), nil)
-		var fault *Error
-		if assert.ErrorAs(t, err, &fault, f.to) {
-			assert.Equal(t, f.key, fault.Key, f.to)
+		var configErr *Error
+		if assert.ErrorAs(t, err, &configErr, f.to) {
+			assert.Equal(t, f.key, configErr.Key, f.to)
 		}
 	}
 }
 
-func TestReloadTakesDiscoveryFromTheFile(t *testing.T) {
+func TestReloadReadsDiscoveryFromTheFile(t *testing.T) {
 	env := map[string]string{EnvName: "n4", EnvDiscovery: "127.0.0.1:9"}
 	old, err := loadPlatform(t, platformText, env)
 	require.NoError(t, err)
-	require.Equal(t, "127.0.0.1:9", old.Discovery, "at the start the environment goes first")
+	require.Equal(t, "127.0.0.1:9", old.Discovery, "at the start the environment takes precedence")
 	path := filepath.Join(t.TempDir(), "next.json")
-	again := func(text string) (*Config, error) {
+	reload := func(text string) (*Config, error) {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		env[EnvConfig] = path
 		return old.Reload(func(key string) string { return env[key] })
 	}
-	next, err := again(strings.NewReplacer("8500", "8501", `"sockets":1024`, `"sockets":256`).Replace(platformText))
+	next, err := reload(strings.NewReplacer("8500", "8501", `"sockets":1024`, `"sockets":256`).Replace(platformText))
 	require.NoError(t, err)
 	assert.Equal(t, []any{"127.0.0.1:8501", 256}, []any{next.Discovery, next.Limits.Sockets})
 	assert.Empty(t, old.RestartRequired(next))
-	next, err = again(strings.NewReplacer("8443", "8444", "1000000,", "2000000,").Replace(platformText))
+	next, err = reload(strings.NewReplacer("8443", "8444", "1000000,", "2000000,").Replace(platformText))
 	require.NoError(t, err)
 	assert.Equal(t, []string{"listen", "settings"}, old.RestartRequired(next))
-	_, err = again(strings.Replace(platformText, "8500", "none", 1))
+	_, err = reload(strings.Replace(platformText, "8500", "none", 1))
 	assert.ErrorContains(t, err, "discovery: ")
 }
 
-func TestFaultsNameTheirKey(t *testing.T) {
+func TestPlatformFileErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ text, key string }{
 		{`{`, EnvConfig},
 		{`{"name":7}`, "name"},
@@ -120,27 +120,27 @@
 		{`{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"tenants":[{"quotaRps":3}]}}`, "settings.tenants.0.name"},
 	} {
 		_, err := loadPlatform(t, c.text, nil)
-		var fault *Error
-		if assert.ErrorAs(t, err, &fault, c.text) {
-			assert.Equal(t, c.key, fault.Key, c.text)
+		var configErr *Error
+		if assert.ErrorAs(t, err, &configErr, c.text) {
+			assert.Equal(t, c.key, configErr.Key, c.text)
 		}
 	}
 }
 
-// own loads the project's own file with no platform's beside it.
+// loadProject loads a project file without a platform file.
 func loadProject(t *testing.T, text string, env map[string]string) (*Config, error) {
 	path := filepath.Join(t.TempDir(), "cobaltflow.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return Load(func(key string) string { return env[key] }, path, true)
 }
 
-func TestOwnFileRunsWithoutAPlatform(t *testing.T) {
+func TestProjectFileWorksWithoutAPlatformFile(t *testing.T) {
 	c, err := loadProject(t, string(deploy.Example), map[string]string{EnvName: "n7"})
 	require.NoError(t, err)
 	assert.Equal(t, []any{"n7", "", true}, []any{c.Name, c.Discovery, c.Faktory.IsEnabled()})
 	assert.Equal(t, []string{"board-view", "move", "settle"}, c.Names.Classes)
 	assert.Equal(t, rules.Class{LatencyTarget: 5e5, Deadline: 5e6, Value: 3, Effect: rules.Repeatable, Kind: -1}, c.Settings.Classes[0])
-	assert.Equal(t, rules.Time(1), c.Settings.SlowStartWindow, "no rule for cold workers makes jobs wait in silence")
+	assert.Equal(t, rules.Time(1), c.Settings.SlowStartWindow, "without a slow start window jobs do not wait for cold workers")
 	assert.Len(t, c.Warnings, 1)
 	assert.Equal(t, []int{0, 1, 0}, []int{c.JobClass("BuildBoardView"), c.JobClass("move"), c.JobClass("whatever")})
 	assert.Equal(t, []rules.Tenant{{QuotaPerS: 40}, {QuotaPerS: 20}}, c.Settings.Tenants)
@@ -152,7 +152,7 @@
 	assert.JSONEq(t, `{"index":0,"snapshot":true,"endpoints":[{"name":"a","address":"127.0.0.1:9","zone":"here","type":"any","status":"up","weight":1}]}`, string(c.KnownWorkers))
 }
 
-func TestPlatformFileGoesBeforeTheSection(t *testing.T) {
+func TestPlatformFileTakesPrecedenceOverTheSection(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(platformText), 0o600))
 	c, err := loadProject(t, `{"scheduler":{"name":"other"},"faktory":{"listen":"127.0.0.1:7419"}}`, map[string]string{EnvConfig: path})
@@ -160,7 +160,7 @@
 	assert.Equal(t, []any{"n3", 1}, []any{c.Name, len(c.Names.Classes)})
 }
 
-func TestFaultsOfTheOwnFileNameTheirKey(t *testing.T) {
+func TestProjectFileErrorsNameTheKey(t *testing.T) {
 	section := func(scheduler, faktory string) string {
 		return `{"scheduler":{"name":"n","listen":"127.0.0.1:1","classes":[{"name":"move","effect":"once","deadline_ms":9}]` + scheduler +
 			`},"faktory":{"listen":"127.0.0.1:7419"` + faktory + `}}`
@@ -192,19 +192,19 @@
 		{strings.Replace(section("", ""), ":7419", "", 1), "faktory.listen"},
 	} {
 		_, err := loadProject(t, c.text, nil)
-		var fault *Error
+		var configErr *Error
 		if c.key == "" {
 			assert.NoError(t, err)
-		} else if assert.ErrorAs(t, err, &fault, c.text) {
-			assert.Equal(t, c.key, fault.Key, "%s: %v", c.text, err)
+		} else if assert.ErrorAs(t, err, &configErr, c.text) {
+			assert.Equal(t, c.key, configErr.Key, "%s: %v", c.text, err)
 		}
 	}
 	_, err := Load(func(string) string { return "" }, "no such file", true)
 	assert.ErrorContains(t, err, "config: ")
 }
 
-// What the schema calls a default is one, and the platform's file leaves the front off.
-func TestDefaultsAreTheSchemas(t *testing.T) {
+// The defaults in the schema are those of the code, and with a platform file the Faktory front is off.
+func TestDefaultsMatchTheSchema(t *testing.T) {
 	var schema struct {
 		Properties map[string]struct {
 			Properties map[string]struct{ Default any }
@@ -213,17 +213,17 @@
 	require.NoError(t, json.Unmarshal(deploy.Schema, &schema))
 	text, err := json.Marshal(DefaultFaktory())
 	require.NoError(t, err)
-	var real map[string]any
-	require.NoError(t, json.Unmarshal(text, &real))
+	var defaults map[string]any
+	require.NoError(t, json.Unmarshal(text, &defaults))
 	for key, p := range schema.Properties["faktory"].Properties {
 		if p.Default != nil {
-			assert.Equal(t, p.Default, real[key], key)
+			assert.Equal(t, p.Default, defaults[key], key)
 		}
-		assert.Contains(t, real, key)
+		assert.Contains(t, defaults, key)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(platformText), 0o600))
 	c, err := Load(func(key string) string { return map[string]string{EnvConfig: path}[key] }, "../../"+File, true)
 	require.NoError(t, err)
-	assert.False(t, c.Faktory.IsEnabled(), "off on the platform")
+	assert.False(t, c.Faktory.IsEnabled(), "off with a platform file")
 }
--- a/internal/config/faktory.go
+++ b/internal/config/faktory.go
@@ -8,46 +8,46 @@
 	"cobaltflow/rules"
 )
 
-// Faktory is the second front's section; without a listen address the front is off. Sizes in MB and KB are
-// 2^20 and 2^10 bytes.
+// Faktory is the configuration section of the Faktory front, which is off without a listen address. Sizes in MB and KB
+// are 2^20 and 2^10 bytes.
 type Faktory struct {
 	Listen            string            `json:"listen"`
 	Password          string            `json:"password"`
 	HashRounds        int               `json:"hash_rounds"`
-	Queue             string            `json:"queue"`         // of jobs that came in by the other front, and of those that name none
-	TableQueues       []string          `json:"table_queues"`  // whose jobs the table workers run too; nil: Queue's
-	TableWindow       int               `json:"table_window"`  // jobs of such a queue that may be with them at once
-	Jobtypes          map[string]string `json:"jobtypes"`      // jobtype to class; a class's own name needs no entry
-	DefaultClass      string            `json:"default_class"` // of jobtypes without an entry; empty: they are not taken
-	HeartbeatTimeoutS float64           `json:"beat_s"`        // a worker silent for so long has vanished
-	ReserveS          int               `json:"reserve_s"`     // for which a fetched job is a worker's, where it says nothing itself
-	StopS             float64           `json:"stop_s"`        // for which fetched jobs are waited for at the end
+	Queue             string            `json:"queue"`         // of jobs from the HTTP fronts and of jobs that name no queue
+	TableQueues       []string          `json:"table_queues"`  // queues whose jobs the table workers run too; nil: Queue
+	TableWindow       int               `json:"table_window"`  // maximum number of jobs of such a queue that are at table workers at the same time
+	Jobtypes          map[string]string `json:"jobtypes"`      // jobtype to class; a jobtype that is a class name needs no entry
+	DefaultClass      string            `json:"default_class"` // of jobtypes without an entry; empty: their jobs are rejected
+	HeartbeatTimeoutS float64           `json:"beat_s"`        // a worker without a heartbeat for this long is considered lost
+	ReserveS          int               `json:"reserve_s"`     // default reservation time of a fetched job
+	StopS             float64           `json:"stop_s"`        // how long a shutdown waits for fetched jobs
 	AllowFlush        bool              `json:"allow_flush"`
 	MaxSessions       int               `json:"max_sessions"`
 	MaxCommandKB      int               `json:"max_command_kb"`
-	MaxInputMB        int               `json:"max_input_mb"` // of commands that are not whole yet, or not handled, all together
+	MaxInputMB        int               `json:"max_input_mb"` // incomplete and unhandled commands of all connections together
 	MaxQueues         int               `json:"max_queues"`
 
 	MaxHeldJobs   int `json:"max_held_jobs"` // scheduled, enqueued, working and in retries together
 	MaxHeldMB     int `json:"max_held_mb"`
 	MaxQueueJobs  int `json:"max_queue_jobs"`
-	MaxClientJobs int `json:"max_client_jobs"` // of one client address
+	MaxClientJobs int `json:"max_client_jobs"` // per client address
 	MaxClientMB   int `json:"max_client_mb"`
 	MaxScheduled  int `json:"max_scheduled"`
 	MaxRetries    int `json:"max_retries"`
 	MaxDead       int `json:"max_dead"`
 	MaxDeadMB     int `json:"max_dead_mb"`
-	MaxEndedJobs  int `json:"kept_jobs"` // ended jobs that can be looked up
+	MaxEndedJobs  int `json:"kept_jobs"` // ended jobs kept for lookup
 	MaxEndedMB    int `json:"kept_mb"`
 }
 
-// On tells whether the front listens at all.
+// IsEnabled reports whether the front listens.
 func (f *Faktory) IsEnabled() bool { return f.Listen != "" }
 
-// Beat is the time within which a worker has to give a sign of life.
+// HeartbeatTimeout returns the time after which a worker without a heartbeat is considered lost.
 func (f *Faktory) HeartbeatTimeout() rules.Time { return rules.Time(f.HeartbeatTimeoutS * 1e6) }
 
-// RunsAtTables tells whether the table workers run the jobs of a queue too.
+// UsesTableWorkers reports whether the table workers run the jobs of a queue too.
 func (f *Faktory) UsesTableWorkers(queue string) bool {
 	if f.TableQueues == nil {
 		return queue == f.Queue
@@ -55,7 +55,7 @@
 	return slices.Contains(f.TableQueues, queue)
 }
 
-// DefaultFaktory is the section of a file that says nothing: off.
+// DefaultFaktory returns the section's defaults, with the front off.
 func DefaultFaktory() Faktory {
 	return Faktory{Queue: "default", HashRounds: 1545, TableWindow: 8, HeartbeatTimeoutS: 60, ReserveS: 1800, StopS: 25,
 		MaxSessions: 128, MaxCommandKB: 8192, MaxInputMB: 32, MaxQueues: 128, MaxHeldJobs: 100_000, MaxHeldMB: 64,
@@ -63,7 +63,7 @@
 		MaxDead: 10_000, MaxDeadMB: 16, MaxEndedJobs: 4096, MaxEndedMB: 16}
 }
 
-// faktory takes the section over.
+// readFaktory reads the section over its defaults.
 func (c *Config) readFaktory(text *json.RawMessage) error {
 	c.Faktory = DefaultFaktory()
 	if err := readSection("faktory", text, &c.Faktory); err != nil {
@@ -72,6 +72,7 @@
 	return c.checkFaktory()
 }
 
+// checkFaktory validates the section against the limits and the classes.
 func (c *Config) checkFaktory() error {
 	f := &c.Faktory
 	if !f.IsEnabled() {
@@ -83,25 +84,25 @@
 	if f.MaxSessions > c.Limits.Sockets/4 {
 		return newError("faktory.max_sessions", "%d is over %d, a quarter of limits.sockets", f.MaxSessions, c.Limits.Sockets/4)
 	}
-	if most := c.Limits.MemoryMB / 2; f.MaxHeldMB+f.MaxDeadMB+f.MaxEndedMB > most {
+	if maxMB := c.Limits.MemoryMB / 2; f.MaxHeldMB+f.MaxDeadMB+f.MaxEndedMB > maxMB {
 		return newError("faktory.max_held_mb", "%d with max_dead_mb %d and kept_mb %d is over %d, half of limits.memory_mb",
-			f.MaxHeldMB, f.MaxDeadMB, f.MaxEndedMB, most)
+			f.MaxHeldMB, f.MaxDeadMB, f.MaxEndedMB, maxMB)
 	}
 	if f.MaxCommandKB > f.MaxInputMB<<10 {
 		return newError("faktory.max_command_kb", "%d is over max_input_mb, %d", f.MaxCommandKB, f.MaxInputMB)
 	}
 	for jobtype, class := range f.Jobtypes {
 		if c.Names.Class(class) < 0 {
-			return newError(fmt.Sprintf("faktory.jobtypes.%s", jobtype), "%q is no class", class)
+			return newError(fmt.Sprintf("faktory.jobtypes.%s", jobtype), "%q is not a class", class)
 		}
 	}
 	if f.DefaultClass != "" && c.Names.Class(f.DefaultClass) < 0 {
-		return newError("faktory.default_class", "%q is no class", f.DefaultClass)
+		return newError("faktory.default_class", "%q is not a class", f.DefaultClass)
 	}
 	return nil
 }
 
-// JobClass gives the class of a jobtype; -1: none.
+// JobClass returns the class of a jobtype, or -1 if it has none.
 func (c *Config) JobClass(jobtype string) int {
 	if class, ok := c.Faktory.Jobtypes[jobtype]; ok {
 		return c.Names.Class(class)
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -13,10 +13,10 @@
 	"cobaltflow/rules"
 )
 
-// File is where the project's own configuration lies, from the repository's root.
+// File is the path of the project's configuration file, relative to the root of the repository.
 const File = "deploy/cobaltflow.json"
 
-// ownFile is the project's own file: a section for each subsystem.
+// projectFile is the content of the project's file, with a section for each subsystem.
 type projectFile struct {
 	Log       log.Settings      `json:"log"`
 	Scheduler *schedulerSection `json:"scheduler"`
@@ -26,7 +26,7 @@
 	Ownership Ownership         `json:"ownership"`
 }
 
-// Sites is what is done about the loss of a site; off without Plan.
+// Sites is the configuration section of the failover of sites, which is off unless FailoverEnabled is set.
 type Sites struct {
 	FailoverEnabled  bool  `json:"plan"`
 	MinSilentWorkers int   `json:"proof"`
@@ -35,13 +35,13 @@
 	ReturnWindowMS   int64 `json:"return_within_ms"`
 }
 
-// Settings are those of the module.
+// Settings returns the settings of package sites for the section and the rules' settings.
 func (s Sites) Settings(set *rules.Settings) sites.Settings {
 	return sites.Settings{SiteCount: set.Zones, OwnSite: set.Zone, MayProbe: set.MayProbe, MinSilentWorkers: s.MinSilentWorkers, MinReplyTimeout: set.ConnectTimeout / 2,
 		MaxReplyTimeout: 4 * set.ConnectTimeout, IdleProbeDelay: s.IdleProbeDelayMS * 1000, ProbeInterval: s.ProbeIntervalMS * 1000, ReturnWindow: s.ReturnWindowMS * 1000}
 }
 
-// schedulerFile holds what the platform's file would tell.
+// schedulerSection replaces the platform's file where there is none.
 type schedulerSection struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -97,7 +97,7 @@
 	ReportsStart         bool    `json:"tells_start"`
 }
 
-// KnownWorker is a table worker that is known from the start. Zone and Kind may be empty: the first of their kind.
+// KnownWorker is a table worker of a fixed worker list. An empty Zone or Kind selects the first configured one.
 type KnownWorker struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -105,34 +105,34 @@
 	Kind    string `json:"kind"`
 }
 
-// readOwn reads and checks the project's own file. Where it need not be there and is not, all of it is at
-// its defaults.
-func readProjectFile(path string, needed bool) (*projectFile, error) {
-	own := &projectFile{}
+// readProjectFile reads and validates the project's file. If the file is absent and not required, all sections have
+// their defaults.
+func readProjectFile(path string, isRequired bool) (*projectFile, error) {
+	file := &projectFile{}
 	if path == "" {
-		return own, nil
+		return file, nil
 	}
 	text, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && !needed {
-		return own, nil
+	if errors.Is(err, fs.ErrNotExist) && !isRequired {
+		return file, nil
 	}
 	if err != nil {
 		return nil, newError("config", "%v", err)
 	}
-	return own, own.parse(text)
+	return file, file.parse(text)
 }
 
-func (own *projectFile) parse(text []byte) error {
+func (file *projectFile) parse(text []byte) error {
 	if err := validate(text); err != nil {
 		return err
 	}
-	if err := json.Unmarshal(text, own); err != nil {
+	if err := json.Unmarshal(text, file); err != nil {
 		return newError("config", "%v", err)
 	}
 	return nil
 }
 
-// readSection reads a section of the project's own file over its defaults; an absent one leaves them.
+// readSection decodes a section of the project's file into a value that holds the defaults. An absent section keeps them.
 func readSection(key string, text *json.RawMessage, into any) error {
 	if text == nil {
 		return nil
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// UnmarshalJSON puts the defaults of the rules below what the file says.
+// UnmarshalJSON implements json.Unmarshaler. Keys that are absent keep the defaults.
 func (r *rulesSection) UnmarshalJSON(text []byte) error {
 	type plain rulesSection
 	p := plain(defaultRules())
@@ -159,10 +159,10 @@
 		OverloadFactor: 2, OverloadWindowMS: 1000, Cancel: true, RetryAfter: true, ReportsStart: true}
 }
 
-// scheduler takes the section over as if the platform had told it.
+// readScheduler applies the scheduler section in place of the platform's file.
 func (c *Config) readScheduler(s *schedulerSection) error {
 	if len(s.Classes) == 0 {
-		return newError("scheduler.classes", "none are given")
+		return newError("scheduler.classes", "missing or empty")
 	}
 	c.Names.Zones, c.Names.Kinds, c.Names.ConnIdleTimeout = s.Zones, s.Kinds, 60_000_000
 	if len(c.Names.Zones) == 0 {
@@ -180,10 +180,10 @@
 		ConnectTimeout: r.ConnectTimeoutMS * 1000, AnswerSlack: r.AnswerSlackMS * 1000, DrainGrace: r.DrainGraceMS * 1000,
 		SlowStartMinCapacity: r.SlowStartMinCapacity, SlowStartWindow: r.SlowStartWindowMS * 1000, OverloadFactor: r.OverloadFactor, OverloadWindow: r.OverloadWindowMS * 1000}
 	if set.SlowStartWindow == 0 {
-		// Left at zero the decisions would take their own cautious reading, 30 s from a tenth, and all jobs
-		// for a first worker would wait in silence.
+		// Zero would select the default slow start of package rules, 30 s from a tenth of the capacity, and all jobs for a
+		// first worker would wait without any message.
 		set.SlowStartWindow, set.OverloadWindow, set.SlowStartMinCapacity = 1, 1, 1
-		c.Warnings = append(c.Warnings, "scheduler.rules.warm_within_ms is absent: workers are taken for warm from their start")
+		c.Warnings = append(c.Warnings, "scheduler.rules.warm_within_ms is absent: workers count as warm from their start")
 	}
 	if s.Zone != "" {
 		if set.Zone = slices.Index(c.Names.Zones, s.Zone); set.Zone < 0 {
@@ -201,7 +201,7 @@
 	}
 	for i, k := range s.Classes {
 		if c.Names.Class(k.Name) >= 0 {
-			return newError(fmt.Sprintf("scheduler.classes.%d.name", i), "%q stands twice", k.Name)
+			return newError(fmt.Sprintf("scheduler.classes.%d.name", i), "duplicate name %q", k.Name)
 		}
 		if k.LatencyTargetMS > k.DeadlineMS {
 			return newError(fmt.Sprintf("scheduler.classes.%d.aim_ms", i), "%d is over deadline_ms, %d", k.LatencyTargetMS, k.DeadlineMS)
@@ -218,7 +218,7 @@
 	return c.SetKnownWorkers(s.Workers)
 }
 
-// Know has the configuration name workers, as discovery would.
+// SetKnownWorkers sets the initial worker list, in the format of discovery.
 func (c *Config) SetKnownWorkers(workers []KnownWorker) error {
 	type endpoint struct {
 		Name    string  `json:"name"`
@@ -230,18 +230,18 @@
 	}
 	list := []endpoint{}
 	for i, w := range workers {
-		at := fmt.Sprintf("scheduler.workers.%d.", i)
+		key := fmt.Sprintf("scheduler.workers.%d.", i)
 		if slices.ContainsFunc(list, func(e endpoint) bool { return e.Name == w.Name }) {
-			return newError(at+"name", "%q stands twice", w.Name)
+			return newError(key+"name", "duplicate name %q", w.Name)
 		}
 		if err := checkAddress(w.Address); err != nil {
-			return newError(at+"address", "%v", err)
+			return newError(key+"address", "%v", err)
 		}
 		if w.Zone != "" && !slices.Contains(c.Names.Zones, w.Zone) {
-			return newError(at+"zone", "%q is not among zones", w.Zone)
+			return newError(key+"zone", "%q is not among zones", w.Zone)
 		}
 		if w.Kind != "" && !slices.Contains(c.Names.Kinds, w.Kind) {
-			return newError(at+"kind", "%q is not among kinds", w.Kind)
+			return newError(key+"kind", "%q is not among kinds", w.Kind)
 		}
 		list = append(list, endpoint{Name: w.Name, Address: w.Address, Zone: firstNonEmpty(w.Zone, c.Names.Zones[0]),
 			Type: firstNonEmpty(w.Kind, c.Names.Kinds[0]), Status: "up", Weight: 1})
--- a/internal/config/http2.go
+++ b/internal/config/http2.go
@@ -2,36 +2,37 @@
 
 import "encoding/json"
 
-// HTTP2 is the section of the HTTP/2 front; without a listen address the front is off.
+// HTTP2 is the configuration section of the HTTP/2 front, which is off without a listen address. Sizes in MB and KB are
+// 2^20 and 2^10 bytes.
 type HTTP2 struct {
 	Listen            string  `json:"listen"`
 	MaxConnections    int     `json:"max_connections"`
-	MaxStreams        int     `json:"max_streams"` // at once, of a connection
+	MaxStreams        int     `json:"max_streams"` // concurrent, per connection
 	MaxHeaderKB       int     `json:"max_header_kb"`
 	HeaderTableBytes  int     `json:"header_table_bytes"`
-	MaxBodyKB         int     `json:"max_body_kb"`   // of requests that are not whole, of a connection
-	MaxUnsentKB       int     `json:"max_unsent_kb"` // of answers that a connection's windows hold back
-	StallTimeoutMS    int     `json:"stall_ms"`      // for which a client may leave its windows full
-	SettingsTimeoutMS int     `json:"settings_ms"`   // within which its SETTINGS and its acknowledgement have to come
+	MaxBodyKB         int     `json:"max_body_kb"`   // bodies of incomplete requests, per connection
+	MaxUnsentKB       int     `json:"max_unsent_kb"` // answers blocked by flow control, per connection
+	StallTimeoutMS    int     `json:"stall_ms"`      // how long a client may leave its flow-control windows exhausted
+	SettingsTimeoutMS int     `json:"settings_ms"`   // for the client's SETTINGS and for its acknowledgement of ours
 	IdleTimeoutS      int     `json:"idle_s"`
 	ResetsPerS        int     `json:"resets_per_s"`
 	ControlPerS       int     `json:"control_per_s"`
 	EmptyPerS         int     `json:"empty_per_s"`
-	EndedRetentionS   float64 `json:"kept_s"` // for which GET /jobs/ID tells of an ended job
+	EndedRetentionS   float64 `json:"kept_s"` // how long GET /jobs/ID finds an ended job
 	MaxEndedJobs      int     `json:"kept_jobs"`
 	MaxEndedMB        int     `json:"kept_mb"`
 }
 
-// On tells whether the front listens at all.
+// IsEnabled reports whether the front listens.
 func (h *HTTP2) IsEnabled() bool { return h.Listen != "" }
 
-// DefaultHTTP2 is the section of a file that says nothing: off.
+// DefaultHTTP2 returns the section's defaults, with the front off.
 func DefaultHTTP2() HTTP2 {
 	return HTTP2{MaxConnections: 64, MaxStreams: 128, MaxHeaderKB: 16, HeaderTableBytes: 4096, MaxBodyKB: 1024, MaxUnsentKB: 1024,
 		StallTimeoutMS: 5000, SettingsTimeoutMS: 2000, IdleTimeoutS: 300, ResetsPerS: 50, ControlPerS: 50, EmptyPerS: 20, EndedRetentionS: 60, MaxEndedJobs: 8192, MaxEndedMB: 16}
 }
 
-// http2 takes the section over.
+// readHTTP2 reads the section over its defaults.
 func (c *Config) readHTTP2(text *json.RawMessage) error {
 	c.HTTP2 = DefaultHTTP2()
 	if err := readSection("http2", text, &c.HTTP2); err != nil {
@@ -40,6 +41,7 @@
 	return c.checkHTTP2()
 }
 
+// checkHTTP2 validates the section against the limits.
 func (c *Config) checkHTTP2() error {
 	h := &c.HTTP2
 	if !h.IsEnabled() {
@@ -51,8 +53,8 @@
 	if h.MaxConnections > c.Limits.Sockets/4 {
 		return newError("http2.max_connections", "%d is over %d, a quarter of limits.sockets", h.MaxConnections, c.Limits.Sockets/4)
 	}
-	if most := c.Limits.MemoryMB / 4; h.MaxEndedMB > most {
-		return newError("http2.kept_mb", "%d is over %d, a quarter of limits.memory_mb", h.MaxEndedMB, most)
+	if maxMB := c.Limits.MemoryMB / 4; h.MaxEndedMB > maxMB {
+		return newError("http2.kept_mb", "%d is over %d, a quarter of limits.memory_mb", h.MaxEndedMB, maxMB)
 	}
 	return nil
 }
--- a/internal/config/ownership.go
+++ b/internal/config/ownership.go
@@ -7,7 +7,8 @@
 	"cobaltflow/rules"
 )
 
-// Ownership is how a large fleet of table workers is divided among the schedulers; off without Divide.
+// Ownership is the configuration section of the division of a large fleet of table workers among the schedulers, which
+// is off unless DividesFleet is set.
 type Ownership struct {
 	DividesFleet        bool    `json:"divide"`
 	MinShare            int     `json:"least_share"`
@@ -17,25 +18,26 @@
 	ShrinkBelow         float64 `json:"shrink_below"`
 }
 
-// settings are those of the module. coldFor is how long a worker counts as cold.
-func (o Ownership) settings(set *rules.Settings, heartbeats bool) ownership.Settings {
+// settings returns the settings of package ownership for the section and the rules' settings. usesHeartbeats reports
+// whether the schedulers may exchange messages.
+func (o Ownership) settings(set *rules.Settings, usesHeartbeats bool) ownership.Settings {
 	return ownership.Settings{Rank: set.Rank, Members: max(1, set.GroupSize), Zone: set.Zone, MinShare: o.MinShare,
-		UsesHeartbeats: heartbeats, PrefersOwnZone: set.CrossZoneCost > 0, HeartbeatInterval: o.HeartbeatIntervalMS * ownership.Millisecond, ExpireAfter: o.ExpireAfterMS * ownership.Millisecond,
+		UsesHeartbeats: usesHeartbeats, PrefersOwnZone: set.CrossZoneCost > 0, HeartbeatInterval: o.HeartbeatIntervalMS * ownership.Millisecond, ExpireAfter: o.ExpireAfterMS * ownership.Millisecond,
 		SlowStartWindow: set.SlowStartWindow + set.OverloadWindow, GrowAbove: o.GrowAbove, ShrinkBelow: o.ShrinkBelow}
 }
 
-// ownership checks the section against the settings and peers. It is read after both.
+// readOwnership validates the section against the settings and the peers, which must have been read.
 func (c *Config) readOwnership(section Ownership) error {
 	if !section.DividesFleet || c.Settings.GroupSize < 2 {
 		return nil
 	}
-	heartbeats := c.Peers.Listen != ""
-	if !heartbeats && c.Settings.CrossZoneCost > 0 {
-		c.Warnings = append(c.Warnings, "ownership.divide: without messages between schedulers nobody knows their zones, and crossing zones "+
-			"has a price: the fleet is not divided")
+	usesHeartbeats := c.Peers.Listen != ""
+	if !usesHeartbeats && c.Settings.CrossZoneCost > 0 {
+		c.Warnings = append(c.Warnings, "ownership.divide: the fleet is not divided, because crossing zones has a cost and without messages between "+
+			"schedulers their zones are unknown")
 		return nil
 	}
-	set := section.settings(&c.Settings, heartbeats)
+	set := section.settings(&c.Settings, usesHeartbeats)
 	if err := set.Check(); err != nil {
 		return newError(keyOfError(err), "%v", err)
 	}
@@ -43,6 +45,7 @@
 	return nil
 }
 
+// keyOfError returns the configuration key to which an error of ownership.Settings.Check belongs.
 func keyOfError(err error) string {
 	switch {
 	case errors.Is(err, ownership.ErrMembers):
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -28,15 +28,15 @@
 	return c.Compile("cobaltflow.schema.json")
 })
 
-// oldKeys are those that stood at the top of deploy/faktory.json, when the front had a file of its own.
+// movedKeys are top-level keys of deploy/faktory.json, the former separate file of the Faktory front.
 var movedKeys = []string{"listen", "password", "queue", "jobtypes", "beat_s", "max_sessions", "kept_jobs"}
 
-// validate holds a text of the project's own file to the schema. The first fault is given, by its key.
+// validate checks the content of the project's file against the schema and returns the first error, with its key.
 func validate(text []byte) error {
 	var top map[string]json.RawMessage
 	if json.Unmarshal(text, &top) == nil {
 		for _, key := range movedKeys {
-			if _, old := top[key]; old {
+			if _, isMoved := top[key]; isMoved {
 				return newError(key, `the keys of deploy/faktory.json now stand in the section "faktory" of deploy/cobaltflow.json`)
 			}
 		}
@@ -49,23 +49,23 @@
 	if err != nil {
 		return newError("config", "%v", err)
 	}
-	var bad *jsonschema.ValidationError
-	if err := schema.Validate(doc); errors.As(err, &bad) {
-		for len(bad.Causes) > 0 {
-			bad = bad.Causes[len(bad.Causes)-1] // of an anyOf the last speaks of the form that was meant
+	var invalid *jsonschema.ValidationError
+	if err := schema.Validate(doc); errors.As(err, &invalid) {
+		for len(invalid.Causes) > 0 {
+			invalid = invalid.Causes[len(invalid.Causes)-1] // of an anyOf the last cause describes the intended form
 		}
-		place := append([]string(nil), bad.InstanceLocation...)
-		text := bad.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-		switch k := bad.ErrorKind.(type) {
+		path := append([]string(nil), invalid.InstanceLocation...)
+		text := invalid.ErrorKind.LocalizedString(message.NewPrinter(language.English))
+		switch k := invalid.ErrorKind.(type) {
 		case *kind.AdditionalProperties:
-			place, text = append(place, k.Properties[0]), "no such key is known"
+			path, text = append(path, k.Properties[0]), "unknown key"
 		case *kind.Required:
-			place, text = append(place, k.Missing[0]), "missing"
+			path, text = append(path, k.Missing[0]), "missing"
 		}
-		if len(place) == 0 {
-			place = []string{"config"}
+		if len(path) == 0 {
+			path = []string{"config"}
 		}
-		return newError(strings.Join(place, "."), "%s", text)
+		return newError(strings.Join(path, "."), "%s", text)
 	} else if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
