--- a/internal/describe/describe.go
+++ b/internal/describe/describe.go
@@ -1,5 +1,5 @@
-// Package describe holds the descriptions of the program's interfaces, OpenAPI for the HTTP front and
-// AsyncAPI for callbacks and Faktory messages, and checks such descriptions.
+// Package describe embeds the descriptions of the program's interfaces, OpenAPI for the HTTP front and AsyncAPI for
+// callbacks and Faktory messages, and validates such descriptions. The command prints and checks them.
 package describe
 
 import (
@@ -16,17 +16,19 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// The descriptions.
+// The embedded descriptions, in YAML.
 var (
+	// OpenAPI describes the HTTP front.
 	//go:embed openapi.yaml
 	OpenAPI []byte
+	// AsyncAPI describes the callbacks and the Faktory messages.
 	//go:embed asyncapi.yaml
 	AsyncAPI []byte
 	//go:embed asyncapi.schema.json
 	asyncSchema []byte
 )
 
-// Check validates a description, in YAML or JSON, and tells which kind it is.
+// Validate validates a description in YAML or JSON. It returns the kind and version, such as "OpenAPI 3.0.3".
 func Validate(text []byte) (kind string, err error) {
 	var head struct {
 		OpenAPI  string `yaml:"openapi"`
@@ -41,7 +43,7 @@
 	case head.AsyncAPI != "":
 		return "AsyncAPI " + head.AsyncAPI, checkAsyncAPI(text)
 	}
-	return "", errors.New("neither openapi nor asyncapi stands at its head")
+	return "", errors.New("neither an openapi nor an asyncapi key at the top level")
 }
 
 func checkOpenAPI(text []byte) error {
@@ -52,8 +54,8 @@
 	return doc.Validate(context.Background())
 }
 
-// checkAsyncAPI holds the document to the schema of its structure, resolves its references and compiles
-// the schemas of its messages.
+// checkAsyncAPI validates the document against the AsyncAPI schema, resolves its references and compiles the schemas of
+// its messages.
 func checkAsyncAPI(text []byte) error {
 	doc, err := decode(text)
 	if err != nil {
@@ -78,24 +80,25 @@
 	return nil
 }
 
-// Payload gives the schema of a message's payload; nil where it has none.
+// PayloadSchema compiles the schema of a message's payload. It returns nil if the message has none.
 func PayloadSchema(text []byte, message string) (*jsonschema.Schema, error) {
 	doc, err := decode(text)
 	if err != nil {
 		return nil, err
 	}
-	place := "#/components/messages/" + message + "/payload"
-	if resolve(doc, place) == nil {
+	ref := "#/components/messages/" + message + "/payload"
+	if resolve(doc, ref) == nil {
 		return nil, nil
 	}
-	whole, err := json.Marshal(doc)
+	encoded, err := json.Marshal(doc)
 	if err != nil {
 		return nil, err
 	}
-	return compileSchema(whole, place)
+	return compileSchema(encoded, ref)
 }
 
-func compileSchema(text []byte, place string) (*jsonschema.Schema, error) {
+// compileSchema compiles the schema at a reference within a JSON document; empty: the whole document.
+func compileSchema(text []byte, ref string) (*jsonschema.Schema, error) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
 		return nil, err
@@ -104,22 +107,23 @@
 	if err := c.AddResource("document.json", doc); err != nil {
 		return nil, err
 	}
-	return c.Compile("document.json" + place)
+	return c.Compile("document.json" + ref)
 }
 
+// decode decodes YAML or JSON into the form that package jsonschema expects.
 func decode(text []byte) (any, error) {
 	var doc any
 	if err := yaml.Unmarshal(text, &doc); err != nil {
 		return nil, err
 	}
-	plain, err := json.Marshal(doc)
+	encoded, err := json.Marshal(doc)
 	if err != nil {
 		return nil, err
 	}
-	return jsonschema.UnmarshalJSON(bytes.NewReader(plain))
+	return jsonschema.UnmarshalJSON(bytes.NewReader(encoded))
 }
 
-// at follows a reference within the document.
+// resolve returns the node that a local reference denotes, or nil.
 func resolve(doc any, ref string) any {
 	for part := range strings.SplitSeq(strings.TrimPrefix(ref, "#/"), "/") {
 		m, ok := doc.(map[string]any)
@@ -131,11 +135,12 @@
 	return doc
 }
 
+// checkReferences returns an error if a local reference below node can't be resolved. path is the path of node.
 func checkReferences(doc, node any, path string) error {
 	switch node := node.(type) {
 	case map[string]any:
 		if ref, ok := node["$ref"].(string); ok && resolve(doc, ref) == nil {
-			return fmt.Errorf("%s: %s names nothing", path, ref)
+			return fmt.Errorf("%s: unresolved reference %s", path, ref)
 		}
 		for key, item := range node {
 			if err := checkReferences(doc, item, path+"/"+key); err != nil {
