--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -102,6 +102,8 @@
 	return nil
 }
 
+const defaultConnIdleTimeout rules.Time = 60_000_000 // 60 s
+
 // Error is a validation error at a configuration key.
 type Error struct{ Key, Text string }
 
@@ -445,7 +447,7 @@
 
 // readConnIdle reads how long a worker keeps an idle connection open; default 60 s.
 func (c *Config) readConnIdle(root map[string]any) error {
-	c.Names.ConnIdleTimeout = 60_000_000
+	c.Names.ConnIdleTimeout = defaultConnIdleTimeout
 	if caps, ok := root["caps"].(map[string]any); ok {
 		if n, ok := caps["connIdleUs"].(json.Number); ok {
 			v, err := n.Int64()
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -164,7 +164,7 @@
 	if len(s.Classes) == 0 {
 		return newError("scheduler.classes", "missing or empty")
 	}
-	c.Names.Zones, c.Names.Kinds, c.Names.ConnIdleTimeout = s.Zones, s.Kinds, 60_000_000
+	c.Names.Zones, c.Names.Kinds, c.Names.ConnIdleTimeout = s.Zones, s.Kinds, defaultConnIdleTimeout
 	if len(c.Names.Zones) == 0 {
 		c.Names.Zones = []string{"here"}
 	}
--- a/internal/ownership/api.go
+++ b/internal/ownership/api.go
@@ -65,7 +65,7 @@
 	// PrefersOwnZone ranks members in a worker's zone first, because jobs sent to another zone have a cost.
 	PrefersOwnZone    bool
 	HeartbeatInterval Time // 0: 2 s
-	ExpireAfter       Time // 0: 3.5 times HeartbeatEvery
+	ExpireAfter       Time // 0: 3.5 times HeartbeatInterval
 	AdjustInterval    Time // of the span; all workers are updated once within it; 0: 1 s
 	// SlowStartWindow is the time after its start during which a worker is cold. Only its owner uses a cold worker.
 	// 0: 30 s.
@@ -145,7 +145,7 @@
 	// SetDivision sets how the workers of a kind are divided. Until the first call for a kind it is not divided.
 	SetDivision(d Division)
 	// MemberChanged reports that a member expired, left or came back.
-	MemberChanged(rank int, alive bool)
+	MemberChanged(rank int, isAlive bool)
 	// Broadcast sends a heartbeat to all other members. Delivery is not guaranteed.
 	Broadcast(h Heartbeat)
 }
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -157,18 +157,18 @@
 		hash := xxhash.Sum64String(w.Name)
 		t.workers = append(t.workers, worker{hash: hash, spanOffset: pairFraction(hash, t.members.byRank[t.cfg.Rank].hash)})
 	}
-	x := &t.workers[index]
-	if known && x.Kind != w.Kind {
-		t.countKind(x, -1)
+	entry := &t.workers[index]
+	if known && entry.Kind != w.Kind {
+		t.countKind(entry, -1)
 	}
-	if !known || x.Kind != w.Kind {
-		x.Kind = w.Kind
-		t.countKind(x, 1)
+	if !known || entry.Kind != w.Kind {
+		entry.Kind = w.Kind
+		t.countKind(entry, 1)
 	}
-	zoneChanged := !known || x.Zone != w.Zone
-	x.Worker, x.isListed = w, true
+	zoneChanged := !known || entry.Zone != w.Zone
+	entry.Worker, entry.isListed = w, true
 	if zoneChanged {
-		x.position = t.computePosition(x)
+		entry.position = t.computePosition(entry)
 	}
 }
 
@@ -290,9 +290,9 @@
 	return t.adjustAt
 }
 
-func (t *Table) newHeartbeat(leaving bool) Heartbeat {
+func (t *Table) newHeartbeat(isLeaving bool) Heartbeat {
 	self := t.members.self()
-	return Heartbeat{Zone: self.zone, Weight: self.weight, Utilization: self.utilization, IsLeaving: leaving}
+	return Heartbeat{Zone: self.zone, Weight: self.weight, Utilization: self.utilization, IsLeaving: isLeaving}
 }
 
 // IsDivided reports whether any kind of workers is divided.
--- a/internal/sites/api.go
+++ b/internal/sites/api.go
@@ -41,7 +41,7 @@
 	Whole     State = iota
 	Suspect         // a worker is silent and the site has not responded since: other workers are probed
 	Lost            // Settings.MinSilentWorkers, or all if it has fewer, are silent: all its workers are disabled
-	CutOff          // as Lost, but all other sites are lost and the own one is not: this site is likely partitioned
+	CutOff          // as Lost, while all sites but the own one are lost: the own site is likely partitioned
 	Returning       // it responds again: its workers are enabled in steps
 )
 
--- a/internal/sites/machine.go
+++ b/internal/sites/machine.go
@@ -21,6 +21,9 @@
 	probesPerSecond   = 12.0       // limit for all sites: an overloaded host sees many workers as silent
 	probeBurst        = 16.0       // maximum number of saved probe tokens
 	maxProbeInterval  = 2 * second // between probes of a disabled worker, before jitter
+	maxShift          = 8          // doublings of a delay, to avoid an overflow
+
+	randomStream = 0x7369746573 // "sites" in ASCII; separates these draws from others with the same seed
 )
 
 // Machine is one scheduler's failure detector for sites and workers. It is not safe for concurrent use.
@@ -54,7 +57,7 @@
 			*d.setting = d.fallback
 		}
 	}
-	m := &Machine{cfg: set, actions: act, rng: rand.New(rand.NewPCG(seed, 0x7369746573)), members: map[string]*member{}, lastTurn: now,
+	m := &Machine{cfg: set, actions: act, rng: rand.New(rand.NewPCG(seed, randomStream)), members: map[string]*member{}, lastTurn: now,
 		probeTokens: probeBurst, tokensAt: now}
 	m.sites = make([]site, set.SiteCount)
 	for i := range m.sites {
@@ -155,7 +158,7 @@
 		m.setState(now, i, Suspect)
 		if now >= s.nextCheckAt {
 			m.probeSome(now, i, minSilent-silentWorkers)
-			s.nextCheckAt = now + m.replyTimeout()*checkTimeouts<<min(s.checkCount, 8)
+			s.nextCheckAt = now + m.replyTimeout()*checkTimeouts<<min(s.checkCount, maxShift)
 			s.nextCheckAt = min(s.nextCheckAt, now+maxCheckInterval)
 			s.checkCount++
 		}
@@ -224,7 +227,7 @@
 	if now < w.probeAt {
 		return
 	}
-	wait := min(m.cfg.ProbeInterval<<min(w.probeCount, 8), maxProbeInterval)
+	wait := min(m.cfg.ProbeInterval<<min(w.probeCount, maxShift), maxProbeInterval)
 	w.probeCount++
 	w.probeAt = now + wait/2 + Time(m.rng.Float64()*float64(wait))
 	if m.cfg.MayProbe {
