--- a/internal/conformance/faktory.go
+++ b/internal/conformance/faktory.go
@@ -118,7 +118,7 @@
 }
 
 func (k *fk) ok(c *client.Conn, verb, arg string) {
-	if r := k.do(c, verb, arg); !r.OK() {
+	if r := k.do(c, verb, arg); !r.IsOK() {
 		k.fail("%s %s: wanted +OK, got %s%s", verb, arg, r.Text, r.Err)
 	}
 }
--- a/internal/conformance/faktory_cases.go
+++ b/internal/conformance/faktory_cases.go
@@ -19,7 +19,7 @@
 	{"greeting", "the server speaks first: HI and an object with the protocol's version 2", func(k *fk) {
 		c := k.add(client.Open(k.Address, client.Options{}))
 		var hi struct{ V int }
-		k.must(json.Unmarshal([]byte(c.Hi), &hi))
+		k.must(json.Unmarshal([]byte(c.Greeting), &hi))
 		k.equal(2, hi.V, "v")
 	}},
 	{"hello-producer", "a HELLO without a wid makes a producer", func(k *fk) { k.push(k.producer(), k.job(nil)) }},
@@ -38,7 +38,7 @@
 	{"password", "where the greeting has a salt, a wrong hash is an error and a right one is not", func(k *fk) {
 		c := k.add(client.Open(k.Address, client.Options{}))
 		if k.Password == "" {
-			if has(c.Hi, `"s"`) {
+			if has(c.Greeting, `"s"`) {
 				k.fail("the server asks for a password and none was given")
 			}
 			return
@@ -70,7 +70,7 @@
 		for i := range 24 {
 			r, err := c.Read()
 			k.must(err)
-			k.equal(i%6 != 5, r.OK(), fmt.Sprint("reply ", i))
+			k.equal(i%6 != 5, r.IsOK(), fmt.Sprint("reply ", i))
 		}
 	}},
 	{"in-pieces", "a command may come byte by byte", func(k *fk) {
@@ -83,7 +83,7 @@
 		}
 		r, err := c.Read()
 		k.must(err)
-		k.equal(true, r.OK(), "PUSH")
+		k.equal(true, r.IsOK(), "PUSH")
 		k.equal(j.JID, k.fetch(k.worker()).JID, "the job")
 	}},
 }
--- a/internal/faktory/client/client.go
+++ b/internal/faktory/client/client.go
@@ -27,20 +27,20 @@
 // Conn is a connection to a server.
 type Conn struct {
 	net.Conn
-	R       *bufio.Reader
-	Hi      string // the greeting's object
-	timeout time.Duration
+	Reader   *bufio.Reader
+	Greeting string // the greeting's object
+	timeout  time.Duration
 }
 
 // Reply is one reply of a server.
 type Reply struct {
-	Text string // of a simple or bulk string
-	Null bool   // the null bulk string
-	Err  string // of an error, with its first word
+	Text   string // of a simple or bulk string
+	IsNull bool   // the null bulk string
+	Err    string // of an error, with its first word
 }
 
 // OK tells of the reply +OK.
-func (r Reply) OK() bool { return r.Err == "" && !r.Null && r.Text == "OK" }
+func (r Reply) IsOK() bool { return r.Err == "" && !r.IsNull && r.Text == "OK" }
 
 // ErrClosed tells that the server ended the connection.
 var ErrClosed = errors.New("the server closed the connection")
@@ -54,13 +54,13 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Conn{Conn: nc, R: bufio.NewReaderSize(nc, 16<<10), timeout: o.Timeout}
+	c := &Conn{Conn: nc, Reader: bufio.NewReaderSize(nc, 16<<10), timeout: o.Timeout}
 	hi, err := c.Read()
 	if err != nil {
 		nc.Close()
 		return nil, err
 	}
-	if c.Hi = strings.TrimPrefix(hi.Text, "HI "); c.Hi == hi.Text {
+	if c.Greeting = strings.TrimPrefix(hi.Text, "HI "); c.Greeting == hi.Text {
 		nc.Close()
 		return nil, fmt.Errorf("greeted with %q%s", hi.Text, hi.Err)
 	}
@@ -81,15 +81,15 @@
 		Salt   string `json:"s"`
 		Rounds int    `json:"i"`
 	}
-	if err := json.Unmarshal([]byte(c.Hi), &hi); err != nil {
+	if err := json.Unmarshal([]byte(c.Greeting), &hi); err != nil {
 		c.Close()
-		return nil, fmt.Errorf("greeted with %q", c.Hi)
+		return nil, fmt.Errorf("greeted with %q", c.Greeting)
 	}
 	if hi.Salt != "" {
 		hello["pwdhash"] = faktory.PasswordHash(o.Password, hi.Salt, hi.Rounds)
 	}
 	r, err := c.DoJSON("HELLO", hello)
-	if err == nil && !r.OK() {
+	if err == nil && !r.IsOK() {
 		err = fmt.Errorf("HELLO: %s%s", r.Text, r.Err)
 	}
 	if err != nil {
@@ -129,7 +129,7 @@
 // Read reads one reply.
 func (c *Conn) Read() (Reply, error) {
 	c.SetReadDeadline(time.Now().Add(c.timeout))
-	line, err := c.R.ReadSlice('\n')
+	line, err := c.Reader.ReadSlice('\n')
 	if errors.Is(err, io.EOF) {
 		return Reply{}, ErrClosed
 	}
@@ -151,10 +151,10 @@
 			return Reply{}, fmt.Errorf("a bulk string of length %q", line[1:])
 		}
 		if n < 0 {
-			return Reply{Null: true}, nil
+			return Reply{IsNull: true}, nil
 		}
 		data := make([]byte, n+2)
-		if _, err := io.ReadFull(c.R, data); err != nil {
+		if _, err := io.ReadFull(c.Reader, data); err != nil {
 			return Reply{}, err
 		}
 		if data[n] != '\r' || data[n+1] != '\n' {
@@ -192,7 +192,7 @@
 // Push pushes a job; a reply other than OK is an error.
 func (c *Conn) Push(j Job) error {
 	r, err := c.DoJSON("PUSH", j)
-	if err == nil && !r.OK() {
+	if err == nil && !r.IsOK() {
 		err = errors.New(r.Err + r.Text)
 	}
 	return err
@@ -201,7 +201,7 @@
 // Fetch fetches from queues, in their order; nil: there is no job.
 func (c *Conn) Fetch(queues ...string) (*Job, error) {
 	r, err := c.Do("FETCH", strings.Join(queues, " "))
-	if err != nil || r.Null {
+	if err != nil || r.IsNull {
 		return nil, err
 	}
 	if r.Err != "" {
@@ -224,7 +224,7 @@
 
 func (c *Conn) report(verb string, arg any) error {
 	r, err := c.DoJSON(verb, arg)
-	if err == nil && !r.OK() {
+	if err == nil && !r.IsOK() {
 		err = errors.New(r.Err + r.Text)
 	}
 	return err
--- a/internal/faktory/export_test.go
+++ b/internal/faktory/export_test.go
@@ -9,12 +9,12 @@
 // ExpireForTest ends a job's reservation now, within the present turn.
 func (f *Front) ExpireForTest(jid string) {
 	if j := f.jobs.Find(jid); j != nil {
-		host{f}.Expire(j)
+		host{f}.ExpireReservation(j)
 	}
 }
 
 // DeadForTest is the number of dead jobs.
-func (f *Front) DeadForTest() int { return f.jobs.Figures().Dead }
+func (f *Front) DeadForTest() int { return f.jobs.Stats().Dead }
 
 // FillForTest schedules jobs without the wire.
 func (f *Front) FillForTest(n int) {
@@ -23,7 +23,7 @@
 		if err != nil {
 			panic(err)
 		}
-		if j.At = f.loop.Now() + core.Time(1<<50); !f.jobs.Push(f.loop.Now(), j).Taken {
+		if j.NotBefore = f.loop.Now() + core.Time(1<<50); !f.jobs.Push(f.loop.Now(), j).Accepted {
 			panic("not taken")
 		}
 	}
@@ -32,7 +32,7 @@
 // Waiting is the number of FETCHes that wait. It is called on the loop.
 func (f *Front) Waiting() (n int) {
 	for _, w := range f.workers {
-		n += len(w.waiting)
+		n += len(w.waitingSessions)
 	}
 	return n
 }
--- a/internal/faktory/front.go
+++ b/internal/faktory/front.go
@@ -28,14 +28,14 @@
 )
 
 const (
-	fetchWait     = 2 * core.Second // a FETCH that finds nothing is answered after it
-	helloWithin   = 5 * core.Second
-	sweepEvery    = core.Second / 4
-	pendingMost   = core.Second / 4 // an attempt is pending for one worker for so long, while another asks
-	dueAtOnce     = 1000            // steps of the jobs' machine in one turn
-	unreadMost    = 4 << 20         // bytes of replies that a session may leave unread
-	workerPrefix  = "faktory:"
-	protocolLevel = 2
+	fetchTimeout       = 2 * core.Second // a FETCH that finds nothing is answered after it
+	helloTimeout       = 5 * core.Second
+	sweepInterval      = core.Second / 4
+	maxPendingTime     = core.Second / 4 // an attempt is pending for one worker for so long, while another asks
+	maxDueStepsPerTurn = 1000            // steps of the jobs' machine in one turn
+	maxUnreadBytes     = 4 << 20         // bytes of replies that a session may leave unread
+	workerPrefix       = "faktory:"
+	protocolLevel      = 2
 )
 
 // Front is the Faktory front, and the transport to the workers that are connected to it. All but what its fields
@@ -46,31 +46,31 @@
 	conf *config.Config
 	log  *slog.Logger
 
-	listener netpoll.Listener
-	server   netpoll.EventLoop
-	sessions core.SlotMap[*session]
-	dirty    []*session         // with replies of this turn
-	asking   []*session         // whose FETCH came in this turn
-	workers  map[string]*worker // by wid
-	pools    map[string]*core.Pool
-	jobs     *jobs.Machine
-	tries    map[*jobs.Job]*try
-	wake     *core.Timer // of the machine
-	wakeAt   core.Time
-	waits    map[uint64]*session // whose MUTATE is under way, by its token
-	flushes  []*session
-	token    uint64
+	listener        netpoll.Listener
+	server          netpoll.EventLoop
+	sessions        core.SlotMap[*session]
+	sessionsToFlush []*session         // with replies of this turn
+	newFetches      []*session         // whose FETCH came in this turn
+	workers         map[string]*worker // by wid
+	queuePools      map[string]*core.Pool
+	jobs            *jobs.Machine
+	requests        map[*jobs.Job]*jobRequest
+	jobsTimer       *core.Timer // of the machine
+	jobsTimerAt     core.Time
+	mutationWaiters map[uint64]*session // whose MUTATE is under way, by its token
+	flushWaiters    []*session
+	lastToken       uint64
 
-	input     atomic.Int64 // bytes of commands that are not handled, of all sessions
-	inputMost int64
-	longest   int // bytes of a command
+	inputBytes      atomic.Int64 // bytes of commands that are not handled, of all sessions
+	maxInputBytes   int64
+	maxCommandBytes int // bytes of a command
 
-	closed   bool
-	quiet    bool // the program is to end: nothing new is taken
-	state    string
-	began    time.Duration
-	commands uint64
-	turned   map[string]uint64 // what was turned away, by the bound
+	closed         bool
+	draining       bool // the program is to end: nothing new is taken
+	requestedState string
+	startedAt      time.Duration
+	commandCount   uint64
+	rejected       map[string]uint64 // what was turned away, by the bound
 }
 
 type sessionKey struct{}
@@ -79,18 +79,18 @@
 // core.SingleClasses: of a try that may have run the jobs' own life decides whether there is another, and when.
 func New(c *core.Core, conf *config.Config, log *slog.Logger) *Front {
 	k := &conf.Faktory
-	f := &Front{loop: c.Loop, core: c, conf: conf, log: log, workers: map[string]*worker{}, pools: map[string]*core.Pool{},
-		tries: map[*jobs.Job]*try{}, waits: map[uint64]*session{}, began: clock.Monotonic(), turned: map[string]uint64{},
-		inputMost: int64(k.MaxInputMB) << 20, longest: k.MaxCommandKB << 10}
-	set := jobs.Settings{Reserve: core.Time(k.ReserveS) * core.Second, MaxHeld: k.MaxHeldJobs, MaxHeldBytes: k.MaxHeldMB << 20,
-		MaxQueue: k.MaxQueueJobs, MaxClient: k.MaxClientJobs, MaxClientBytes: k.MaxClientMB << 20, MaxScheduled: k.MaxScheduled,
+	f := &Front{loop: c.Loop, core: c, conf: conf, log: log, workers: map[string]*worker{}, queuePools: map[string]*core.Pool{},
+		requests: map[*jobs.Job]*jobRequest{}, mutationWaiters: map[uint64]*session{}, startedAt: clock.Monotonic(), rejected: map[string]uint64{},
+		maxInputBytes: int64(k.MaxInputMB) << 20, maxCommandBytes: k.MaxCommandKB << 10}
+	set := jobs.Settings{DefaultReservation: core.Time(k.ReserveS) * core.Second, MaxHeldJobs: k.MaxHeldJobs, MaxHeldBytes: k.MaxHeldMB << 20,
+		MaxQueueJobs: k.MaxQueueJobs, MaxClientJobs: k.MaxClientJobs, MaxClientBytes: k.MaxClientMB << 20, MaxScheduled: k.MaxScheduled,
 		MaxRetries: k.MaxRetries, MaxQueues: k.MaxQueues, MaxDead: k.MaxDead, MaxDeadBytes: k.MaxDeadMB << 20,
 		MaxEnded: k.MaxEndedJobs, MaxEndedBytes: k.MaxEndedMB << 20, TableWindow: k.TableWindow}
 	for i := range conf.Names.Classes {
-		set.Repeatable = append(set.Repeatable, conf.Settings.Classes[i].Effect == rules.Repeatable)
+		set.IsRepeatable = append(set.IsRepeatable, conf.Settings.Classes[i].Effect == rules.Repeatable)
 	}
 	f.jobs = jobs.New(set, mathrand.New(mathrand.NewPCG(conf.Seed, 0x6661_6b74_6f72_79)), host{f}, k.UsesTableWorkers)
-	c.OnWorkerList = func() { f.jobs.Tables(f.loop.Now(), c.MainPool().HasReadyWorker(f)) }
+	c.OnWorkerList = func() { f.jobs.SetTableWorkersReady(f.loop.Now(), c.MainPool().HasReadyWorker(f)) }
 	return f
 }
 
@@ -104,7 +104,7 @@
 	f.server, err = netpoll.NewEventLoop(onRequest, netpoll.WithOnPrepare(f.accept),
 		netpoll.WithOnDisconnect(func(ctx context.Context, _ netpoll.Connection) {
 			s := ctx.Value(sessionKey{}).(*session)
-			f.loop.Post(func() { f.gone(s) })
+			f.loop.Post(func() { f.sessionEnded(s) })
 		}))
 	if err != nil {
 		return err
@@ -112,7 +112,7 @@
 	go f.server.Serve(ln)
 	f.loop.AfterTurn(f.afterTurn)
 	f.loop.Post(func() {
-		f.jobs.Tables(f.loop.Now(), f.core.MainPool().HasReadyWorker(f))
+		f.jobs.SetTableWorkersReady(f.loop.Now(), f.core.MainPool().HasReadyWorker(f))
 		f.sweep()
 	})
 	return nil
@@ -123,16 +123,16 @@
 
 // Quiet has the front take no new jobs, since the program is to end. What no worker holds ends now, unrun;
 // workers are told to take nothing new, and what they hold is waited for, up to the time for it.
-func (f *Front) Quiet() {
-	if f.quiet {
+func (f *Front) Drain() {
+	if f.draining {
 		return
 	}
-	f.quiet, f.state = true, "quiet"
+	f.draining, f.requestedState = true, "quiet"
 	f.jobs.Drain()
 	stop := core.Time(f.conf.Faktory.StopS * float64(core.Second))
-	f.loop.At(f.loop.Now()+stop/2, func() { f.state = "terminate" })
+	f.loop.At(f.loop.Now()+stop/2, func() { f.requestedState = "terminate" })
 	f.loop.At(f.loop.Now()+stop, func() {
-		f.core.AbortRequests(func(u core.Client) bool { _, ours := u.(*try); return ours })
+		f.core.AbortRequests(func(u core.Client) bool { _, ours := u.(*jobRequest); return ours })
 	})
 }
 
@@ -147,9 +147,9 @@
 	s := &session{front: f}
 	s.Init(nc, "faktory", nc.RemoteAddr().String(), 0)
 	s.client, _, _ = net.SplitHostPort(s.Peer)
-	s.in.backlog = link.NewBacklog()
+	s.input.backlog = link.NewBacklog()
 	nc.AddCloseCallback(func(netpoll.Connection) error {
-		f.loop.Post(func() { f.gone(s) })
+		f.loop.Post(func() { f.sessionEnded(s) })
 		return nil
 	})
 	f.loop.Post(func() { f.greet(s) })
@@ -163,8 +163,8 @@
 	s.Opened = f.loop.Now()
 	s.ref = f.sessions.Add(s)
 	if f.sessions.Len() > f.conf.Faktory.MaxSessions {
-		f.turned["max_sessions"]++
-		s.end(fault("refused, max_sessions is reached, return in 1.000 s"), link.OverBudget)
+		f.rejected["max_sessions"]++
+		s.replyAndClose(errorReplyf("refused, max_sessions is reached, return in 1.000 s"), link.OverBudget)
 		return
 	}
 	hi := map[string]any{"v": protocolLevel}
@@ -175,8 +175,8 @@
 		hi["s"], hi["i"] = s.salt, f.conf.Faktory.HashRounds
 	}
 	text, _ := json.Marshal(hi)
-	s.reply(simple("HI " + string(text)))
-	f.loop.At(f.loop.Now()+helloWithin, func() {
+	s.reply(simpleReply("HI " + string(text)))
+	f.loop.At(f.loop.Now()+helloTimeout, func() {
 		if !s.greeted && !s.Ended {
 			s.Close(link.SlowInput)
 		}
@@ -184,17 +184,17 @@
 }
 
 // gone has a session end. The worker whose last one it was has gone with it.
-func (f *Front) gone(s *session) {
+func (f *Front) sessionEnded(s *session) {
 	if !s.MarkEnded(f.log, f.loop.Now()) {
 		return
 	}
-	s.letGo()
+	s.releaseInput()
 	f.sessions.Free(s.ref)
-	f.loop.CancelTimer(s.fetch)
-	f.jobs.Stop(&s.ask)
+	f.loop.CancelTimer(s.fetchTimer)
+	f.jobs.CancelFetch(&s.fetch)
 	if w := s.worker; w != nil {
-		w.unwait(s)
-		if w.sessions--; w.sessions == 0 {
+		w.removeWaiting(s)
+		if w.sessionCount--; w.sessionCount == 0 {
 			f.removeWorker(w)
 		}
 	}
@@ -202,30 +202,30 @@
 
 // afterTurn sends the replies of a turn, each session's in one piece, and has the machine called when it is due.
 func (f *Front) afterTurn() {
-	f.patient()
-	for _, s := range f.dirty {
+	f.startFetchTimers()
+	for _, s := range f.sessionsToFlush {
 		s.flush()
 	}
-	clear(f.dirty)
-	f.dirty = f.dirty[:0]
-	at, ok := f.jobs.Next(f.loop.Now())
+	clear(f.sessionsToFlush)
+	f.sessionsToFlush = f.sessionsToFlush[:0]
+	at, ok := f.jobs.NextDue(f.loop.Now())
 	switch {
-	case !ok || f.wake != nil && f.wakeAt <= at:
+	case !ok || f.jobsTimer != nil && f.jobsTimerAt <= at:
 	default:
-		f.loop.CancelTimer(f.wake)
-		f.wakeAt = at
-		f.wake = f.loop.At(at, f.due)
+		f.loop.CancelTimer(f.jobsTimer)
+		f.jobsTimerAt = at
+		f.jobsTimer = f.loop.At(at, f.processJobs)
 	}
 }
 
-func (f *Front) due() {
-	f.wake = nil
-	f.jobs.Due(f.loop.Now(), dueAtOnce)
-	if len(f.flushes) > 0 && !f.jobs.Clearing() {
-		done := f.flushes
-		f.flushes = nil
+func (f *Front) processJobs() {
+	f.jobsTimer = nil
+	f.jobs.ProcessDue(f.loop.Now(), maxDueStepsPerTurn)
+	if len(f.flushWaiters) > 0 && !f.jobs.IsClearing() {
+		done := f.flushWaiters
+		f.flushWaiters = nil
 		for _, s := range done {
-			s.resume(replyOK)
+			s.finishCommand(replyOK)
 		}
 	}
 }
@@ -236,7 +236,7 @@
 	now := f.loop.Now()
 	limit := now - f.conf.Faktory.HeartbeatTimeout()
 	for _, w := range f.workers {
-		if w.beat < limit {
+		if w.lastBeat < limit {
 			f.log.Warn("faktory: a worker missed its beats", "wid", w.wid)
 			f.sessions.Each(func(_ core.Ref, s *session) {
 				if s.worker == w {
@@ -249,24 +249,24 @@
 		f.reassign(w, now)
 	}
 	f.sessions.Each(func(_ core.Ref, s *session) {
-		if s.Conn.Reader().Len() > f.longest+link.MaxReadAheadBytes {
+		if s.Conn.Reader().Len() > f.maxCommandBytes+link.MaxReadAheadBytes {
 			s.Close(link.Flooding)
-		} else if s.QueuedBytes() > unreadMost {
+		} else if s.QueuedBytes() > maxUnreadBytes {
 			s.Close(link.NotReading)
 		}
 	})
 	if !f.closed {
-		f.loop.At(now+sweepEvery, f.sweep)
+		f.loop.At(now+sweepInterval, f.sweep)
 	}
 }
 
 // pool gives the pool of a queue: the main one where the table workers run its jobs too, or it is where jobs of
 // the HTTP front are handed out, else one of its own.
-func (f *Front) pool(queue string) *core.Pool {
+func (f *Front) poolFor(queue string) *core.Pool {
 	if queue == f.conf.Faktory.Queue || f.conf.Faktory.UsesTableWorkers(queue) {
 		return f.core.MainPool()
 	}
-	p := f.pools[queue]
+	p := f.queuePools[queue]
 	if p == nil {
 		s := core.WithAtMostOnceClasses(f.conf.Settings)
 		for i := range s.Classes {
@@ -276,21 +276,21 @@
 		h := fnv.New64a()
 		h.Write([]byte(queue))
 		p = f.core.NewPool(queue, s, f.conf.Seed^h.Sum64())
-		f.pools[queue] = p
+		f.queuePools[queue] = p
 	}
 	return p
 }
 
 // forgetPools lets go of the pools of queues that are no more.
-func (f *Front) forgetPools() {
-	if len(f.pools) <= f.conf.Faktory.MaxQueues {
+func (f *Front) closeUnusedPools() {
+	if len(f.queuePools) <= f.conf.Faktory.MaxQueues {
 		return
 	}
-	for name, p := range f.pools {
+	for name, p := range f.queuePools {
 		if !f.jobs.HasQueue(name) && p.IsEmpty() {
-			delete(f.pools, name)
+			delete(f.queuePools, name)
 			for _, w := range f.workers {
-				delete(w.in, p)
+				delete(w.pools, p)
 			}
 			p.Close()
 		}
--- a/internal/faktory/fuzz_test.go
+++ b/internal/faktory/fuzz_test.go
@@ -49,7 +49,7 @@
 		if err := json.Unmarshal(argsOf(j), &args); err != nil {
 			t.Fatalf("args are %q of %q", argsOf(j), data)
 		}
-		if !json.Valid([]byte(j.Payload)) || !goodID(j.ID) || !goodQueue(j.Queue) || j.Priority < 1 || j.Priority > 9 || j.Retry < -1 {
+		if !json.Valid([]byte(j.Payload)) || !isValidID(j.ID) || !isValidQueueName(j.Queue) || j.Priority < 1 || j.Priority > 9 || j.Retry < -1 {
 			t.Fatalf("%+v of %q", j, data)
 		}
 	})
@@ -83,7 +83,7 @@
 		f.Add(seed, "text")
 	}
 	f.Fuzz(func(_ *testing.T, pattern, text string) {
-		if re, err := glob(pattern); err == nil && re != nil {
+		if re, err := compileGlob(pattern); err == nil && re != nil {
 			re.MatchString(text)
 		}
 	})
--- a/internal/faktory/hard_test.go
+++ b/internal/faktory/hard_test.go
@@ -67,7 +67,7 @@
 	n.Eventually(func() bool {
 		r, err := w.Do("BEAT", `{"wid":"w-1"}`)
 		require.NoError(t, err)
-		require.True(t, r.OK())
+		require.True(t, r.IsOK())
 		return tracked(n, p, "job-0001").State == "dead"
 	})
 	assert.Equal(t, "may-have-run", tracked(n, p, "job-0001").Reason)
@@ -88,7 +88,7 @@
 		}
 		r, err := w.Read()
 		require.NoError(t, err)
-		require.True(t, r.OK())
+		require.True(t, r.IsOK())
 		n.Eventually(func() bool { s := tracked(n, p, id).State; return s == "served" || s == "dead" })
 		if !ackFirst {
 			assert.Equal(t, "dead", tracked(n, p, id).State)
@@ -132,7 +132,7 @@
 	assert.Equal(t, "retries", tracked(n, p, "job-0001").State)
 	r, err := p.Do("MUTATE", `{"cmd":"requeue","target":"retries"}`)
 	require.NoError(t, err)
-	require.True(t, r.OK())
+	require.True(t, r.IsOK())
 	require.Equal(t, "job-0001", must(n, w, "q").JID)
 	require.NoError(t, w.Ack("job-0001"))
 	require.NoError(t, p.Push(job("job-0001", "board-view", "q", nil)), "after its end")
@@ -181,7 +181,7 @@
 	for _, c := range []*client.Conn{beat, w} {
 		r, err := c.Read()
 		require.NoError(t, err)
-		assert.True(t, r.OK())
+		assert.True(t, r.IsOK())
 	}
 	n.Eventually(func() bool { return tracked(n, p, "job-0000").State == "retries" })
 	j, err := w.Fetch("q")
@@ -261,7 +261,7 @@
 	require.Equal(t, "job-0000", must(n, w, "q").JID)
 	r, err := p.Do("QUEUE", "PAUSE q")
 	require.NoError(t, err)
-	require.True(t, r.OK())
+	require.True(t, r.IsOK())
 	j, err := w.Fetch("q")
 	require.NoError(t, err)
 	assert.Nil(t, j)
@@ -338,7 +338,7 @@
 	p, q, w := dial(n, "", 0), dial(n, "", 0), dial(n, "w-1", 1)
 	r, err := p.Do("MUTATE", `{"cmd":"kill","target":"scheduled"}`)
 	require.NoError(t, err)
-	require.True(t, r.OK(), r.Err)
+	require.True(t, r.IsOK(), r.Err)
 	require.EqualValues(t, dead, info(n, p)["dead"])
 	last, most := dead, 0 // of what one turn took
 	n.On(func() {
@@ -354,7 +354,7 @@
 	}
 	r, err = p.Read()
 	require.NoError(t, err)
-	assert.True(t, r.OK(), r.Err)
+	assert.True(t, r.IsOK(), r.Err)
 	assert.EqualValues(t, dead*9/10, info(n, q)["dead"], "nine tenths do not match")
 	n.On(func() { assert.LessOrEqual(t, most, 1000, "a bounded part in each turn") })
 }
@@ -425,7 +425,7 @@
 	p, w := dial(n, "", 0), dial(n, "w-1", 1)
 	r, err := p.Do("PUSH", `{ "jid":"job-0001", "jobtype":"board-view", "queue":"q", "args":[1.50, "a\u0062"], "custom":{} }`)
 	require.NoError(t, err)
-	require.True(t, r.OK(), r.Err)
+	require.True(t, r.IsOK(), r.Err)
 	must(n, w, "q")
 	require.NoError(t, w.Fail("job-0001", strings.Repeat("E", 500), strings.Repeat("m", 5000), make([]string, 500)...))
 	_, err = p.Do("MUTATE", `{"cmd":"requeue","target":"retries"}`)
--- a/internal/faktory/operate.go
+++ b/internal/faktory/operate.go
@@ -16,13 +16,13 @@
 // What operators ask for: TRACK, QUEUE, MUTATE, FLUSH and INFO.
 
 // tracked is the reply to TRACK GET.
-func (f *Front) tracked(jid string) map[string]any {
+func (f *Front) trackReply(jid string) map[string]any {
 	out := map[string]any{"jid": jid, "state": jobs.Unknown.String()}
 	j := f.jobs.Find(jid)
 	if j == nil {
 		return out
 	}
-	out["state"], out["updated_at"] = j.State.String(), f.wall(j.Since)
+	out["state"], out["updated_at"] = j.State.String(), f.formatTime(j.StateSince)
 	if j.Progress != nil {
 		out["percent"], out["desc"] = j.Progress.Percent, j.Progress.Desc
 	}
@@ -33,12 +33,12 @@
 		out["result"] = j.Result
 	}
 	if j.Failure != nil {
-		out["failure"] = f.failureOf(j)
+		out["failure"] = f.failureJSONOf(j)
 	}
 	return out
 }
 
-const longestDesc = 300
+const maxDescBytes = 300
 
 func (f *Front) trackSet(s *session, arg string) {
 	var t struct {
@@ -48,24 +48,24 @@
 		Until   string `json:"reserve_until"`
 	}
 	if err := json.Unmarshal([]byte(arg), &t); err != nil || t.JID == "" {
-		s.reply(failure("malformed TRACK SET: an object with a jid is needed"))
+		s.reply(errorReply("malformed TRACK SET: an object with a jid is needed"))
 		return
 	}
 	j := f.jobs.Find(t.JID)
 	switch {
 	case j == nil:
-		s.reply(fault("job %.128s is not known", t.JID))
-	case j.State.Final():
-		s.reply(fault("job %s has ended: %s", j.ID, j.State))
+		s.reply(errorReplyf("job %.128s is not known", t.JID))
+	case j.State.IsFinal():
+		s.reply(errorReplyf("job %s has ended: %s", j.ID, j.State))
 	case t.Percent != nil && (*t.Percent < 0 || *t.Percent > 100):
-		s.reply(failure("percent: 0 to 100 are possible"))
+		s.reply(errorReply("percent: 0 to 100 are possible"))
 	case t.Until != "":
 		until, err := time.Parse(time.RFC3339Nano, t.Until)
 		if err != nil {
-			s.reply(failure("reserve_until: not a time of RFC 3339"))
+			s.reply(errorReply("reserve_until: not a time of RFC 3339"))
 			return
 		}
-		f.jobs.Extend(j, min(f.loop.FromWall(until), f.loop.Now()+longestSpan*core.Second))
+		f.jobs.Extend(j, min(f.loop.FromWall(until), f.loop.Now()+maxSpanSeconds*core.Second))
 		fallthrough
 	default:
 		if j.Progress == nil {
@@ -75,21 +75,21 @@
 			j.Progress.Percent = *t.Percent
 		}
 		if t.Desc != "" {
-			j.Progress.Desc = t.Desc[:min(len(t.Desc), longestDesc)]
+			j.Progress.Desc = t.Desc[:min(len(t.Desc), maxDescBytes)]
 		}
 		s.reply(replyOK)
 	}
 }
 
 // queue pauses, resumes, removes and looks at queues: QUEUE PAUSE|RESUME|REMOVE|LATENCY names, or * for all.
-func (f *Front) queue(s *session, q *request) {
+func (f *Front) queue(s *session, q *parsedCommand) {
 	words := strings.Fields(string(q.arg))
 	if len(words) < 2 {
-		s.reply(failure("QUEUE takes PAUSE, RESUME, REMOVE or LATENCY, and names or *"))
+		s.reply(errorReply("QUEUE takes PAUSE, RESUME, REMOVE or LATENCY, and names or *"))
 		return
 	}
 	verb, names, now := strings.ToUpper(words[0]), words[1:], f.loop.Now()
-	figures := f.jobs.Queues(now)
+	figures := f.jobs.QueueStats(now)
 	if slices.Equal(names, []string{"*"}) {
 		names = nil
 		for _, one := range figures {
@@ -97,26 +97,26 @@
 		}
 	}
 	for _, name := range names {
-		if !goodQueue(name) {
-			s.reply(fault("unusable queue name %.32q", name))
+		if !isValidQueueName(name) {
+			s.reply(errorReplyf("unusable queue name %.32q", name))
 			return
 		}
 	}
 	switch verb {
 	case "PAUSE":
 		for _, name := range names {
-			if !f.jobs.Pause(now, name) {
-				s.reply(fault("refused, %s is reached", jobs.FullQueues))
+			if !f.jobs.PauseQueue(now, name) {
+				s.reply(errorReplyf("refused, %s is reached", jobs.LimitQueues))
 				return
 			}
 		}
 	case "RESUME":
 		for _, name := range names {
-			f.jobs.Resume(now, name)
+			f.jobs.ResumeQueue(now, name)
 		}
 	case "REMOVE":
 		for _, name := range names {
-			f.jobs.Remove(now, name)
+			f.jobs.RemoveQueue(now, name)
 		}
 	case "LATENCY":
 		out := map[string]float64{}
@@ -126,10 +126,10 @@
 			}
 		}
 		text, _ := json.Marshal(out)
-		s.reply(bulk(text))
+		s.reply(bulkReply(text))
 		return
 	default:
-		s.reply(fault("QUEUE %.32q is not known", verb))
+		s.reply(errorReplyf("QUEUE %.32q is not known", verb))
 		return
 	}
 	s.reply(replyOK)
@@ -137,7 +137,7 @@
 
 // mutate changes the jobs of a set that a filter finds ("Mutate API" of the Faktory wiki). The reply comes when
 // it is done.
-func (f *Front) mutate(s *session, q *request) {
+func (f *Front) mutate(s *session, q *parsedCommand) {
 	var m struct {
 		Cmd    string `json:"cmd"`
 		Target string `json:"target"`
@@ -148,66 +148,66 @@
 		} `json:"filter"`
 	}
 	if err := json.Unmarshal(q.arg, &m); err != nil {
-		s.reply(failure("malformed MUTATE: " + err.Error()))
+		s.reply(errorReply("malformed MUTATE: " + err.Error()))
 		return
 	}
 	mu := jobs.Mutation{Command: jobs.Command(m.Cmd), Set: jobs.Set(m.Target)}
 	switch {
-	case !slices.Contains([]jobs.Command{jobs.Kill, jobs.Discard, jobs.Requeue, jobs.Wipe}, mu.Command):
-		s.reply(fault("MUTATE: cmd: %.32q is none of clear, kill, discard, requeue", m.Cmd))
+	case !slices.Contains([]jobs.Command{jobs.Kill, jobs.Discard, jobs.Requeue, jobs.Clear}, mu.Command):
+		s.reply(errorReplyf("MUTATE: cmd: %.32q is none of clear, kill, discard, requeue", m.Cmd))
 		return
 	case !slices.Contains([]jobs.Set{jobs.SetScheduled, jobs.SetRetries, jobs.SetDead}, mu.Set):
-		s.reply(fault("MUTATE: target: %.32q is none of scheduled, retries, dead", m.Target))
+		s.reply(errorReplyf("MUTATE: target: %.32q is none of scheduled, retries, dead", m.Target))
 		return
 	}
-	if m.Filter != nil && mu.Command != jobs.Wipe {
-		match, err := glob(m.Filter.Regexp)
+	if m.Filter != nil && mu.Command != jobs.Clear {
+		match, err := compileGlob(m.Filter.Regexp)
 		if err != nil {
-			s.reply(fault("MUTATE: filter.regexp: %v", err))
+			s.reply(errorReplyf("MUTATE: filter.regexp: %v", err))
 			return
 		}
 		mu.IDs = m.Filter.JIDs
-		mu.Match = func(j *jobs.Job) bool {
+		mu.Matches = func(j *jobs.Job) bool {
 			return (m.Filter.Jobtype == "" || j.Type == m.Filter.Jobtype) && (match == nil || match.MatchString(j.Payload))
 		}
 	}
-	f.token++
-	if !f.jobs.Mutate(mu, f.token) {
-		s.reply(fault("refused, %d mutations are under way, return in 1.000 s", jobs.MaxMutations))
+	f.lastToken++
+	if !f.jobs.Mutate(mu, f.lastToken) {
+		s.reply(errorReplyf("refused, %d mutations are under way, return in 1.000 s", jobs.MaxMutations))
 		return
 	}
-	s.blocked = true
-	f.waits[f.token] = s
+	s.isBlocked = true
+	f.mutationWaiters[f.lastToken] = s
 }
 
 // Mutated implements jobs.Actions.
-func (h host) Mutated(token uint64, m jobs.Mutation) {
-	s := h.f.waits[token]
-	delete(h.f.waits, token)
+func (h host) MutationDone(token uint64, m jobs.Mutation) {
+	s := h.f.mutationWaiters[token]
+	delete(h.f.mutationWaiters, token)
 	h.f.log.Info("faktory: mutation done", "command", string(m.Command), "set", string(m.Set), "changed", m.Changed)
 	if s == nil || s.Ended {
 		return
 	}
 	for _, why := range []jobs.Reason{jobs.MayHaveRun, jobs.Expired} {
-		if n := m.Barred[why]; n > 0 {
-			s.resume(fault("%d jobs were changed, %d not: %s, for instance %s", m.Changed, n, whyBarred[why], m.Example[why]))
+		if n := m.Rejected[why]; n > 0 {
+			s.finishCommand(errorReplyf("%d jobs were changed, %d not: %s, for instance %s", m.Changed, n, rejectionTexts[why], m.RejectedExample[why]))
 			return
 		}
 	}
-	for why, n := range m.Barred {
-		s.resume(fault("%d jobs were changed, %d not: %s is reached", m.Changed, n, why))
+	for why, n := range m.Rejected {
+		s.finishCommand(errorReplyf("%d jobs were changed, %d not: %s is reached", m.Changed, n, why))
 		return
 	}
-	s.resume(replyOK)
+	s.finishCommand(replyOK)
 }
 
-var whyBarred = map[jobs.Reason]string{
+var rejectionTexts = map[jobs.Reason]string{
 	jobs.MayHaveRun: "they may have run, and their class must never run twice (may-have-run)",
 	jobs.Expired:    "their expires_at is past (expired)",
 }
 
 // glob compiles a pattern in the form of the public server's filter; empty: nil, which matches all.
-func glob(pattern string) (*regexp.Regexp, error) {
+func compileGlob(pattern string) (*regexp.Regexp, error) {
 	if pattern == "" {
 		return nil, nil
 	}
@@ -244,22 +244,22 @@
 }
 
 // flush ends and forgets all jobs, where the configuration allows it. The reply comes when it is done.
-func (f *Front) flush(s *session, _ *request) {
+func (f *Front) flush(s *session, _ *parsedCommand) {
 	if !f.conf.Faktory.AllowFlush {
-		s.reply(failure("FLUSH is off: faktory.allow_flush switches it on"))
+		s.reply(errorReply("FLUSH is off: faktory.allow_flush switches it on"))
 		return
 	}
 	f.log.Warn("faktory: FLUSH", "peer", s.Peer)
-	f.jobs.Clear()
-	s.blocked = true
-	f.flushes = append(f.flushes, s)
+	f.jobs.Flush()
+	s.isBlocked = true
+	f.flushWaiters = append(f.flushWaiters, s)
 }
 
 // info is the reply to INFO, in the shape of the public server's, with our own figures beside it.
 func (f *Front) info() []byte {
-	n, now := f.jobs.Figures(), f.loop.Now()
+	n, now := f.jobs.Stats(), f.loop.Now()
 	queues, paused, latency := map[string]int{}, []string{}, map[string]float64{}
-	for _, q := range f.jobs.Queues(now) {
+	for _, q := range f.jobs.QueueStats(now) {
 		queues[q.Name], latency[q.Name] = q.Enqueued, float64(q.Latency)/float64(core.Second)
 		if q.Paused {
 			paused = append(paused, q.Name)
@@ -267,15 +267,15 @@
 	}
 	workers := []map[string]any{}
 	for _, w := range f.workers {
-		workers = append(workers, map[string]any{"wid": w.wid, "working": len(w.fetched), "connections": w.sessions, "state": w.state, "rss_kb": w.rss})
+		workers = append(workers, map[string]any{"wid": w.wid, "working": len(w.fetched), "connections": w.sessionCount, "state": w.state, "rss_kb": w.rssKB})
 	}
 	size := func(k int) map[string]any { return map[string]any{"size": k} }
 	t := &n.Totals
 	turned := map[string]uint64{"not_unique": t.NotUnique}
-	for why, k := range f.turned {
+	for why, k := range f.rejected {
 		turned[why] += k
 	}
-	for why, k := range t.Turned {
+	for why, k := range t.RejectedByReason {
 		turned[string(why)] += k
 	}
 	k := &f.conf.Faktory
@@ -283,21 +283,21 @@
 		"now":             clock.Wall().UTC().Format(time.RFC3339Nano),
 		"server_utc_time": clock.Wall().UTC().Format("15:04:05 UTC"),
 		"faktory": map[string]any{
-			"total_enqueued": n.Enqueued, "total_processed": t.Served + t.Failures, "total_failures": t.Failures,
+			"total_enqueued": n.Enqueued, "total_processed": t.Served + t.FailedRuns, "total_failures": t.FailedRuns,
 			"total_queues": n.Queues, "queues": queues, "default_size": queues[k.Queue],
 			"tasks": map[string]any{"Scheduled": size(n.Scheduled), "Retries": size(n.Retries), "Dead": size(n.Dead),
 				"Working": size(n.Working), "Enqueued": size(n.Enqueued)},
 		},
 		"server": map[string]any{"description": "cobaltflow", "faktory_version": "1.9.0",
-			"uptime": int((clock.Monotonic() - f.began).Seconds()), "connections": f.sessions.Len(), "command_count": f.commands},
+			"uptime": int((clock.Monotonic() - f.startedAt).Seconds()), "connections": f.sessions.Len(), "command_count": f.commandCount},
 		"cobaltflow": map[string]any{
 			"held": n.Held, "max_held_jobs": k.MaxHeldJobs, "held_bytes": n.HeldBytes, "max_held_bytes": k.MaxHeldMB << 20,
 			"scheduled": n.Scheduled, "max_scheduled": k.MaxScheduled, "retries": n.Retries, "max_retries": k.MaxRetries,
-			"dead": n.Dead, "max_dead": k.MaxDead, "dead_forgotten": t.DeadForgotten, "ended": n.Ended, "kept_jobs": k.MaxEndedJobs,
-			"ended_forgotten": t.EndedForgotten, "locks": n.Locks, "clients": n.Clients, "input_bytes": f.input.Load(),
-			"max_input_bytes": f.inputMost, "served": t.Served, "refused": t.Refused, "failed": t.Failed, "died": t.Dead,
+			"dead": n.Dead, "max_dead": k.MaxDead, "dead_forgotten": t.DeadEvicted, "ended": n.Ended, "kept_jobs": k.MaxEndedJobs,
+			"ended_forgotten": t.EndedEvicted, "locks": n.Locks, "clients": n.Clients, "input_bytes": f.inputBytes.Load(),
+			"max_input_bytes": f.maxInputBytes, "served": t.Served, "refused": t.Refused, "failed": t.Failed, "died": t.Dead,
 			"retried": t.Retried, "turned_away": turned, "paused": paused, "latency_s": latency, "workers": workers,
-			"in_core": f.core.OpenRequests(), "draining": f.quiet,
+			"in_core": f.core.OpenRequests(), "draining": f.draining,
 		},
 	})
 	return text
--- a/internal/faktory/payload.go
+++ b/internal/faktory/payload.go
@@ -21,48 +21,48 @@
 
 // Bounds of a payload.
 const (
-	longestID   = 128
-	shortestID  = 8
-	longestArgs = 64 << 10 // bytes, as of a job of the HTTP front
-	longestTime = 24 * 3600 * 1000
-	longestSpan = 366 * 24 * 3600 // seconds
+	maxIDBytes     = 128
+	minIDBytes     = 8
+	maxArgsBytes   = 64 << 10 // bytes, as of a job of the HTTP front
+	maxTimeLeftMS  = 24 * 3600 * 1000
+	maxSpanSeconds = 366 * 24 * 3600 // seconds
 )
 
 // jobOverhead is what a held job takes beyond its payload, in bytes; docs/measurements/faktory.md has it measured.
-const jobOverhead = 400
+const jobOverheadBytes = 400
 
 // field is one key of the public job payload ("The Job Payload" of the Faktory wiki), or of its custom object, with
 // the JSON type that it has to have.
-type field struct {
-	kind string
-	take func(p *parsing, v gjson.Result) error
+type fieldParser struct {
+	kind  string
+	parse func(p *jobParser, v gjson.Result) error
 }
 
 // parsing is a payload as it is read.
-type parsing struct {
-	f    *Front
-	j    *jobs.Job
-	args string
-	uFor float64
-	bad  error
+type jobParser struct {
+	front     *Front
+	job       *jobs.Job
+	args      string
+	uniqueFor float64
+	err       error
 }
 
 // optionsOf gives the options of the job that is read, made where it had none.
-func optionsOf(p *parsing) *jobs.Options {
-	if p.j.Options == nil {
-		p.j.Options = &jobs.Options{}
+func optionsOf(p *jobParser) *jobs.Options {
+	if p.job.Options == nil {
+		p.job.Options = &jobs.Options{}
 	}
-	return p.j.Options
+	return p.job.Options
 }
 
 // textField is a key whose value is a string.
-func textField(to func(p *parsing) *string) field {
-	return field{"string", func(p *parsing, v gjson.Result) error { *to(p) = v.Str; return nil }}
+func textField(to func(p *jobParser) *string) fieldParser {
+	return fieldParser{"string", func(p *jobParser, v gjson.Result) error { *to(p) = v.Str; return nil }}
 }
 
 // wholeField is a key whose value is a whole number within bounds.
-func wholeField(least, most int64, to func(p *parsing, n int64)) field {
-	return field{"number", func(p *parsing, v gjson.Result) error {
+func intField(least, most int64, to func(p *jobParser, n int64)) fieldParser {
+	return fieldParser{"number", func(p *jobParser, v gjson.Result) error {
 		if v.Num != math.Trunc(v.Num) || v.Num < float64(least) || v.Num > float64(most) {
 			return fmt.Errorf("%s is no whole number from %d to %d", v.Raw, least, most)
 		}
@@ -72,8 +72,8 @@
 }
 
 // timeField is a key whose value is a time of RFC 3339.
-func timeField(to func(p *parsing) *core.Time) field {
-	return field{"string", func(p *parsing, v gjson.Result) error {
+func timeField(to func(p *jobParser) *core.Time) fieldParser {
+	return fieldParser{"string", func(p *jobParser, v gjson.Result) error {
 		if v.Str == "" {
 			return nil
 		}
@@ -81,55 +81,55 @@
 		if err != nil {
 			return errors.New("not a time of RFC 3339")
 		}
-		*to(p) = max(1, p.f.loop.FromWall(t))
+		*to(p) = max(1, p.front.loop.FromWall(t))
 		return nil
 	}}
 }
 
 // jobFields are the known keys of a job.
-var jobFields = map[string]field{
-	"jid":     textField(func(p *parsing) *string { return &p.j.ID }),
-	"jobtype": textField(func(p *parsing) *string { return &p.j.Type }),
-	"queue":   textField(func(p *parsing) *string { return &p.j.Queue }),
-	"args": {"array", func(p *parsing, v gjson.Result) error {
-		if p.args = v.Raw; len(v.Raw) > longestArgs {
-			return fmt.Errorf("%d bytes are over %d", len(v.Raw), longestArgs)
+var jobFields = map[string]fieldParser{
+	"jid":     textField(func(p *jobParser) *string { return &p.job.ID }),
+	"jobtype": textField(func(p *jobParser) *string { return &p.job.Type }),
+	"queue":   textField(func(p *jobParser) *string { return &p.job.Queue }),
+	"args": {"array", func(p *jobParser, v gjson.Result) error {
+		if p.args = v.Raw; len(v.Raw) > maxArgsBytes {
+			return fmt.Errorf("%d bytes are over %d", len(v.Raw), maxArgsBytes)
 		}
-		p.j.ArgsAt, p.j.ArgsLen = int32(v.Index), int32(len(v.Raw))
+		p.job.ArgsOffset, p.job.ArgsLen = int32(v.Index), int32(len(v.Raw))
 		return nil
 	}},
-	"at":          timeField(func(p *parsing) *core.Time { return &p.j.At }),
-	"retry":       wholeField(-1, 1<<20, func(p *parsing, n int64) { p.j.Retry = int32(n) }),
-	"reserve_for": wholeField(0, longestSpan, func(p *parsing, n int64) { optionsOf(p).Reserve = n * core.Second }),
-	"priority":    wholeField(jobs.LowestPriority, jobs.HighestPriority, func(p *parsing, n int64) { p.j.Priority = int32(n) }),
-	"custom":      {"object", func(p *parsing, v gjson.Result) error { p.each(v, customFields, "custom."); return nil }},
+	"at":          timeField(func(p *jobParser) *core.Time { return &p.job.NotBefore }),
+	"retry":       intField(-1, 1<<20, func(p *jobParser, n int64) { p.job.Retry = int32(n) }),
+	"reserve_for": intField(0, maxSpanSeconds, func(p *jobParser, n int64) { optionsOf(p).Reservation = n * core.Second }),
+	"priority":    intField(jobs.MinPriority, jobs.MaxPriority, func(p *jobParser, n int64) { p.job.Priority = int32(n) }),
+	"custom":      {"object", func(p *jobParser, v gjson.Result) error { p.parseObject(v, customFields, "custom."); return nil }},
 }
 
 // customFields are the known keys of a job's custom object.
-var customFields = map[string]field{
-	"time_left_ms": wholeField(1, longestTime, func(p *parsing, n int64) { p.j.Left = n * core.Millisecond }),
-	"key":          textField(func(p *parsing) *string { return &optionsOf(p).Key }),
-	"account": {"string", func(p *parsing, v gjson.Result) error {
-		optionsOf(p).Tenant = int32(p.f.conf.Names.Tenant([]byte(v.Str)))
+var customFields = map[string]fieldParser{
+	"time_left_ms": intField(1, maxTimeLeftMS, func(p *jobParser, n int64) { p.job.TimeLeft = n * core.Millisecond }),
+	"key":          textField(func(p *jobParser) *string { return &optionsOf(p).Key }),
+	"account": {"string", func(p *jobParser, v gjson.Result) error {
+		optionsOf(p).Tenant = int32(p.front.conf.Names.Tenant([]byte(v.Str)))
 		return nil
 	}},
-	"hint_us": wholeField(1, int64(admission.MaxHint), func(p *parsing, n int64) { optionsOf(p).Hint = n }),
-	"slots": {"number", func(p *parsing, v gjson.Result) error {
+	"hint_us": intField(1, int64(admission.MaxHint), func(p *jobParser, n int64) { optionsOf(p).Hint = n }),
+	"slots": {"number", func(p *jobParser, v gjson.Result) error {
 		if optionsOf(p).Slots = v.Num; v.Num < 0 || v.Num > 1e6 {
 			return errors.New("0 to 1000000 are possible")
 		}
 		return nil
 	}},
-	"expires_at": timeField(func(p *parsing) *core.Time { return &optionsOf(p).ExpiresAt }),
-	"unique_for": {"number", func(p *parsing, v gjson.Result) error {
+	"expires_at": timeField(func(p *jobParser) *core.Time { return &optionsOf(p).ExpiresAt }),
+	"unique_for": {"number", func(p *jobParser, v gjson.Result) error {
 		optionsOf(p)
-		if p.uFor = v.Num; v.Num < 0 || v.Num > longestSpan {
+		if p.uniqueFor = v.Num; v.Num < 0 || v.Num > maxSpanSeconds {
 			return errors.New("not a usable number of seconds")
 		}
 		return nil
 	}},
-	"unique_until": {"string", func(p *parsing, v gjson.Result) error {
-		if optionsOf(p).UntilStart = v.Str == "start"; !p.j.UntilStart && v.Str != "" && v.Str != "success" {
+	"unique_until": {"string", func(p *jobParser, v gjson.Result) error {
+		if optionsOf(p).UniqueUntilStart = v.Str == "start"; !p.job.UniqueUntilStart && v.Str != "" && v.Str != "success" {
 			return errors.New("start or success is possible")
 		}
 		return nil
@@ -137,26 +137,26 @@
 }
 
 // each reads the known keys of an object; a null stands for an absent one.
-func (p *parsing) each(object gjson.Result, fields map[string]field, prefix string) {
+func (p *jobParser) parseObject(object gjson.Result, fields map[string]fieldParser, prefix string) {
 	object.ForEach(func(key, v gjson.Result) bool {
 		f, known := fields[key.Str]
 		if !known || v.Type == gjson.Null {
 			return true
 		}
 		err := error(nil)
-		if kind := kindOf(v); kind != f.kind {
+		if kind := jsonKind(v); kind != f.kind {
 			err = fmt.Errorf("a %s can't stand here, a %s is needed", kind, f.kind)
 		} else {
-			err = f.take(p, v)
+			err = f.parse(p, v)
 		}
-		if err != nil && p.bad == nil {
-			p.bad = fmt.Errorf("malformed job: %s%s: %w", prefix, key.Str, err)
+		if err != nil && p.err == nil {
+			p.err = fmt.Errorf("malformed job: %s%s: %w", prefix, key.Str, err)
 		}
-		return p.bad == nil
+		return p.err == nil
 	})
 }
 
-func kindOf(v gjson.Result) string {
+func jsonKind(v gjson.Result) string {
 	switch {
 	case v.IsArray():
 		return "array"
@@ -179,12 +179,12 @@
 	}
 	// One piece of memory holds the payload and the names, which are parts of it.
 	payload := string(text)
-	j := &jobs.Job{Priority: jobs.UsualPriority, Retry: jobs.UsualRetry, Client: client}
-	p := parsing{f: f, j: j}
-	if p.each(gjson.Parse(payload), jobFields, ""); p.bad != nil {
-		return nil, p.bad
+	j := &jobs.Job{Priority: jobs.DefaultPriority, Retry: jobs.DefaultRetries, Client: client}
+	p := jobParser{front: f, job: j}
+	if p.parseObject(gjson.Parse(payload), jobFields, ""); p.err != nil {
+		return nil, p.err
 	}
-	if !goodID(j.ID) {
+	if !isValidID(j.ID) {
 		return nil, errors.New("malformed job: jid: 8 to 128 plain characters are needed")
 	}
 	if j.Type == "" {
@@ -199,32 +199,32 @@
 	if j.Queue == "" {
 		j.Queue = f.conf.Faktory.Queue
 	}
-	if !goodQueue(j.Queue) {
+	if !isValidQueueName(j.Queue) {
 		return nil, errors.New("malformed job: queue: 1 to 128 of letters, digits and .-_ are needed")
 	}
-	if p.uFor > 0 {
-		j.UniqueFor = core.Time(p.uFor * float64(core.Second))
+	if p.uniqueFor > 0 {
+		j.UniqueFor = core.Time(p.uniqueFor * float64(core.Second))
 		j.Fingerprint = sha256.Sum256([]byte(j.Type + "\x00" + j.Queue + "\x00" + p.args))
 	}
 	j.Payload = payload
-	j.Size = int32(len(payload) + jobOverhead)
+	j.Size = int32(len(payload) + jobOverheadBytes)
 	return j, nil
 }
 
-func goodID(id string) bool {
-	return len(id) >= shortestID && len(id) <= longestID && !strings.ContainsFunc(id, func(r rune) bool {
+func isValidID(id string) bool {
+	return len(id) >= minIDBytes && len(id) <= maxIDBytes && !strings.ContainsFunc(id, func(r rune) bool {
 		return r <= ' ' || r >= 0x7f || strings.ContainsRune(`,"/?#%`, r)
 	})
 }
 
-func goodQueue(name string) bool {
-	return name != "" && len(name) <= longestID && !strings.ContainsFunc(name, func(r rune) bool {
+func isValidQueueName(name string) bool {
+	return name != "" && len(name) <= maxIDBytes && !strings.ContainsFunc(name, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune(".-_", r))
 	})
 }
 
 // wireFailure is the failure that a job carries once a try has failed.
-type wireFailure struct {
+type failureJSON struct {
 	RetryCount int      `json:"retry_count"`
 	Remaining  int      `json:"remaining"`
 	FailedAt   string   `json:"failed_at"`
@@ -233,25 +233,27 @@
 	Backtrace  []string `json:"backtrace,omitempty"`
 }
 
-func (f *Front) failureOf(j *jobs.Job) *wireFailure {
+func (f *Front) failureJSONOf(j *jobs.Job) *failureJSON {
 	if j.Failure == nil {
 		return nil
 	}
-	return &wireFailure{RetryCount: int(j.Failures) - 1, Remaining: int(max(0, j.Retry-j.Failures+1)), FailedAt: f.wall(j.Failure.At),
+	return &failureJSON{RetryCount: int(j.Failures) - 1, Remaining: int(max(0, j.Retry-j.Failures+1)), FailedAt: f.formatTime(j.Failure.At),
 		Message: j.Failure.Message, Type: j.Failure.Type, Backtrace: j.Failure.Backtrace}
 }
 
-func (f *Front) wall(at core.Time) string { return f.loop.ToWall(at).UTC().Format(time.RFC3339Nano) }
+func (f *Front) formatTime(at core.Time) string {
+	return f.loop.ToWall(at).UTC().Format(time.RFC3339Nano)
+}
 
 // payload is what a worker's FETCH is given: a pushed job as it came, with the failure of its last try, if any;
 // any other request as a job whose one argument tells of the request.
-func (f *Front) payload(t *core.Request) []byte {
-	if try, ok := t.Client.(*try); ok {
+func (f *Front) fetchPayload(t *core.Request) []byte {
+	if try, ok := t.Client.(*jobRequest); ok {
 		j := try.job
 		if j.Failure == nil {
 			return []byte(j.Payload)
 		}
-		text, _ := json.Marshal(f.failureOf(j))
+		text, _ := json.Marshal(f.failureJSONOf(j))
 		return []byte(strings.TrimSuffix(j.Payload, "}") + `,"failure":` + string(text) + "}")
 	}
 	request := map[string]string{"target": t.Job.Target}
--- a/internal/faktory/resp.go
+++ b/internal/faktory/resp.go
@@ -14,9 +14,9 @@
 }
 
 // Fault is a command that can't be taken.
-type Fault string
+type CommandError string
 
-func (f Fault) Error() string { return string(f) }
+func (f CommandError) Error() string { return string(f) }
 
 // ParseCommand parses the command at the start of buf, of at most longest bytes. A need above zero tells how many
 // bytes there have to be before another try is of use. Clients write commands as plain lines; RESP's array form,
@@ -26,7 +26,7 @@
 	if len(buf) > 0 && buf[0] == '*' {
 		return parseArray(buf, c, longest)
 	}
-	line, at, need, err := line(buf, 0, longest)
+	line, at, need, err := readLine(buf, 0, longest)
 	if need > 0 || err != nil {
 		return need, err
 	}
@@ -36,31 +36,31 @@
 	return 0, nil
 }
 
-func line(buf []byte, from, longest int) (text []byte, at, need int, err error) {
+func readLine(buf []byte, from, longest int) (text []byte, at, need int, err error) {
 	i := bytes.IndexByte(buf[from:], '\n')
 	if i < 0 {
 		if len(buf)-from > longest {
-			return nil, 0, 0, Fault("command too long")
+			return nil, 0, 0, CommandError("command too long")
 		}
 		return nil, 0, len(buf) + 1, nil
 	}
 	if i > longest {
-		return nil, 0, 0, Fault("command too long")
+		return nil, 0, 0, CommandError("command too long")
 	}
 	return bytes.TrimSuffix(buf[from:from+i], []byte("\r")), from + i + 1, 0, nil
 }
 
 func parseArray(buf []byte, c *Command, longest int) (need int, err error) {
-	n, at, need, err := length(buf, 0, '*', 64)
+	n, at, need, err := parseLength(buf, 0, '*', 64)
 	if need > 0 || err != nil {
 		return need, err
 	}
 	if n == 0 {
-		return 0, Fault("empty command")
+		return 0, CommandError("empty command")
 	}
 	var args [][]byte
 	for range n {
-		size, start, need, err := length(buf, at, '$', longest)
+		size, start, need, err := parseLength(buf, at, '$', longest)
 		if need > 0 || err != nil {
 			return need, err
 		}
@@ -68,11 +68,11 @@
 			return start + size + 2, nil
 		}
 		if buf[start+size] != '\r' || buf[start+size+1] != '\n' {
-			return 0, Fault("malformed bulk string")
+			return 0, CommandError("malformed bulk string")
 		}
 		args = append(args, buf[start:start+size])
 		if at = start + size + 2; at > longest {
-			return 0, Fault("command too long")
+			return 0, CommandError("command too long")
 		}
 	}
 	c.Verb, c.Size = args[0], at
@@ -84,51 +84,51 @@
 	return 0, nil
 }
 
-func length(buf []byte, from int, kind byte, most int) (n, at, need int, err error) {
+func parseLength(buf []byte, from int, kind byte, most int) (n, at, need int, err error) {
 	if from >= len(buf) {
 		return 0, 0, len(buf) + 1, nil
 	}
 	if buf[from] != kind {
-		return 0, 0, 0, Fault("malformed command")
+		return 0, 0, 0, CommandError("malformed command")
 	}
 	end := bytes.IndexByte(buf[from:min(len(buf), from+16)], '\n')
 	if end < 0 {
 		if len(buf)-from >= 16 {
-			return 0, 0, 0, Fault("malformed length")
+			return 0, 0, 0, CommandError("malformed length")
 		}
 		return 0, 0, len(buf) + 1, nil
 	}
 	text := buf[from+1 : from+end]
 	if len(text) < 2 || text[len(text)-1] != '\r' {
-		return 0, 0, 0, Fault("malformed length")
+		return 0, 0, 0, CommandError("malformed length")
 	}
 	text = text[:len(text)-1]
 	for _, c := range text {
 		if c < '0' || c > '9' {
-			return 0, 0, 0, Fault("malformed length")
+			return 0, 0, 0, CommandError("malformed length")
 		}
 		n = n*10 + int(c-'0')
 	}
 	if n > most {
-		return 0, 0, 0, Fault("command too long")
+		return 0, 0, 0, CommandError("command too long")
 	}
 	return n, from + end + 1, 0, nil
 }
 
 // The replies of a server.
 
-var oneLine = strings.NewReplacer("\r", " ", "\n", " ")
+var lineReplacer = strings.NewReplacer("\r", " ", "\n", " ")
 
-func simple(text string) []byte { return []byte("+" + oneLine.Replace(text) + "\r\n") }
+func simpleReply(text string) []byte { return []byte("+" + lineReplacer.Replace(text) + "\r\n") }
 
-func failure(text string) []byte { return []byte("-ERR " + oneLine.Replace(text) + "\r\n") }
+func errorReply(text string) []byte { return []byte("-ERR " + lineReplacer.Replace(text) + "\r\n") }
 
-func bulk(data []byte) []byte {
+func bulkReply(data []byte) []byte {
 	b := append(strconv.AppendInt([]byte("$"), int64(len(data)), 10), "\r\n"...)
 	return append(append(b, data...), "\r\n"...)
 }
 
 var (
 	replyOK   = []byte("+OK\r\n")
-	replyNone = []byte("$-1\r\n")
+	replyNull = []byte("$-1\r\n")
 )
--- a/internal/faktory/resp_test.go
+++ b/internal/faktory/resp_test.go
@@ -50,6 +50,6 @@
 }
 
 func TestRepliesStayOnOneLine(t *testing.T) {
-	assert.Equal(t, "-ERR a  b\r\n", string(failure("a\r\nb")))
-	assert.Equal(t, "$3\r\na\r\n\r\n", string(bulk([]byte("a\r\n"))))
+	assert.Equal(t, "-ERR a  b\r\n", string(errorReply("a\r\nb")))
+	assert.Equal(t, "$3\r\na\r\n\r\n", string(bulkReply([]byte("a\r\n"))))
 }
--- a/internal/front/http2/conn.go
+++ b/internal/front/http2/conn.go
@@ -12,34 +12,34 @@
 	if c.Ended || c.ClosedLocally {
 		return
 	}
-	c.out = append(c.out, b...)
-	if !c.marked {
-		c.marked = true
-		c.front.dirty = append(c.front.dirty, c)
+	c.output = append(c.output, b...)
+	if !c.isDirty {
+		c.isDirty = true
+		c.front.connsToFlush = append(c.front.connsToFlush, c)
 	}
 }
 
 func (c *conn) flush() {
-	c.marked = false
-	if out := c.out; len(out) > 0 {
-		c.out = nil
+	c.isDirty = false
+	if out := c.output; len(out) > 0 {
+		c.output = nil
 		c.Send(c.front.loop, link.Outgoing{Message: out, CloseAfter: c.CloseReason != ""})
 	}
 }
 
 // goAway ends the connection with a GOAWAY and, in the log, a reason. Streams that were taken end as if reset.
-func (c *conn) goAway(code Code, reason, text string) {
+func (c *conn) closeWithGoAway(code Code, reason, text string) {
 	if c.CloseReason != "" {
 		return
 	}
-	c.write(appendGoAway(nil, c.highest, code, text))
+	c.write(appendGoAway(nil, c.lastStreamID, code, text))
 	c.CloseReason = reason
 	c.DiscardInput()
 	for _, s := range c.streams {
-		s.abandon()
+		s.disconnect()
 	}
 	clear(c.streams)
-	c.waiting, c.unsent = nil, 0
+	c.blockedStreams, c.unsentBytes = nil, 0
 }
 
 func (c *conn) fail(e *connError) {
@@ -47,286 +47,286 @@
 	if reason == "" {
 		reason = link.BadInput
 	}
-	c.goAway(e.code, reason, e.text)
+	c.closeWithGoAway(e.code, reason, e.text)
 }
 
 // warn tells that the front ends: with the highest possible stream first, then with the last one taken.
-func (c *conn) warn(last uint32) {
+func (c *conn) sendGoAway(last uint32) {
 	if c.CloseReason == "" {
-		c.warned = true
+		c.goAwaySent = true
 		c.write(appendGoAway(nil, last, NoError, ""))
 	}
 }
 
 // reset ends a stream from our side.
 func (c *conn) reset(id uint32, code Code) {
-	c.write(appendReset(nil, id, code))
-	c.rest.add(id)
+	c.write(appendRSTStream(nil, id, code))
+	c.resetStreams.add(id)
 	if s := c.streams[id]; s != nil {
-		s.abandon()
-		c.forget(s)
+		s.disconnect()
+		c.removeStream(s)
 	}
 }
 
 // forget lets go of a stream that is closed.
-func (c *conn) forget(s *stream) {
+func (c *conn) removeStream(s *stream) {
 	delete(c.streams, s.id)
-	c.unsent -= len(s.out)
-	c.bodies -= len(s.body)
-	s.out, s.gone = nil, true
-	c.used = c.front.loop.Now()
+	c.unsentBytes -= len(s.unsent)
+	c.bodyBytes -= len(s.body)
+	s.unsent, s.closed = nil, true
+	c.lastUsed = c.front.loop.Now()
 }
 
 // frame handles one frame, by its type. An error is the connection's.
-func (c *conn) frame(f *frame) *connError {
+func (c *conn) handleFrame(f *frame) *connError {
 	now, k := c.front.loop.Now(), &c.front.limits
 	switch f.kind {
 	case frameHeaders:
-		return c.headers(f)
+		return c.handleHeaders(f)
 	case frameData:
-		return c.data(f)
+		return c.handleData(f)
 	case frameSettings, framePing, framePriority:
-		if !c.control.spend(now, k.ControlPerS) {
-			return &connError{code: EnhanceYourCalm, reason: ReasonControl, text: "too many control frames"}
+		if !c.controlBudget.take(now, k.ControlPerS) {
+			return &connError{code: EnhanceYourCalm, reason: ReasonControlFlood, text: "too many control frames"}
 		}
 	}
 	switch f.kind {
 	case frameSettings:
-		return c.settings(f)
+		return c.handleSettings(f)
 	case framePing:
 		if f.flags&flagAck == 0 {
 			c.write(appendPingAck(nil, f.data))
 		}
-	case frameReset:
-		return c.resetBy(f)
-	case frameWindow:
-		return c.windowUpdate(f)
+	case frameRSTStream:
+		return c.handleReset(f)
+	case frameWindowUpdate:
+		return c.handleWindowUpdate(f)
 	case frameGoAway:
-		c.warned = true // it opens no more streams; those it has go on
+		c.goAwaySent = true // it opens no more streams; those it has go on
 	}
 	return nil
 }
 
 // idle tells of a stream that nobody has opened yet (RFC 9113, section 5.1).
-func (c *conn) idle(id uint32) bool { return id > c.highest || id%2 == 0 }
+func (c *conn) isIdle(id uint32) bool { return id > c.lastStreamID || id%2 == 0 }
 
-func (c *conn) settings(f *frame) *connError {
+func (c *conn) handleSettings(f *frame) *connError {
 	if f.flags&flagAck != 0 {
-		c.acked = true
+		c.settingsAcked = true
 		return nil
 	}
-	c.settled = true
+	c.settingsReceived = true
 	for p := f.data; len(p) > 0; p = p[6:] {
 		id, v := binary.BigEndian.Uint16(p), binary.BigEndian.Uint32(p[2:])
 		switch id {
-		case settingTableSize:
-			c.encoder.SetMaxDynamicTableSizeLimit(min(v, uint32(c.front.limits.HeaderTable)))
+		case settingHeaderTableSize:
+			c.encoder.SetMaxDynamicTableSizeLimit(min(v, uint32(c.front.limits.HeaderTableBytes)))
 		case settingEnablePush:
 			if v > 1 {
-				return connFault(ProtocolError, "ENABLE_PUSH %d (RFC 9113, section 6.5.2)", v)
+				return connErrorf(ProtocolError, "ENABLE_PUSH %d (RFC 9113, section 6.5.2)", v)
 			}
-		case settingInitialWindow:
-			if v > mostWindow {
-				return connFault(FlowControlError, "INITIAL_WINDOW_SIZE %d (RFC 9113, section 6.5.2)", v)
+		case settingInitialWindowSize:
+			if v > maxWindow {
+				return connErrorf(FlowControlError, "INITIAL_WINDOW_SIZE %d (RFC 9113, section 6.5.2)", v)
 			}
-			by := int64(v) - c.peerWindow
-			c.peerWindow = int64(v)
+			by := int64(v) - c.initialSendWindow
+			c.initialSendWindow = int64(v)
 			for _, s := range c.streams {
-				if s.window += by; s.window > mostWindow {
-					return connFault(FlowControlError, "a window over 2^31-1 (RFC 9113, section 6.9.2)")
+				if s.sendWindow += by; s.sendWindow > maxWindow {
+					return connErrorf(FlowControlError, "a window over 2^31-1 (RFC 9113, section 6.9.2)")
 				}
 			}
-		case settingMaxFrame:
-			if v < usualMaxFrame || v > mostMaxFrame {
-				return connFault(ProtocolError, "MAX_FRAME_SIZE %d (RFC 9113, section 6.5.2)", v)
+		case settingMaxFrameSize:
+			if v < defaultMaxFrame || v > maxMaxFrame {
+				return connErrorf(ProtocolError, "MAX_FRAME_SIZE %d (RFC 9113, section 6.5.2)", v)
 			}
-			c.peerFrame = int(min(v, 64<<10))
+			c.maxSendFrame = int(min(v, 64<<10))
 		}
 	}
-	c.write(appendFrame(nil, 0, frameSettings, flagAck, 0))
-	c.push()
+	c.write(appendFrameHeader(nil, 0, frameSettings, flagAck, 0))
+	c.sendBlockedData()
 	return nil
 }
 
-func (c *conn) windowUpdate(f *frame) *connError {
-	by := int64(binary.BigEndian.Uint32(f.data) & mostWindow)
-	if f.stream == 0 {
+func (c *conn) handleWindowUpdate(f *frame) *connError {
+	by := int64(binary.BigEndian.Uint32(f.data) & maxWindow)
+	if f.streamID == 0 {
 		if by == 0 {
-			return connFault(ProtocolError, "WINDOW_UPDATE by 0 (RFC 9113, section 6.9)")
+			return connErrorf(ProtocolError, "WINDOW_UPDATE by 0 (RFC 9113, section 6.9)")
 		}
-		if c.window += by; c.window > mostWindow {
-			return connFault(FlowControlError, "a window over 2^31-1 (RFC 9113, section 6.9.1)")
+		if c.sendWindow += by; c.sendWindow > maxWindow {
+			return connErrorf(FlowControlError, "a window over 2^31-1 (RFC 9113, section 6.9.1)")
 		}
-		return c.useful(c.push())
+		return c.chargeUnlessProgress(c.sendBlockedData())
 	}
-	if c.idle(f.stream) {
-		return connFault(ProtocolError, "WINDOW_UPDATE of idle stream %d (RFC 9113, section 5.1)", f.stream)
+	if c.isIdle(f.streamID) {
+		return connErrorf(ProtocolError, "WINDOW_UPDATE of idle stream %d (RFC 9113, section 5.1)", f.streamID)
 	}
-	s := c.streams[f.stream]
+	s := c.streams[f.streamID]
 	if s == nil {
-		return c.useful(false)
+		return c.chargeUnlessProgress(false)
 	}
 	if by == 0 {
 		c.reset(s.id, ProtocolError)
 		return nil
 	}
-	if s.window += by; s.window > mostWindow {
+	if s.sendWindow += by; s.sendWindow > maxWindow {
 		c.reset(s.id, FlowControlError)
 		return nil
 	}
-	return c.useful(c.push())
+	return c.chargeUnlessProgress(c.sendBlockedData())
 }
 
 // useful takes a WINDOW_UPDATE that let something go for nothing, and any other from the budget of control frames.
-func (c *conn) useful(moved bool) *connError {
-	if !moved && !c.control.spend(c.front.loop.Now(), c.front.limits.ControlPerS) {
-		return &connError{code: EnhanceYourCalm, reason: ReasonControl, text: "too many window updates of no use"}
+func (c *conn) chargeUnlessProgress(moved bool) *connError {
+	if !moved && !c.controlBudget.take(c.front.loop.Now(), c.front.limits.ControlPerS) {
+		return &connError{code: EnhanceYourCalm, reason: ReasonControlFlood, text: "too many window updates of no use"}
 	}
 	return nil
 }
 
 // resetBy takes a client's RST_STREAM. A stream that was opened and reset before its answer cost work for nothing.
-func (c *conn) resetBy(f *frame) *connError {
-	if c.idle(f.stream) {
-		return connFault(ProtocolError, "RST_STREAM of idle stream %d (RFC 9113, section 6.4)", f.stream)
+func (c *conn) handleReset(f *frame) *connError {
+	if c.isIdle(f.streamID) {
+		return connErrorf(ProtocolError, "RST_STREAM of idle stream %d (RFC 9113, section 6.4)", f.streamID)
 	}
-	s := c.streams[f.stream]
+	s := c.streams[f.streamID]
 	if s == nil {
 		return nil
 	}
-	c.front.Figures.Resets++
+	c.front.Stats.Resets++
 	unanswered := !s.answered
-	s.abandon()
-	c.rest.add(s.id)
-	c.forget(s)
-	if unanswered && !c.resets.spend(c.front.loop.Now(), c.front.limits.ResetsPerS) {
-		return &connError{code: EnhanceYourCalm, reason: ReasonResets, text: "streams are reset faster than they are worth"}
+	s.disconnect()
+	c.resetStreams.add(s.id)
+	c.removeStream(s)
+	if unanswered && !c.resetBudget.take(c.front.loop.Now(), c.front.limits.ResetsPerS) {
+		return &connError{code: EnhanceYourCalm, reason: ReasonResetFlood, text: "streams are reset faster than they are worth"}
 	}
 	return nil
 }
 
 // headers opens a stream, or ends one's body with trailers.
-func (c *conn) headers(f *frame) *connError {
-	h, k := f.request, &c.front.limits
+func (c *conn) handleHeaders(f *frame) *connError {
+	h, k := f.header, &c.front.limits
 	end := f.flags&flagEndStream != 0
-	if s := c.streams[f.stream]; s != nil {
+	if s := c.streams[f.streamID]; s != nil {
 		switch {
-		case s.ended:
-			return connFault(StreamClosed, "HEADERS on half-closed stream %d (RFC 9113, section 5.1)", s.id)
-		case !end || h.pseudo || h.bad != "" || h.tooLarge:
+		case s.requestEnded:
+			return connErrorf(StreamClosed, "HEADERS on half-closed stream %d (RFC 9113, section 5.1)", s.id)
+		case !end || h.hasPseudo || h.malformed != "" || h.tooLarge:
 			c.reset(s.id, ProtocolError) // trailers end the body, and have no pseudo-header fields (section 8.1)
 		default:
-			s.whole()
+			s.serve()
 		}
 		return nil
 	}
-	if f.stream <= c.highest {
-		if c.rest.has(f.stream) {
+	if f.streamID <= c.lastStreamID {
+		if c.resetStreams.has(f.streamID) {
 			return nil // it was on its way when we, or the client, reset the stream
 		}
-		return connFault(StreamClosed, "HEADERS on closed stream %d (RFC 9113, section 5.1.1)", f.stream)
+		return connErrorf(StreamClosed, "HEADERS on closed stream %d (RFC 9113, section 5.1.1)", f.streamID)
 	}
-	if c.front.last {
+	if c.front.finalGoAwaySent {
 		// Past the last stream of the GOAWAY: it was never taken, and the client may send it elsewhere.
-		c.front.Figures.Refused++
-		c.write(appendReset(nil, f.stream, RefusedStream))
+		c.front.Stats.Refused++
+		c.write(appendRSTStream(nil, f.streamID, RefusedStream))
 		return nil
 	}
-	c.highest = f.stream
-	if len(c.streams) >= k.Streams {
+	c.lastStreamID = f.streamID
+	if len(c.streams) >= k.MaxStreams {
 		// Never taken, so it may be sent again. Before our SETTINGS are known it is no fault of the client's.
-		c.front.Figures.Refused++
-		c.write(appendReset(nil, f.stream, RefusedStream))
-		c.rest.add(f.stream)
-		if c.acked && !c.over.spend(c.front.loop.Now(), k.ResetsPerS) {
-			return &connError{code: EnhanceYourCalm, reason: ReasonStreams, text: "more streams than MAX_CONCURRENT_STREAMS, again and again"}
+		c.front.Stats.Refused++
+		c.write(appendRSTStream(nil, f.streamID, RefusedStream))
+		c.resetStreams.add(f.streamID)
+		if c.settingsAcked && !c.excessStreamBudget.take(c.front.loop.Now(), k.ResetsPerS) {
+			return &connError{code: EnhanceYourCalm, reason: ReasonStreamFlood, text: "more streams than MAX_CONCURRENT_STREAMS, again and again"}
 		}
 		return nil
 	}
-	c.front.Figures.Streams++
-	s := &stream{conn: c, id: f.stream, head: h, window: c.peerWindow, received: usualWindow}
+	c.front.Stats.Streams++
+	s := &stream{conn: c, id: f.streamID, header: h, sendWindow: c.initialSendWindow, recvWindow: defaultWindow}
 	c.streams[s.id] = s
-	if h.checkRequest(); h.bad != "" {
+	if h.checkRequest(); h.malformed != "" {
 		c.reset(s.id, ProtocolError)
 		return nil
 	}
 	if h.tooLarge {
-		s.refuse(431, "the header list is over max_header_kb")
+		s.rejectEarly(431, "the header list is over max_header_kb")
 		return nil
 	}
 	if end {
-		s.whole()
+		s.serve()
 	} else {
-		s.early()
+		s.checkContentLength()
 	}
 	return nil
 }
 
 // data takes a part of a body. Flow control counts it whole, padding too, whatever becomes of it.
-func (c *conn) data(f *frame) *connError {
+func (c *conn) handleData(f *frame) *connError {
 	now, k := c.front.loop.Now(), &c.front.limits
-	if c.idle(f.stream) {
-		return connFault(ProtocolError, "DATA on idle stream %d (RFC 9113, section 5.1)", f.stream)
+	if c.isIdle(f.streamID) {
+		return connErrorf(ProtocolError, "DATA on idle stream %d (RFC 9113, section 5.1)", f.streamID)
 	}
-	if c.received -= int64(f.length); c.received < 0 {
-		return connFault(FlowControlError, "more DATA than the connection's window (RFC 9113, section 6.9)")
+	if c.recvWindow -= int64(f.length); c.recvWindow < 0 {
+		return connErrorf(FlowControlError, "more DATA than the connection's window (RFC 9113, section 6.9)")
 	}
-	if c.received < usualWindow/2 {
-		c.write(appendWindow(nil, 0, int(usualWindow-c.received)))
-		c.received = usualWindow
+	if c.recvWindow < defaultWindow/2 {
+		c.write(appendWindowUpdate(nil, 0, int(defaultWindow-c.recvWindow)))
+		c.recvWindow = defaultWindow
 	}
-	if end := f.flags&flagEndStream != 0; len(f.data) == 0 && !end && !c.empty.spend(now, k.EmptyPerS) {
-		return &connError{code: EnhanceYourCalm, reason: ReasonEmpty, text: "DATA without data, again and again"}
+	if end := f.flags&flagEndStream != 0; len(f.data) == 0 && !end && !c.emptyDataBudget.take(now, k.EmptyPerS) {
+		return &connError{code: EnhanceYourCalm, reason: ReasonEmptyFlood, text: "DATA without data, again and again"}
 	}
-	s := c.streams[f.stream]
+	s := c.streams[f.streamID]
 	if s == nil {
-		if !c.rest.has(f.stream) {
-			c.write(appendReset(nil, f.stream, StreamClosed))
-			c.rest.add(f.stream)
+		if !c.resetStreams.has(f.streamID) {
+			c.write(appendRSTStream(nil, f.streamID, StreamClosed))
+			c.resetStreams.add(f.streamID)
 		}
 		return nil
 	}
-	if s.ended {
+	if s.requestEnded {
 		c.reset(s.id, StreamClosed)
 		return nil
 	}
-	if s.received -= int64(f.length); s.received < 0 {
+	if s.recvWindow -= int64(f.length); s.recvWindow < 0 {
 		c.reset(s.id, FlowControlError)
 		return nil
 	}
-	s.take(f.data, f.flags&flagEndStream != 0)
+	s.addBody(f.data, f.flags&flagEndStream != 0)
 	return nil
 }
 
 // stalled ends a connection whose client has left its windows full for too long.
-func (c *conn) stalled() {
-	for _, s := range append([]*stream(nil), c.waiting...) {
-		if !s.gone {
+func (c *conn) closeStalled() {
+	for _, s := range append([]*stream(nil), c.blockedStreams...) {
+		if !s.closed {
 			c.reset(s.id, Cancel)
 		}
 	}
-	c.goAway(EnhanceYourCalm, ReasonWindow, "the window stayed full")
+	c.closeWithGoAway(EnhanceYourCalm, ReasonWindowFull, "the window stayed full")
 }
 
 // forgotten remembers the last streams that were reset: what comes on them was on its way.
-type forgotten struct {
+type recentStreams struct {
 	ring [256]uint32
 	next int
-	set  map[uint32]bool
+	ids  map[uint32]bool
 }
 
-func newForgotten() *forgotten { return &forgotten{set: map[uint32]bool{}} }
+func newRecentStreams() *recentStreams { return &recentStreams{ids: map[uint32]bool{}} }
 
-func (r *forgotten) add(id uint32) {
-	if r.set[id] {
+func (r *recentStreams) add(id uint32) {
+	if r.ids[id] {
 		return
 	}
-	delete(r.set, r.ring[r.next])
+	delete(r.ids, r.ring[r.next])
 	r.ring[r.next] = id
-	r.set[id] = true
+	r.ids[id] = true
 	r.next = (r.next + 1) % len(r.ring)
 }
 
-func (r *forgotten) has(id uint32) bool { return r.set[id] }
+func (r *recentStreams) has(id uint32) bool { return r.ids[id] }
 
 var _ core.Client = (*stream)(nil)
--- a/internal/front/http2/ending_test.go
+++ b/internal/front/http2/ending_test.go
@@ -56,7 +56,7 @@
 	r := dial(n)
 	stream := r.post("settle", "id-1", 15000, true)
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
-	n.On(func() { n.HTTP2.Quiet(1000) })
+	n.On(func() { n.HTTP2.Drain(1000) })
 	r.until(t, func(f xhttp2.Frame) bool {
 		h, yes := f.(*xhttp2.HeadersFrame)
 		return yes && h.StreamID == stream
--- a/internal/front/http2/front.go
+++ b/internal/front/http2/front.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	sweepEvery = 50 * core.Millisecond
-	batchMost  = 128     // frames handed to the loop at once: the work of a turn for a connection
-	unreadMost = 4 << 20 // bytes that a client may leave unread in its socket
+	sweepInterval  = 50 * core.Millisecond
+	maxBatchFrames = 128     // frames handed to the loop at once: the work of a turn for a connection
+	maxUnreadBytes = 4 << 20 // bytes that a client may leave unread in its socket
 )
 
 // Front is the HTTP/2 front. All of it is the loop's.
@@ -33,20 +33,20 @@
 	admission *admission.Controller
 	ledger    *admission.Ledger
 
-	listener netpoll.Listener
-	server   netpoll.EventLoop
-	conns    core.SlotMap[*conn]
-	dirty    []*conn
-	quiet    bool
-	last     bool // the second GOAWAY has been sent
-	closed   bool
-	Figures  Figures
+	listener        netpoll.Listener
+	server          netpoll.EventLoop
+	conns           core.SlotMap[*conn]
+	connsToFlush    []*conn
+	draining        bool
+	finalGoAwaySent bool // the second GOAWAY has been sent
+	closed          bool
+	Stats           Stats
 }
 
 // Figures are totals since the start.
-type Figures struct {
+type Stats struct {
 	Connections, Streams, Answered, Resets, Refused uint64
-	Ended                                           map[string]uint64 // connections that the front ended, by reason
+	ClosedByReason                                  map[string]uint64 // connections that the front ended, by reason
 }
 
 type connKey struct{}
@@ -54,11 +54,11 @@
 // New makes the front; Start opens it.
 func New(c *core.Core, conf *config.Config, controller *admission.Controller, log *slog.Logger) *Front {
 	k := &conf.HTTP2
-	return &Front{loop: c.Loop, core: c, conf: conf, log: log, admission: controller, Figures: Figures{Ended: map[string]uint64{}},
+	return &Front{loop: c.Loop, core: c, conf: conf, log: log, admission: controller, Stats: Stats{ClosedByReason: map[string]uint64{}},
 		ledger: admission.NewLedger(k.MaxEndedJobs, k.MaxEndedMB<<20, core.Time(k.EndedRetentionS*float64(core.Second))),
-		limits: Limits{Connections: k.MaxConnections, Streams: k.MaxStreams, HeaderList: k.MaxHeaderKB << 10, HeaderTable: k.HeaderTableBytes,
-			HeaderFrames: 16, Unsent: k.MaxUnsentKB << 10, BodyBytes: k.MaxBodyKB << 10, Stall: core.Time(k.StallTimeoutMS) * core.Millisecond,
-			Settings: core.Time(k.SettingsTimeoutMS) * core.Millisecond, Idle: core.Time(k.IdleTimeoutS) * core.Second, Drain: core.Second,
+		limits: Limits{MaxConnections: k.MaxConnections, MaxStreams: k.MaxStreams, MaxHeaderListBytes: k.MaxHeaderKB << 10, HeaderTableBytes: k.HeaderTableBytes,
+			MaxHeaderFrames: 16, MaxUnsentBytes: k.MaxUnsentKB << 10, MaxBodyBytes: k.MaxBodyKB << 10, StallTimeout: core.Time(k.StallTimeoutMS) * core.Millisecond,
+			SettingsTimeout: core.Time(k.SettingsTimeoutMS) * core.Millisecond, IdleTimeout: core.Time(k.IdleTimeoutS) * core.Second, FinalGoAwayDelay: core.Second,
 			ResetsPerS: float64(k.ResetsPerS), ControlPerS: float64(k.ControlPerS), EmptyPerS: float64(k.EmptyPerS)}}
 }
 
@@ -72,7 +72,7 @@
 	f.server, err = netpoll.NewEventLoop(onRequest, netpoll.WithOnPrepare(f.accept),
 		netpoll.WithOnDisconnect(func(ctx context.Context, _ netpoll.Connection) {
 			c := ctx.Value(connKey{}).(*conn)
-			f.loop.Post(func() { f.gone(c) })
+			f.loop.Post(func() { f.connEnded(c) })
 		}))
 	if err != nil {
 		return err
@@ -87,12 +87,12 @@
 func (f *Front) Address() string { return f.listener.Addr().String() }
 
 func (f *Front) accept(nc netpoll.Connection) context.Context {
-	c := &conn{front: f, streams: map[uint32]*stream{}, window: usualWindow, peerWindow: usualWindow, peerFrame: usualMaxFrame,
-		received: usualWindow, in: newReader(&f.limits), backlog: link.NewBacklog(), rest: newForgotten()}
-	c.encoder = hpack.NewEncoder(&c.encoded)
+	c := &conn{front: f, streams: map[uint32]*stream{}, sendWindow: defaultWindow, initialSendWindow: defaultWindow, maxSendFrame: defaultMaxFrame,
+		recvWindow: defaultWindow, reader: newReader(&f.limits), backlog: link.NewBacklog(), resetStreams: newRecentStreams()}
+	c.encoder = hpack.NewEncoder(&c.headerBuffer)
 	c.Init(nc, "h2-agent", nc.RemoteAddr().String(), 0)
 	nc.AddCloseCallback(func(netpoll.Connection) error {
-		f.loop.Post(func() { f.gone(c) })
+		f.loop.Post(func() { f.connEnded(c) })
 		return nil
 	})
 	f.loop.Post(func() { f.greet(c) })
@@ -105,41 +105,41 @@
 		return
 	}
 	now := f.loop.Now()
-	c.Opened, c.used, c.moved = now, now, now
+	c.Opened, c.lastUsed, c.lastProgress = now, now, now
 	c.ref = f.conns.Add(c)
-	f.Figures.Connections++
-	c.write(appendSettings(nil, settingMaxStreams, uint32(f.limits.Streams), settingMaxHeaderList, uint32(f.limits.HeaderList),
-		settingTableSize, uint32(f.limits.HeaderTable)))
+	f.Stats.Connections++
+	c.write(appendSettings(nil, settingMaxConcurrentStreams, uint32(f.limits.MaxStreams), settingMaxHeaderListSize, uint32(f.limits.MaxHeaderListBytes),
+		settingHeaderTableSize, uint32(f.limits.HeaderTableBytes)))
 	switch {
-	case f.conns.Len() > f.limits.Connections:
-		c.goAway(EnhanceYourCalm, link.OverBudget, "max_connections is reached")
-	case f.quiet:
-		c.warn(mostStreamID)
+	case f.conns.Len() > f.limits.MaxConnections:
+		c.closeWithGoAway(EnhanceYourCalm, link.OverBudget, "max_connections is reached")
+	case f.draining:
+		c.sendGoAway(maxStreamID)
 	}
 }
 
 // gone has a connection end. What it waited for goes on or is withdrawn, as for a stream that was reset.
-func (f *Front) gone(c *conn) {
+func (f *Front) connEnded(c *conn) {
 	if !c.MarkEnded(f.log, f.loop.Now()) {
 		return
 	}
 	if c.CloseReason != "" {
-		f.Figures.Ended[c.CloseReason]++
+		f.Stats.ClosedByReason[c.CloseReason]++
 	}
 	c.backlog.Close()
 	f.conns.Free(c.ref)
 	for _, s := range c.streams {
-		s.abandon()
+		s.disconnect()
 	}
 	clear(c.streams)
 }
 
 func (f *Front) afterTurn() {
-	for _, c := range f.dirty {
+	for _, c := range f.connsToFlush {
 		c.flush()
 	}
-	clear(f.dirty)
-	f.dirty = f.dirty[:0]
+	clear(f.connsToFlush)
+	f.connsToFlush = f.connsToFlush[:0]
 }
 
 // sweep looks after connections that are slow, silent or full.
@@ -149,37 +149,37 @@
 	f.conns.Each(func(_ core.Ref, c *conn) {
 		switch {
 		case c.CloseReason != "" || c.ClosedLocally:
-		case c.Conn.Reader().Len() > link.MaxBacklogBytes+mostUnread:
-			c.goAway(EnhanceYourCalm, link.Flooding, "more came than a client may send ahead")
-		case c.QueuedBytes() > unreadMost:
+		case c.Conn.Reader().Len() > link.MaxBacklogBytes+maxUnreadInputBytes:
+			c.closeWithGoAway(EnhanceYourCalm, link.Flooding, "more came than a client may send ahead")
+		case c.QueuedBytes() > maxUnreadBytes:
 			c.Close(link.NotReading)
-		case (!c.settled || !c.acked) && now-c.Opened > f.limits.Settings:
-			c.goAway(SettingsTimeout, ReasonSettings, "no SETTINGS, or no acknowledgement of ours, came in time")
-		case c.unsent > 0 && now-c.moved > f.limits.Stall:
-			c.stalled()
-		case len(c.streams) == 0 && now-c.used > f.limits.Idle:
-			c.goAway(NoError, link.IdleTimeout, "")
+		case (!c.settingsReceived || !c.settingsAcked) && now-c.Opened > f.limits.SettingsTimeout:
+			c.closeWithGoAway(SettingsTimeout, ReasonNoSettings, "no SETTINGS, or no acknowledgement of ours, came in time")
+		case c.unsentBytes > 0 && now-c.lastProgress > f.limits.StallTimeout:
+			c.closeStalled()
+		case len(c.streams) == 0 && now-c.lastUsed > f.limits.IdleTimeout:
+			c.closeWithGoAway(NoError, link.IdleTimeout, "")
 		}
 	})
 	if !f.closed {
-		f.loop.At(now+sweepEvery, f.sweep)
+		f.loop.At(now+sweepInterval, f.sweep)
 	}
 }
 
-const mostUnread = 128 << 10
+const maxUnreadInputBytes = 128 << 10
 
 // Quiet begins the end: a first GOAWAY tells that there will be a last stream, a second which one it was. Streams
 // that were taken go on to their answers, but for those that are still open at within from now, since the platform may
 // kill the process soon after: they are given up, each with its answer. Those past the last were never taken.
-func (f *Front) Quiet(within core.Time) {
-	if f.quiet {
+func (f *Front) Drain(within core.Time) {
+	if f.draining {
 		return
 	}
-	f.quiet = true
-	f.conns.Each(func(_ core.Ref, c *conn) { c.warn(mostStreamID) })
-	f.loop.At(f.loop.Now()+min(f.limits.Drain, within/2), func() {
-		f.last = true
-		f.conns.Each(func(_ core.Ref, c *conn) { c.warn(c.highest) })
+	f.draining = true
+	f.conns.Each(func(_ core.Ref, c *conn) { c.sendGoAway(maxStreamID) })
+	f.loop.At(f.loop.Now()+min(f.limits.FinalGoAwayDelay, within/2), func() {
+		f.finalGoAwaySent = true
+		f.conns.Each(func(_ core.Ref, c *conn) { c.sendGoAway(c.lastStreamID) })
 	})
 	f.loop.At(f.loop.Now()+within, func() {
 		f.core.AbortRequests(func(u core.Client) bool { _, ours := u.(*stream); return ours })
@@ -187,12 +187,14 @@
 }
 
 // Done tells whether no connection has a stream any more, and the last GOAWAY has been sent.
-func (f *Front) Done() bool {
-	if !f.last {
+func (f *Front) IsDrained() bool {
+	if !f.finalGoAwaySent {
 		return false
 	}
 	done := true
-	f.conns.Each(func(_ core.Ref, c *conn) { done = done && len(c.streams) == 0 && c.unsent == 0 && c.IsWriterIdle() })
+	f.conns.Each(func(_ core.Ref, c *conn) {
+		done = done && len(c.streams) == 0 && c.unsentBytes == 0 && c.IsWriterIdle()
+	})
 	return done
 }
 
@@ -206,31 +208,31 @@
 // conn is a client's connection. Its reader and what is said to be so are netpoll's goroutine's.
 type conn struct {
 	link.Link
-	ref     core.Ref
-	front   *Front
-	in      *reader // netpoll's
-	stopped bool    // nothing is read any more; netpoll's
-	backlog *link.Backlog
-
-	streams    map[uint32]*stream
-	highest    uint32 // the last stream that was taken, or refused
-	rest       *forgotten
-	settled    bool // the client's SETTINGS came
-	acked      bool // and its acknowledgement of ours
-	encoder    *hpack.Encoder
-	encoded    bytes.Buffer
-	window     int64 // that the client gives us, for the connection
-	received   int64 // that it has left of what we gave
-	peerWindow int64 // of a new stream
-	peerFrame  int
-	waiting    []*stream // with data that a window holds back, in the order of their turn
-	unsent     int       // bytes of it
-	bodies     int       // bytes of requests that are not whole
-	moved      core.Time // when a byte of an answer left last, or there was none to leave
-	used       core.Time
-	out        []byte
-	marked     bool
-	warned     bool
-
-	resets, control, empty, over budget
+	ref         core.Ref
+	front       *Front
+	reader      *reader // netpoll's
+	readStopped bool    // nothing is read any more; netpoll's
+	backlog     *link.Backlog
+
+	streams           map[uint32]*stream
+	lastStreamID      uint32 // the last stream that was taken, or refused
+	resetStreams      *recentStreams
+	settingsReceived  bool // the client's SETTINGS came
+	settingsAcked     bool // and its acknowledgement of ours
+	encoder           *hpack.Encoder
+	headerBuffer      bytes.Buffer
+	sendWindow        int64 // that the client gives us, for the connection
+	recvWindow        int64 // that it has left of what we gave
+	initialSendWindow int64 // of a new stream
+	maxSendFrame      int
+	blockedStreams    []*stream // with data that a window holds back, in the order of their turn
+	unsentBytes       int       // bytes of it
+	bodyBytes         int       // bytes of requests that are not whole
+	lastProgress      core.Time // when a byte of an answer left last, or there was none to leave
+	lastUsed          core.Time
+	output            []byte
+	isDirty           bool
+	goAwaySent        bool
+
+	resetBudget, controlBudget, emptyDataBudget, excessStreamBudget tokenBucket
 }
--- a/internal/front/http2/fuzz_test.go
+++ b/internal/front/http2/fuzz_test.go
@@ -11,11 +11,11 @@
 	f.Add([]byte(xhttp2.ClientPreface+"\x00\x00\x00\x04\x00\x00\x00\x00\x00\x00\x00\x01\x01\x05\x00\x00\x00\x01\x82"), 5)
 	f.Add([]byte(xhttp2.ClientPreface+"\x00\x00\x00\x04\x00\x00\x00\x00\x00\x00\x00\x03\x00\x08\x00\x00\x00\x01\x01ab"), 30)
 	f.Add([]byte(xhttp2.ClientPreface+"\x00\x00\x00\x04\x00\x00\x00\x00\x00\x00\x00\x01\x01\x01\x00\x00\x00\x01\x82\x00\x00\x01\x09\x04\x00\x00\x00\x01\x84"), 9)
-	limits := &Limits{HeaderList: 4096, HeaderTable: 4096, HeaderFrames: 16}
+	limits := &Limits{MaxHeaderListBytes: 4096, HeaderTableBytes: 4096, MaxHeaderFrames: 16}
 	read := func(t *testing.T, data []byte, cut int) (kinds []byte, bad bool) {
 		r := newReader(limits)
 		for at, have := 0, min(max(cut, 1), len(data)); at < len(data); {
-			fr, used, need := r.take(data[at:have])
+			fr, used, need := r.readFrame(data[at:have])
 			if need > 0 {
 				if need <= have-at {
 					t.Fatalf("needs %d of %d", need, have-at)
@@ -31,7 +31,7 @@
 			}
 			at += used
 			if fr != nil {
-				if fr.bad != nil {
+				if fr.err != nil {
 					return kinds, true
 				}
 				kinds = append(kinds, fr.kind)
--- a/internal/front/http2/head.go
+++ b/internal/front/http2/head.go
@@ -9,25 +9,25 @@
 )
 
 // head is a decoded block of headers: a request's, or trailers.
-type head struct {
+type fieldSection struct {
 	method, scheme, path, authority string
 	fields                          []hpack.HeaderField // without the pseudo-header fields
-	length                          int64               // Content-Length; -1: none
-	pseudo                          bool                // there is some pseudo-header field
+	contentLength                   int64               // Content-Length; -1: none
+	hasPseudo                       bool                // there is some pseudo-header field
 	tooLarge                        bool
-	bad                             string // malformed, as a stream error (RFC 9113, section 8.1.1)
+	malformed                       string // malformed, as a stream error (RFC 9113, section 8.1.1)
 }
 
 // fail notes the first fault of a block.
-func (h *head) fail(format string, args ...any) {
-	if h.bad == "" {
-		h.bad = fmt.Sprintf(format, args...)
+func (h *fieldSection) setMalformed(format string, args ...any) {
+	if h.malformed == "" {
+		h.malformed = fmt.Sprintf(format, args...)
 	}
 }
 
 // newHead reads a block. What is malformed is told in bad, the first fault of it.
-func newHead(fields []hpack.HeaderField, tooLarge bool) *head {
-	h := &head{length: -1, tooLarge: tooLarge}
+func newFieldSection(fields []hpack.HeaderField, tooLarge bool) *fieldSection {
+	h := &fieldSection{contentLength: -1, tooLarge: tooLarge}
 	host, hosts := "", 0
 	seen := [4]bool{}
 	h.fields = make([]hpack.HeaderField, 0, len(fields))
@@ -39,63 +39,63 @@
 		h.addRegular(f)
 		if f.Name == "host" {
 			if hosts++; hosts > 1 {
-				h.fail("host stands twice")
+				h.setMalformed("host stands twice")
 			}
 			host = f.Value
 		}
 	}
 	if h.authority != "" && hosts > 0 && !strings.EqualFold(host, h.authority) {
-		h.fail(":authority and host differ")
+		h.setMalformed(":authority and host differ")
 	}
 	return h
 }
 
 // addPseudo takes a pseudo-header field; seen are those that came before.
-func (h *head) addPseudo(f hpack.HeaderField, seen *[4]bool) {
+func (h *fieldSection) addPseudo(f hpack.HeaderField, seen *[4]bool) {
 	to, nth := h.pseudoField(f.Name)
 	switch {
 	case to == nil:
-		h.fail("pseudo-header field %q", f.Name)
+		h.setMalformed("pseudo-header field %q", f.Name)
 	case seen[nth]:
-		h.fail("%s stands twice", f.Name)
+		h.setMalformed("%s stands twice", f.Name)
 	case len(h.fields) > 0:
-		h.fail("%s stands behind a regular field", f.Name)
+		h.setMalformed("%s stands behind a regular field", f.Name)
 	default:
 		*to = f.Value
 	}
-	seen[nth], h.pseudo = true, true
-	if !goodValue(f.Value) {
-		h.fail("%s has a value that can't be one", f.Name)
+	seen[nth], h.hasPseudo = true, true
+	if !isValidFieldValue(f.Value) {
+		h.setMalformed("%s has a value that can't be one", f.Name)
 	}
 }
 
 // addRegular takes any other field.
-func (h *head) addRegular(f hpack.HeaderField) {
+func (h *fieldSection) addRegular(f hpack.HeaderField) {
 	switch {
-	case !goodName(f.Name):
-		h.fail("field name %q", f.Name)
-	case !goodValue(f.Value):
-		h.fail("%s has a value that can't be one", f.Name)
+	case !isValidFieldName(f.Name):
+		h.setMalformed("field name %q", f.Name)
+	case !isValidFieldValue(f.Value):
+		h.setMalformed("%s has a value that can't be one", f.Name)
 	}
 	switch f.Name {
 	case "connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade":
-		h.fail("%s is of HTTP/1.1 alone (RFC 9113, section 8.2.2)", f.Name)
+		h.setMalformed("%s is of HTTP/1.1 alone (RFC 9113, section 8.2.2)", f.Name)
 	case "te":
 		if f.Value != "trailers" {
-			h.fail("te: %s", f.Value)
+			h.setMalformed("te: %s", f.Value)
 		}
 	case "content-length":
 		n, err := strconv.ParseUint(f.Value, 10, 62)
-		if err != nil || h.length >= 0 && h.length != int64(n) {
-			h.fail("content-length: %s", f.Value)
+		if err != nil || h.contentLength >= 0 && h.contentLength != int64(n) {
+			h.setMalformed("content-length: %s", f.Value)
 		}
-		h.length = int64(n)
+		h.contentLength = int64(n)
 	}
 	h.fields = append(h.fields, f)
 }
 
 // pseudoField is where a request's pseudo-header field goes; nil: there is no such one.
-func (h *head) pseudoField(name string) (to *string, nth int) {
+func (h *fieldSection) pseudoField(name string) (to *string, nth int) {
 	switch name {
 	case ":method":
 		return &h.method, 0
@@ -110,24 +110,24 @@
 }
 
 // checkRequest tells what a request lacks (RFC 9113, section 8.3.1).
-func (h *head) checkRequest() {
-	if h.bad != "" || h.tooLarge {
+func (h *fieldSection) checkRequest() {
+	if h.malformed != "" || h.tooLarge {
 		return
 	}
 	switch {
 	case h.method == "":
-		h.bad = ":method is missing"
+		h.malformed = ":method is missing"
 	case h.method == "CONNECT":
-		h.bad = "CONNECT is not served"
+		h.malformed = "CONNECT is not served"
 	case h.scheme == "":
-		h.bad = ":scheme is missing"
+		h.malformed = ":scheme is missing"
 	case h.path == "" || h.path[0] != '/' && !(h.path == "*" && h.method == "OPTIONS"):
-		h.bad = ":path is missing or is none"
+		h.malformed = ":path is missing or is none"
 	}
 }
 
 // get gives a field's first value and how often it stands there; the name may be in any case.
-func (h *head) get(name string) (value []byte, count int) {
+func (h *fieldSection) get(name string) (value []byte, count int) {
 	for i := range h.fields {
 		if strings.EqualFold(h.fields[i].Name, name) {
 			if count++; count == 1 {
@@ -139,7 +139,7 @@
 }
 
 // goodName tells of a field name that is a token in lower case (RFC 9113, section 8.2.1).
-func goodName(s string) bool {
+func isValidFieldName(s string) bool {
 	if s == "" {
 		return false
 	}
@@ -153,7 +153,7 @@
 }
 
 // goodValue tells of a value without NUL, CR and LF, and without blanks at its ends.
-func goodValue(s string) bool {
+func isValidFieldValue(s string) bool {
 	if s == "" {
 		return true
 	}
--- a/internal/front/http2/http2_test.go
+++ b/internal/front/http2/http2_test.go
@@ -29,7 +29,7 @@
 		})
 	}
 	wg.Wait()
-	n.On(func() { assert.EqualValues(t, 1, n.HTTP2.Figures.Connections) })
+	n.On(func() { assert.EqualValues(t, 1, n.HTTP2.Stats.Connections) })
 	for _, bad := range []struct {
 		class, id string
 		left      int
@@ -68,7 +68,7 @@
 	reset()
 	require.Error(t, <-ended)
 	n.Eventually(func() (yes bool) {
-		n.On(func() { yes = n.HTTP2.Figures.Resets == 1 })
+		n.On(func() { yes = n.HTTP2.Stats.Resets == 1 })
 		return yes
 	})
 	assert.Equal(t, "open", state(n, c, "id-1").State, "it goes on")
--- a/internal/front/http2/intake.go
+++ b/internal/front/http2/intake.go
@@ -18,7 +18,7 @@
 
 func (c *conn) read() error {
 	r := c.Conn.Reader()
-	if c.stopped {
+	if c.readStopped {
 		r.Skip(r.Len())
 		return r.Release()
 	}
@@ -30,12 +30,12 @@
 				reason = link.SlowInput
 			}
 			c.front.loop.Post(func() { c.Close(reason) })
-			c.stopped = true
+			c.readStopped = true
 			r.Skip(r.Len())
 			c.Conn.Close()
 			return nil
 		}
-		batch, used, more := c.cut(buf)
+		batch, used, more := c.splitFrames(buf)
 		r.Skip(used)
 		if err := r.Release(); err != nil {
 			return err
@@ -45,11 +45,11 @@
 			c.backlog.Add(cost)
 			c.front.loop.Post(func() { c.front.handle(c, batch, cost) })
 			if !c.backlog.Wait() {
-				c.stopped = true
+				c.readStopped = true
 				return nil
 			}
 		}
-		if more == 0 || c.stopped {
+		if more == 0 || c.readStopped {
 			return nil
 		}
 		need = more
@@ -57,17 +57,17 @@
 }
 
 // cut takes frames off buf. more above 0 tells that a frame is begun, and how many bytes it needs.
-func (c *conn) cut(buf []byte) (batch []*frame, used, more int) {
-	for used < len(buf) && len(batch) < batchMost {
-		f, n, need := c.in.take(buf[used:])
+func (c *conn) splitFrames(buf []byte) (batch []*frame, used, more int) {
+	for used < len(buf) && len(batch) < maxBatchFrames {
+		f, n, need := c.reader.readFrame(buf[used:])
 		if need > 0 {
 			return batch, used, need
 		}
 		used += n
 		if f != nil {
 			batch = append(batch, f)
-			if f.bad != nil {
-				c.stopped = true
+			if f.err != nil {
+				c.readStopped = true
 				return batch, len(buf), 0
 			}
 		}
@@ -77,17 +77,17 @@
 
 // handle has a batch of frames in hand.
 func (f *Front) handle(c *conn, batch []*frame, cost int) {
-	c.used = f.loop.Now()
+	c.lastUsed = f.loop.Now()
 	for _, fr := range batch {
 		if c.Ended || c.CloseReason != "" {
 			break
 		}
 		c.MessageCount++
-		if fr.bad != nil {
-			c.fail(fr.bad)
+		if fr.err != nil {
+			c.fail(fr.err)
 			break
 		}
-		if bad := c.frame(fr); bad != nil {
+		if bad := c.handleFrame(fr); bad != nil {
 			c.fail(bad)
 		}
 	}
--- a/internal/front/http2/wire.go
+++ b/internal/front/http2/wire.go
@@ -10,12 +10,12 @@
 	frameData         = 0x0
 	frameHeaders      = 0x1
 	framePriority     = 0x2
-	frameReset        = 0x3
+	frameRSTStream    = 0x3
 	frameSettings     = 0x4
 	framePushPromise  = 0x5
 	framePing         = 0x6
 	frameGoAway       = 0x7
-	frameWindow       = 0x8
+	frameWindowUpdate = 0x8
 	frameContinuation = 0x9
 
 	flagEndStream  = 0x1
@@ -24,20 +24,20 @@
 	flagPadded     = 0x8
 	flagPriority   = 0x20
 
-	settingTableSize     = 0x1
-	settingEnablePush    = 0x2
-	settingMaxStreams    = 0x3
-	settingInitialWindow = 0x4
-	settingMaxFrame      = 0x5
-	settingMaxHeaderList = 0x6
-
-	headLength    = 9
-	usualWindow   = 65535
-	usualMaxFrame = 16384
-	mostMaxFrame  = 1<<24 - 1
-	mostWindow    = 1<<31 - 1
-	mostStreamID  = 1<<31 - 1
-	preface       = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
+	settingHeaderTableSize      = 0x1
+	settingEnablePush           = 0x2
+	settingMaxConcurrentStreams = 0x3
+	settingInitialWindowSize    = 0x4
+	settingMaxFrameSize         = 0x5
+	settingMaxHeaderListSize    = 0x6
+
+	frameHeaderBytes = 9
+	defaultWindow    = 65535
+	defaultMaxFrame  = 16384
+	maxMaxFrame      = 1<<24 - 1
+	maxWindow        = 1<<31 - 1
+	maxStreamID      = 1<<31 - 1
+	clientPreface    = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 )
 
 // Code is an error code of RFC 9113, section 7.
@@ -70,18 +70,18 @@
 
 func (e *connError) Error() string { return e.text }
 
-func connFault(code Code, format string, args ...any) *connError {
+func connErrorf(code Code, format string, args ...any) *connError {
 	return &connError{code: code, text: fmt.Sprintf(format, args...)}
 }
 
 // appendFrame adds the head of a frame.
-func appendFrame(b []byte, length int, kind, flags byte, stream uint32) []byte {
+func appendFrameHeader(b []byte, length int, kind, flags byte, stream uint32) []byte {
 	b = append(b, byte(length>>16), byte(length>>8), byte(length), kind, flags)
 	return binary.BigEndian.AppendUint32(b, stream)
 }
 
 func appendSettings(b []byte, pairs ...uint32) []byte {
-	b = appendFrame(b, len(pairs)*3, frameSettings, 0, 0)
+	b = appendFrameHeader(b, len(pairs)*3, frameSettings, 0, 0)
 	for i := 0; i < len(pairs); i += 2 {
 		b = binary.BigEndian.AppendUint16(b, uint16(pairs[i]))
 		b = binary.BigEndian.AppendUint32(b, pairs[i+1])
@@ -89,21 +89,21 @@
 	return b
 }
 
-func appendReset(b []byte, stream uint32, code Code) []byte {
-	return binary.BigEndian.AppendUint32(appendFrame(b, 4, frameReset, 0, stream), uint32(code))
+func appendRSTStream(b []byte, stream uint32, code Code) []byte {
+	return binary.BigEndian.AppendUint32(appendFrameHeader(b, 4, frameRSTStream, 0, stream), uint32(code))
 }
 
-func appendWindow(b []byte, stream uint32, by int) []byte {
-	return binary.BigEndian.AppendUint32(appendFrame(b, 4, frameWindow, 0, stream), uint32(by))
+func appendWindowUpdate(b []byte, stream uint32, by int) []byte {
+	return binary.BigEndian.AppendUint32(appendFrameHeader(b, 4, frameWindowUpdate, 0, stream), uint32(by))
 }
 
 func appendGoAway(b []byte, last uint32, code Code, text string) []byte {
-	b = appendFrame(b, 8+len(text), frameGoAway, 0, 0)
+	b = appendFrameHeader(b, 8+len(text), frameGoAway, 0, 0)
 	b = binary.BigEndian.AppendUint32(b, last)
 	b = binary.BigEndian.AppendUint32(b, uint32(code))
 	return append(b, text...)
 }
 
 func appendPingAck(b, data []byte) []byte {
-	return append(appendFrame(b, 8, framePing, flagAck, 0), data...)
+	return append(appendFrameHeader(b, 8, framePing, flagAck, 0), data...)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -144,10 +144,10 @@
 		}
 		g.Core.AnnounceLeaving()
 		if g.Faktory != nil {
-			g.Faktory.Quiet()
+			g.Faktory.Drain()
 		}
 		if g.HTTP2 != nil {
-			g.HTTP2.Quiet(g.Front.AnswerTimeout())
+			g.HTTP2.Drain(g.Front.AnswerTimeout())
 		}
 		g.Front.Stop(g.closeFronts)
 	})
@@ -161,7 +161,7 @@
 // closeFronts closes the other fronts once the HTTP/1.1 front has ended. The core then has no open requests, theirs
 // included, and only answers may still be unsent: the HTTP/2 front gets up to maxCloseChecks periods to send them.
 func (g *Gateway) closeFronts() {
-	if g.HTTP2 != nil && !g.HTTP2.Done() && g.closeChecks < maxCloseChecks {
+	if g.HTTP2 != nil && !g.HTTP2.IsDrained() && g.closeChecks < maxCloseChecks {
 		g.closeChecks++
 		g.Loop.At(g.Loop.Now()+closeCheckPeriod, g.closeFronts)
 		return
--- a/internal/jobs/api.go
+++ b/internal/jobs/api.go
@@ -48,7 +48,7 @@
 func (s State) String() string { return stateNames[s] }
 
 // Final tells whether a job in this state has its one final answer.
-func (s State) Final() bool { return s >= Served }
+func (s State) IsFinal() bool { return s >= Served }
 
 // Reason says why a job came to its end, or why a PUSH was not taken. It stands in answers, the log and the
 // operator's page alike.
@@ -56,100 +56,100 @@
 
 // The reasons.
 const (
-	Done         Reason = "done"
-	Expired      Reason = "expired"           // its time was over before it started
-	TimeOver     Reason = "time-over"         // its time was over while it ran
-	Discarded    Reason = "discarded"         // it failed, and its retry is -1
-	Exhausted    Reason = "retries-exhausted" // it failed as often as its retry allows
-	MayHaveRun   Reason = "may-have-run"      // its class forbids a second run
-	RetriesFull  Reason = "retries-full"      // the set of retries had no room
-	ByOperator   Reason = "operator"          // killed or discarded by MUTATE
-	QueueRemoved Reason = "queue-removed"
-	Flushed      Reason = "flushed"
-	ShutDown     Reason = "shut-down"
-
-	FullHeld      Reason = "max_held_jobs"
-	FullBytes     Reason = "max_held_mb"
-	FullQueue     Reason = "max_queue_jobs"
-	FullClient    Reason = "max_client_jobs"
-	FullClientMB  Reason = "max_client_mb"
-	FullScheduled Reason = "max_scheduled"
-	FullQueues    Reason = "max_queues"
-	FullUnique    Reason = "max_unique"
+	Done             Reason = "done"
+	Expired          Reason = "expired"           // its time was over before it started
+	DeadlinePassed   Reason = "time-over"         // its time was over while it ran
+	Discarded        Reason = "discarded"         // it failed, and its retry is -1
+	RetriesExhausted Reason = "retries-exhausted" // it failed as often as its retry allows
+	MayHaveRun       Reason = "may-have-run"      // its class forbids a second run
+	RetriesFull      Reason = "retries-full"      // the set of retries had no room
+	ByOperator       Reason = "operator"          // killed or discarded by MUTATE
+	QueueRemoved     Reason = "queue-removed"
+	Flushed          Reason = "flushed"
+	ShutDown         Reason = "shut-down"
+
+	LimitHeldJobs    Reason = "max_held_jobs"
+	LimitHeldBytes   Reason = "max_held_mb"
+	LimitQueueJobs   Reason = "max_queue_jobs"
+	LimitClientJobs  Reason = "max_client_jobs"
+	LimitClientBytes Reason = "max_client_mb"
+	LimitScheduled   Reason = "max_scheduled"
+	LimitQueues      Reason = "max_queues"
+	LimitUniqueLocks Reason = "max_unique"
 )
 
 // Settings are given once. All bounds are above 0; sizes are in bytes.
 type Settings struct {
-	Repeatable []bool // by class: what may have run may run again
-	Reserve    Time   // of a job that names none
-
-	MaxHeld, MaxHeldBytes     int
-	MaxQueue                  int
-	MaxClient, MaxClientBytes int
-	MaxScheduled, MaxRetries  int
-	MaxQueues                 int
-	MaxDead, MaxDeadBytes     int
-	MaxEnded, MaxEndedBytes   int
-	TableWindow               int // jobs of a table queue that are with the table workers at once
+	IsRepeatable       []bool // by class: what may have run may run again
+	DefaultReservation Time   // of a job that names none
+
+	MaxHeldJobs, MaxHeldBytes     int
+	MaxQueueJobs                  int
+	MaxClientJobs, MaxClientBytes int
+	MaxScheduled, MaxRetries      int
+	MaxQueues                     int
+	MaxDead, MaxDeadBytes         int
+	MaxEnded, MaxEndedBytes       int
+	TableWindow                   int // jobs of a table queue that are with the table workers at once
 }
 
 // Priorities of a job within its queue; the highest comes first.
 const (
-	LowestPriority  = 1
-	UsualPriority   = 5
-	HighestPriority = 9
+	MinPriority     = 1
+	DefaultPriority = 5
+	MaxPriority     = 9
 )
 
 // UsualRetry is the number of retries of a job that names none.
-const UsualRetry = 25
+const DefaultRetries = 25
 
 // Job is a job of the host's making. The fields of the first part are set before Push and not changed. A hundred
 // thousand of them are held at once, so what few jobs have lies behind pointers.
 type Job struct {
-	ID, Type, Queue string
-	Client          string
-	Payload         string // as it was pushed; let go at an end that is not dead
-	ArgsAt, ArgsLen int32  // where its args stand in it
-	Class           int32
-	Priority        int32 // 1 to 9
-	Retry           int32 // retries after the first failure; 0: dead at once, -1: discarded at once
-	Size            int32 // bytes that it takes
-	At              Time  // not before; 0: now
-	Left            Time  // its pusher waits for so long, from the PUSH or from At; 0: for ever
-	*Options              // never nil from Push on, and perhaps shared
-
-	State    State
-	open     bool  // it has a request in the core
-	ran      bool  // a try may have run
-	loose    bool  // let in for the table workers, or its FETCH has gone
-	Failures int32 // tries that may have run and failed
-	Reason   Reason
-	Failure  *Failure  // the last
-	Since    Time      // in this state
-	Result   string    // of Served; set by the host before Ended
-	Worker   string    // that holds it, while working
-	Progress *Progress // as its worker told; nil: it has not
-
-	deadline   Time // its pusher has gone by then; 0: never
-	cover      *Ask // the FETCH for which it was let in
-	over, wake *timer
-	home       *list
-	prev, next *Job
-	order      uint64 // in its set
-	lock       *lock
+	ID, Type, Queue     string
+	Client              string
+	Payload             string // as it was pushed; let go at an end that is not dead
+	ArgsOffset, ArgsLen int32  // where its args stand in it
+	Class               int32
+	Priority            int32 // 1 to 9
+	Retry               int32 // retries after the first failure; 0: dead at once, -1: discarded at once
+	Size                int32 // bytes that it takes
+	NotBefore           Time  // not before; 0: now
+	TimeLeft            Time  // its pusher waits for so long, from the PUSH or from At; 0: for ever
+	*Options                  // never nil from Push on, and perhaps shared
+
+	State         State
+	isOpen        bool  // it has a request in the core
+	mayHaveRun    bool  // a try may have run
+	countsAsTable bool  // let in for the table workers, or its FETCH has gone
+	Failures      int32 // tries that may have run and failed
+	Reason        Reason
+	Failure       *Failure  // the last
+	StateSince    Time      // in this state
+	Result        string    // of Served; set by the host before Ended
+	Worker        string    // that holds it, while working
+	Progress      *Progress // as its worker told; nil: it has not
+
+	deadline               Time   // its pusher has gone by then; 0: never
+	fetch                  *Fetch // the FETCH for which it was let in
+	expiryTimer, stepTimer *timer
+	list                   *list
+	prev, next             *Job
+	seq                    uint64 // in its set
+	lock                   *lock
 }
 
 // Options are what few jobs ask for.
 type Options struct {
-	Key         string
-	Tenant      int32 // whose share it counts against, numbered from 1; 0: nobody's
-	Slots       float64
-	Hint        Time // the work that its pusher expects; 0: it says nothing
-	Reserve     Time // for which a worker may hold it; 0: the usual
-	ExpiresAt   Time // it must have started by then; 0: never
-	UniqueFor   Time // 0: not unique
-	UntilStart  bool // it is unique until its start, else until it was served
-	Fingerprint [32]byte
+	Key              string
+	Tenant           int32 // whose share it counts against, numbered from 1; 0: nobody's
+	Slots            float64
+	Hint             Time // the work that its pusher expects; 0: it says nothing
+	Reservation      Time // for which a worker may hold it; 0: the usual
+	ExpiresAt        Time // it must have started by then; 0: never
+	UniqueFor        Time // 0: not unique
+	UniqueUntilStart bool // it is unique until its start, else until it was served
+	Fingerprint      [32]byte
 }
 
 var noOptions Options
@@ -172,52 +172,52 @@
 
 // Bounds of a Failure's texts, in bytes and lines.
 const (
-	LongestMessage = 1000
-	LongestType    = 100
-	MostBacktrace  = 30
-	LongestLine    = 300
+	MaxMessageBytes       = 1000
+	MaxTypeBytes          = 100
+	MaxBacktraceLines     = 30
+	MaxBacktraceLineBytes = 300
 )
 
 // Cut keeps a failure within its bounds.
-func (f *Failure) Cut() *Failure {
+func (f *Failure) Truncate() *Failure {
 	cut := func(s string, most int) string { return s[:min(len(s), most)] }
-	f.Type, f.Message = cut(f.Type, LongestType), cut(f.Message, LongestMessage)
-	f.Backtrace = f.Backtrace[:min(len(f.Backtrace), MostBacktrace)]
+	f.Type, f.Message = cut(f.Type, MaxTypeBytes), cut(f.Message, MaxMessageBytes)
+	f.Backtrace = f.Backtrace[:min(len(f.Backtrace), MaxBacktraceLines)]
 	for i, line := range f.Backtrace {
-		f.Backtrace[i] = cut(line, LongestLine)
+		f.Backtrace[i] = cut(line, MaxBacktraceLineBytes)
 	}
 	return f
 }
 
 // Verdict is the answer to a PUSH.
-type Verdict struct {
-	Taken  bool
-	Known  *Job   // the job that has this id already
-	Unique bool   // another job with the same fingerprint holds the lock
-	Full   Reason // the bound that was reached, or ShutDown
-	After  Time   // when to come back, where Full
+type PushResult struct {
+	Accepted   bool
+	Existing   *Job   // the job that has this id already
+	NotUnique  bool   // another job with the same fingerprint holds the lock
+	Rejected   Reason // the bound that was reached, or ShutDown
+	RetryAfter Time   // when to come back, where Full
 }
 
 // End is how a request in the core ended.
-type End uint8
+type Outcome uint8
 
 // The ends.
 const (
-	EndServed  End = iota
-	EndRefused     // it surely never ran
-	EndFailed      // it may have run
+	OutcomeServed  Outcome = iota
+	OutcomeRefused         // it surely never ran
+	OutcomeFailed          // it may have run
 )
 
 // Actions is what a Machine asks of its host.
 type Actions interface {
 	// Open opens a request in the core for the job. worker is the one that asks for work; empty: none does.
-	Open(j *Job, worker string)
+	OpenRequest(j *Job, worker string)
 	// Withdraw ends the job's request; the machine has ended the job, and nothing more is reported of it.
-	Withdraw(j *Job)
+	CancelRequest(j *Job)
 	// Expire ends the try of a job whose reservation ran out, as timed out. Ended follows.
-	Expire(j *Job)
+	ExpireReservation(j *Job)
 	// Ended tells of a job that has come to a final state.
-	Ended(j *Job)
+	JobEnded(j *Job)
 	// Mutated tells that a mutation is done.
-	Mutated(token uint64, m Mutation)
+	MutationDone(token uint64, m Mutation)
 }
--- a/internal/jobs/end.go
+++ b/internal/jobs/end.go
@@ -4,105 +4,105 @@
 
 // Ended tells how the job's request in the core ended. after is when the core wants to be asked again, of a refusal;
 // f what was told of a failure, which may be nil.
-func (m *Machine) Ended(now Time, j *Job, end End, after Time, f *Failure) {
-	if !j.open {
+func (m *Machine) RequestEnded(now Time, j *Job, end Outcome, after Time, f *Failure) {
+	if !j.isOpen {
 		return
 	}
 	q := m.queues[j.Queue]
-	asked, loose := m.shut(j)
+	asked, loose := m.closeRequest(j)
 	switch over := j.deadline > 0 && now >= j.deadline; {
-	case end == EndServed:
+	case end == OutcomeServed:
 		m.finish(now, j, Served, Done)
 		if loose {
-			q.window = min(q.window+1, m.set.TableWindow)
+			q.tableWindow = min(q.tableWindow+1, m.settings.TableWindow)
 		}
-	case end == EndFailed:
-		m.failed(now, j, f)
+	case end == OutcomeFailed:
+		m.runFailed(now, j, f)
 	case m.draining:
-		m.finish(now, j, j.unrun(), ShutDown)
+		m.finish(now, j, j.unrunState(), ShutDown)
 	case over || j.ExpiresAt > 0 && now >= j.ExpiresAt:
-		m.finish(now, j, j.unrun(), Expired)
+		m.finish(now, j, j.unrunState(), Expired)
 	default:
 		// It surely never ran, so it stands first in its queue again. It is not let in again at once: whoever
 		// turned it away would do so again.
-		m.armEnd(j)
-		j.State, j.Since = Enqueued, now
+		m.armExpiry(j)
+		j.State, j.StateSince = Enqueued, now
 		m.enqueued++
 		q.addFirst(j)
-		q.later = now + min(max(after, refusedWait), Second)
-		m.timers.set(&q.wake, q.later)
+		q.notBefore = now + min(max(after, minRefusalDelay), Second)
+		m.timers.set(&q.resumeTimer, q.notBefore)
 		if loose {
-			q.window = max(1, q.window/2)
+			q.tableWindow = max(1, q.tableWindow/2)
 		}
 	}
 	if asked != nil {
-		m.serve(now, asked)
+		m.matchFetch(now, asked)
 	}
-	if q.table {
-		m.letIn(now, q)
+	if q.usesTableWorkers {
+		m.openRequests(now, q)
 	}
 }
 
 // refusedWait is the least time for which a queue lets nothing in after the core refused one of its jobs.
-const refusedWait = 10 * Millisecond
+const minRefusalDelay = 10 * Millisecond
 
 // unrun is the final state of a job of which no try runs.
-func (j *Job) unrun() State {
-	if j.ran {
+func (j *Job) unrunState() State {
+	if j.mayHaveRun {
 		return Failed
 	}
 	return Refused
 }
 
 // shut takes the job's request out of the counts.
-func (m *Machine) shut(j *Job) (asked *Ask, loose bool) {
+func (m *Machine) closeRequest(j *Job) (asked *Fetch, loose bool) {
 	q := m.queues[j.Queue]
-	if j.open = false; j.State != Working {
-		q.open--
+	if j.isOpen = false; j.State != Working {
+		q.openCount--
 		m.enqueued--
 	}
-	j.leave()
-	if loose = j.loose; loose {
-		j.loose = false
-		q.loose--
+	j.unlink()
+	if loose = j.countsAsTable; loose {
+		j.countsAsTable = false
+		q.tableOpen--
 	}
-	if asked = j.cover; asked != nil {
-		j.cover, asked.cover = nil, nil
+	if asked = j.fetch; asked != nil {
+		j.fetch, asked.job = nil, nil
 	}
-	m.wakeAt(j, 0)
+	m.setNextStep(j, 0)
 	j.Worker = ""
 	return asked, loose
 }
 
 // failed decides on a try that may have run: only where the class permits it and the job asks for it, there
 // is another.
-func (m *Machine) failed(now Time, j *Job, f *Failure) {
-	m.totals.Failures++
-	j.ran = true
+func (m *Machine) runFailed(now Time, j *Job, f *Failure) {
+	m.totals.FailedRuns++
+	j.mayHaveRun = true
 	j.Failures++
 	if f == nil {
 		f = &Failure{Type: "Lost", Message: "the try ended without a report"}
 	}
 	f.At = now
-	j.Failure = f.Cut()
+	j.Failure = f.Truncate()
 	switch {
 	case j.deadline > 0 && now >= j.deadline:
-		m.finish(now, j, Failed, TimeOver)
+		m.finish(now, j, Failed, DeadlinePassed)
 	case j.Retry < 0:
 		m.finish(now, j, Failed, Discarded)
-	case !m.set.Repeatable[j.Class]:
+	case !m.settings.IsRepeatable[j.Class]:
 		m.finish(now, j, Dead, MayHaveRun)
 	case m.draining:
 		m.finish(now, j, Failed, ShutDown)
 	case j.Failures > j.Retry:
-		m.finish(now, j, Dead, Exhausted)
-	case m.retries.count >= m.set.MaxRetries:
+		m.finish(now, j, Dead, RetriesExhausted)
+	case m.retries.count >= m.settings.MaxRetries:
 		m.finish(now, j, Dead, RetriesFull)
 	default:
-		j.State, j.Since = Retrying, now
+		j.State, j.StateSince = Retrying, now
 		m.retries.add(j)
-		m.armEnd(j)
-		m.wakeAt(j, now+m.backoff(int(j.Failures)-1))
+		m.armExpiry(j)
+		m.setNextStep(j, now+m.backoff(int(j.Failures)-1))
 	}
 }
 
@@ -114,30 +114,30 @@
 }
 
 // giveUp ends a job that no worker holds.
-func (m *Machine) giveUp(now Time, j *Job, why Reason) { m.drop(now, j, j.unrun(), why) }
+func (m *Machine) endUnheld(now Time, j *Job, why Reason) { m.terminate(now, j, j.unrunState(), why) }
 
 // drop takes a job that no worker holds out of wherever it is, and ends it.
-func (m *Machine) drop(now Time, j *Job, state State, why Reason) {
-	var asked *Ask
+func (m *Machine) terminate(now Time, j *Job, state State, why Reason) {
+	var asked *Fetch
 	switch {
-	case j.State.Final():
+	case j.State.IsFinal():
 		return
-	case j.open:
+	case j.isOpen:
 		working := j.State == Working
-		if asked, _ = m.shut(j); working {
-			j.ran, state = true, Failed
+		if asked, _ = m.closeRequest(j); working {
+			j.mayHaveRun, state = true, Failed
 		}
-		m.act.Withdraw(j)
+		m.actions.CancelRequest(j)
 	case j.State == Enqueued:
-		j.leave()
-		m.queues[j.Queue].count--
+		j.unlink()
+		m.queues[j.Queue].backlog--
 		m.enqueued--
 	default:
-		j.leave()
+		j.unlink()
 	}
 	m.finish(now, j, state, why)
 	if asked != nil {
-		m.serve(now, asked)
+		m.matchFetch(now, asked)
 	}
 }
 
@@ -145,20 +145,20 @@
 func (m *Machine) finish(now Time, j *Job, state State, why Reason) {
 	m.held--
 	m.heldBytes -= int(j.Size)
-	m.queues[j.Queue].held--
+	m.queues[j.Queue].heldCount--
 	c := m.clients[j.Client]
 	c.bytes -= int(j.Size)
 	if c.jobs--; c.jobs == 0 {
 		delete(m.clients, j.Client)
 	}
-	m.endAt(j, 0)
-	m.wakeAt(j, 0)
+	m.setExpiry(j, 0)
+	m.setNextStep(j, 0)
 	if state == Served || state == Refused {
-		m.unguard(j)
+		m.releaseLock(j)
 	}
-	m.gap += (float64(min(now-m.endedAt, 60*Second)) - m.gap) / 32
-	m.endedAt = now
-	j.State, j.Reason, j.Since = state, why, now
+	m.meanEndInterval += (float64(min(now-m.lastEndAt, 60*Second)) - m.meanEndInterval) / 32
+	m.lastEndAt = now
+	j.State, j.Reason, j.StateSince = state, why, now
 	switch state {
 	case Served:
 		m.totals.Served++
@@ -169,34 +169,34 @@
 	case Dead:
 		m.totals.Dead++
 	}
-	m.act.Ended(j)
+	m.actions.JobEnded(j)
 	if state == Dead {
 		m.dead.add(j)
-		m.trim(&m.dead, m.set.MaxDead, m.set.MaxDeadBytes, &m.totals.DeadForgotten)
+		m.evictOldest(&m.dead, m.settings.MaxDead, m.settings.MaxDeadBytes, &m.totals.DeadEvicted)
 		return
 	}
 	j.Payload = ""
 	// The names are parts of the payload, which is not kept for them.
 	j.ID, j.Type, j.Queue = strings.Clone(j.ID), strings.Clone(j.Type), strings.Clone(j.Queue)
-	j.Size = int32(endedSize + len(j.ID) + len(j.Type) + len(j.Result))
+	j.Size = int32(endedOverheadBytes + len(j.ID) + len(j.Type) + len(j.Result))
 	m.ended.add(j)
-	m.trim(&m.ended, m.set.MaxEnded, m.set.MaxEndedBytes, &m.totals.EndedForgotten)
+	m.evictOldest(&m.ended, m.settings.MaxEnded, m.settings.MaxEndedBytes, &m.totals.EndedEvicted)
 }
 
 // endedSize is what is reckoned for an ended job beyond its texts.
-const endedSize = 512
+const endedOverheadBytes = 512
 
 // trim forgets the oldest of a set beyond its bounds, and counts them.
-func (m *Machine) trim(l *list, most, bytes int, forgotten *uint64) {
+func (m *Machine) evictOldest(l *list, most, bytes int, forgotten *uint64) {
 	for l.count > most || l.bytes > bytes && l.count > 0 {
-		m.forget(l.first)
+		m.remove(l.first)
 		*forgotten++
 	}
 }
 
 // forget lets go of an ended or dead job.
-func (m *Machine) forget(j *Job) {
-	j.leave()
+func (m *Machine) remove(j *Job) {
+	j.unlink()
 	if m.jobs[j.ID] == j {
 		delete(m.jobs, j.ID)
 	}
@@ -209,61 +209,61 @@
 // as it takes. What a worker holds is waited for.
 func (m *Machine) Drain() {
 	m.draining = true
-	m.clearing = ShutDown
+	m.clearReason = ShutDown
 }
 
 // Clear ends all that is held, with workers too, and forgets what is dead or ended. Whoever still runs a job
 // reports to nobody.
-func (m *Machine) Clear() {
+func (m *Machine) Flush() {
 	if !m.draining {
-		m.clearing = Flushed
+		m.clearReason = Flushed
 	}
 }
 
 // Clearing tells whether a Clear or Drain is not done yet.
-func (m *Machine) Clearing() bool { return m.clearing != "" }
+func (m *Machine) IsClearing() bool { return m.clearReason != "" }
 
 // clear does a part of what Drain or Clear asked for.
-func (m *Machine) clear(now Time, budget int) (left int) {
-	if m.clearing == "" {
+func (m *Machine) clearSome(now Time, budget int) (left int) {
+	if m.clearReason == "" {
 		return budget
 	}
 	for ; budget > 0; budget-- {
-		j := m.toClear()
+		j := m.nextToClear()
 		if j == nil {
-			m.clearing = ""
-			for _, q := range m.order {
+			m.clearReason = ""
+			for _, q := range m.queueOrder {
 				q.paused = q.paused && m.draining
 			}
 			return budget
 		}
-		if j.State.Final() {
-			m.forget(j)
+		if j.State.IsFinal() {
+			m.remove(j)
 		} else {
-			m.giveUp(now, j, m.clearing)
+			m.endUnheld(now, j, m.clearReason)
 		}
 	}
 	return 0
 }
 
-func (m *Machine) toClear() *Job {
+func (m *Machine) nextToClear() *Job {
 	for _, l := range []*list{&m.scheduled, &m.retries} {
 		if l.first != nil {
 			return l.first
 		}
 	}
-	for _, q := range m.order {
+	for _, q := range m.queueOrder {
 		if j := q.head(); j != nil {
 			return j
 		}
-		if q.adrift.first != nil {
-			return q.adrift.first
+		if q.unbound.first != nil {
+			return q.unbound.first
 		}
-		if q.covered.first != nil {
-			return q.covered.first
+		if q.bound.first != nil {
+			return q.bound.first
 		}
 	}
-	if m.clearing != Flushed {
+	if m.clearReason != Flushed {
 		return nil
 	}
 	for _, l := range []*list{&m.working, &m.dead, &m.ended} {
--- a/internal/jobs/machine_test.go
+++ b/internal/jobs/machine_test.go
@@ -20,18 +20,18 @@
 	mutated   []Mutation
 }
 
-func (h *host) Open(j *Job, _ string) {
+func (h *host) OpenRequest(j *Job, _ string) {
 	h.opened = append(h.opened, j.ID)
 	h.open[j.ID] = j
 }
-func (h *host) Withdraw(j *Job)               { h.withdrawn = append(h.withdrawn, j.ID) }
-func (h *host) Expire(j *Job)                 { h.expired = append(h.expired, j) }
-func (h *host) Ended(*Job)                    {}
-func (h *host) Mutated(_ uint64, mu Mutation) { h.mutated = append(h.mutated, mu) }
+func (h *host) CancelRequest(j *Job)               { h.withdrawn = append(h.withdrawn, j.ID) }
+func (h *host) ExpireReservation(j *Job)           { h.expired = append(h.expired, j) }
+func (h *host) JobEnded(*Job)                      {}
+func (h *host) MutationDone(_ uint64, mu Mutation) { h.mutated = append(h.mutated, mu) }
 
 func newHost(change func(*Settings)) *host {
 	h := &host{now: 1 << 42, open: map[string]*Job{}}
-	s := Settings{Repeatable: []bool{true, false}, Reserve: 1800 * Second, MaxHeld: 1000, MaxHeldBytes: 1 << 20, MaxQueue: 1000, MaxClient: 1000,
+	s := Settings{IsRepeatable: []bool{true, false}, DefaultReservation: 1800 * Second, MaxHeldJobs: 1000, MaxHeldBytes: 1 << 20, MaxQueueJobs: 1000, MaxClientJobs: 1000,
 		MaxClientBytes: 1 << 20, MaxScheduled: 1000, MaxRetries: 1000, MaxQueues: 16, MaxDead: 1000, MaxDeadBytes: 1 << 20, MaxEnded: 100,
 		MaxEndedBytes: 1 << 20, TableWindow: 4}
 	if change != nil {
@@ -41,8 +41,8 @@
 	return h
 }
 
-func (h *host) push(id string, change func(*Job)) Verdict {
-	j := &Job{ID: id, Type: "t", Queue: "a", Priority: UsualPriority, Retry: UsualRetry, Size: 100, Client: "c", Options: &Options{}}
+func (h *host) push(id string, change func(*Job)) PushResult {
+	j := &Job{ID: id, Type: "t", Queue: "a", Priority: DefaultPriority, Retry: DefaultRetries, Size: 100, Client: "c", Options: &Options{}}
 	if change != nil {
 		change(j)
 	}
@@ -51,21 +51,21 @@
 
 // fetch has a FETCH answered with the job that was let in for it.
 func (h *host) fetch(queues ...string) *Job {
-	a := &Ask{}
+	a := &Fetch{}
 	n := len(h.opened)
-	h.Wait(h.now, a, "w", queues)
+	h.AddFetch(h.now, a, "w", queues)
 	if len(h.opened) == n {
-		h.Stop(a)
+		h.CancelFetch(a)
 		return nil
 	}
 	j := h.open[h.opened[n]]
-	h.Given(h.now, j, "w", a)
+	h.Started(h.now, j, "w", a)
 	return j
 }
 
 func (h *host) pass(by Time) {
 	h.now += by
-	for h.Due(h.now, 100) {
+	for h.ProcessDue(h.now, 100) {
 	}
 }
 
@@ -101,13 +101,13 @@
 		state        State
 		why          Reason
 	}{
-		{0, 25, Retrying, ""}, {0, 0, Dead, Exhausted}, {0, -1, Failed, Discarded},
+		{0, 25, Retrying, ""}, {0, 0, Dead, RetriesExhausted}, {0, -1, Failed, Discarded},
 		{1, 25, Dead, MayHaveRun}, {1, -1, Failed, Discarded},
 	} {
 		h := newHost(nil)
 		h.push("job", func(j *Job) { j.Class, j.Retry = int32(c.class), int32(c.retry) })
 		j := h.fetch("a")
-		h.Machine.Ended(h.now, j, EndFailed, 0, &Failure{Type: "E", Message: "m"})
+		h.Machine.RequestEnded(h.now, j, OutcomeFailed, 0, &Failure{Type: "E", Message: "m"})
 		assert.Equal(t, []any{c.state, c.why}, []any{j.State, j.Reason})
 	}
 }
@@ -117,25 +117,25 @@
 	h.push("job", func(j *Job) { j.Retry = 2 })
 	for n, least := range []Time{15, 16} {
 		j := h.fetch("a")
-		h.Machine.Ended(h.now, j, EndFailed, 0, nil)
-		at, ok := h.Next(h.now)
+		h.Machine.RequestEnded(h.now, j, OutcomeFailed, 0, nil)
+		at, ok := h.NextDue(h.now)
 		require.True(t, ok)
 		assert.GreaterOrEqual(t, at-h.now, least*Second)
 		assert.Less(t, at-h.now, (least+30*Time(n+1))*Second)
 		h.pass(at - h.now)
 	}
 	j := h.fetch("a")
-	h.Machine.Ended(h.now, j, EndFailed, 0, nil)
-	assert.Equal(t, []any{Dead, Exhausted, int32(3)}, []any{j.State, j.Reason, j.Failures})
+	h.Machine.RequestEnded(h.now, j, OutcomeFailed, 0, nil)
+	assert.Equal(t, []any{Dead, RetriesExhausted, int32(3)}, []any{j.State, j.Reason, j.Failures})
 }
 
 func TestARefusedTryKeepsItsPlaceAndIsNotAFailure(t *testing.T) {
 	h := newHost(nil)
 	h.push("one", func(j *Job) { j.Class = 1 })
 	h.push("two", nil)
-	a := &Ask{}
-	h.Wait(h.now, a, "w", []string{"a"})
-	h.Machine.Ended(h.now, h.open["one"], EndRefused, 0, nil)
+	a := &Fetch{}
+	h.AddFetch(h.now, a, "w", []string{"a"})
+	h.Machine.RequestEnded(h.now, h.open["one"], OutcomeRefused, 0, nil)
 	assert.Equal(t, []string{"one"}, h.opened, "not let in again at once")
 	h.pass(Second)
 	assert.Equal(t, []string{"one", "one"}, h.opened)
@@ -144,22 +144,22 @@
 
 func TestReservationAndLateEnds(t *testing.T) {
 	h := newHost(nil)
-	h.push("job", func(j *Job) { j.Reserve = 60 * Second })
+	h.push("job", func(j *Job) { j.Reservation = 60 * Second })
 	j := h.fetch("a")
 	h.Extend(j, h.now+90*Second)
 	h.pass(80 * Second)
 	assert.Empty(t, h.expired)
 	h.pass(11 * Second)
 	require.Len(t, h.expired, 1)
-	h.Machine.Ended(h.now, j, EndFailed, 0, nil)
-	h.Machine.Ended(h.now, j, EndServed, 0, nil)
+	h.Machine.RequestEnded(h.now, j, OutcomeFailed, 0, nil)
+	h.Machine.RequestEnded(h.now, j, OutcomeServed, 0, nil)
 	assert.Equal(t, Retrying, j.State, "the late end changes nothing")
 }
 
 func TestTimes(t *testing.T) {
 	h := newHost(nil)
 	at := h.now + 10*Second
-	h.push("later", func(j *Job) { j.At, j.Left = at, 3*Second })
+	h.push("later", func(j *Job) { j.NotBefore, j.TimeLeft = at, 3*Second })
 	h.push("stale", func(j *Job) { j.ExpiresAt = h.now + Second })
 	assert.Equal(t, "stale", h.fetch("a").ID)
 	h.push("stale-2", func(j *Job) { j.ExpiresAt = h.now + Second })
@@ -176,49 +176,49 @@
 func TestUniqueJobs(t *testing.T) {
 	h := newHost(nil)
 	unique := func(start bool) func(*Job) {
-		return func(j *Job) { j.UniqueFor, j.UntilStart, j.Fingerprint[0] = 60*Second, start, 7 }
+		return func(j *Job) { j.UniqueFor, j.UniqueUntilStart, j.Fingerprint[0] = 60*Second, start, 7 }
 	}
-	require.True(t, h.push("one", unique(false)).Taken)
-	assert.True(t, h.push("two", unique(false)).Unique)
+	require.True(t, h.push("one", unique(false)).Accepted)
+	assert.True(t, h.push("two", unique(false)).NotUnique)
 	j := h.fetch("a")
-	assert.True(t, h.push("two", unique(false)).Unique, "until it was served")
-	h.Machine.Ended(h.now, j, EndServed, 0, nil)
-	require.True(t, h.push("two", unique(true)).Taken)
+	assert.True(t, h.push("two", unique(false)).NotUnique, "until it was served")
+	h.Machine.RequestEnded(h.now, j, OutcomeServed, 0, nil)
+	require.True(t, h.push("two", unique(true)).Accepted)
 	h.fetch("a")
-	require.True(t, h.push("three", unique(false)).Taken, "until its start")
+	require.True(t, h.push("three", unique(false)).Accepted, "until its start")
 	h.pass(61 * Second)
-	assert.True(t, h.push("four", unique(false)).Taken, "its time is over")
+	assert.True(t, h.push("four", unique(false)).Accepted, "its time is over")
 }
 
 func TestFullSaysWhichBoundAndWhenToReturn(t *testing.T) {
 	for want, change := range map[Reason]func(*Settings){
-		FullHeld: func(s *Settings) { s.MaxHeld = 2 }, FullBytes: func(s *Settings) { s.MaxHeldBytes = 250 },
-		FullQueue: func(s *Settings) { s.MaxQueue = 2 }, FullClient: func(s *Settings) { s.MaxClient = 2 },
-		FullClientMB: func(s *Settings) { s.MaxClientBytes = 250 }, FullScheduled: func(s *Settings) { s.MaxScheduled = 2 },
-		FullUnique: func(s *Settings) { s.MaxHeld = 1 }, FullQueues: func(s *Settings) { s.MaxQueues = 1 },
+		LimitHeldJobs: func(s *Settings) { s.MaxHeldJobs = 2 }, LimitHeldBytes: func(s *Settings) { s.MaxHeldBytes = 250 },
+		LimitQueueJobs: func(s *Settings) { s.MaxQueueJobs = 2 }, LimitClientJobs: func(s *Settings) { s.MaxClientJobs = 2 },
+		LimitClientBytes: func(s *Settings) { s.MaxClientBytes = 250 }, LimitScheduled: func(s *Settings) { s.MaxScheduled = 2 },
+		LimitUniqueLocks: func(s *Settings) { s.MaxHeldJobs = 1 }, LimitQueues: func(s *Settings) { s.MaxQueues = 1 },
 	} {
 		h := newHost(change)
-		v := Verdict{}
+		v := PushResult{}
 		for i := 0; i < 3; i++ {
 			v = h.push(fmt.Sprint(i), func(j *Job) {
 				switch want {
-				case FullScheduled:
-					j.At = h.now + Second
-				case FullUnique:
+				case LimitScheduled:
+					j.NotBefore = h.now + Second
+				case LimitUniqueLocks:
 					j.UniqueFor, j.Fingerprint[0] = Second, byte(i)
-				case FullQueues:
+				case LimitQueues:
 					j.Queue = fmt.Sprint("q", i)
 				}
 			})
-			if want == FullUnique && v.Taken { // the locks outlive their jobs
+			if want == LimitUniqueLocks && v.Accepted { // the locks outlive their jobs
 				j := h.fetch("a")
-				h.Machine.Ended(h.now, j, EndFailed, 0, nil)
-				h.Machine.drop(h.now, j, Failed, ByOperator)
+				h.Machine.RequestEnded(h.now, j, OutcomeFailed, 0, nil)
+				h.Machine.terminate(h.now, j, Failed, ByOperator)
 			}
 		}
-		assert.Equal(t, want, v.Full)
-		assert.GreaterOrEqual(t, v.After, 100*Millisecond)
-		assert.NotZero(t, h.Figures().Totals.Turned[want])
+		assert.Equal(t, want, v.Rejected)
+		assert.GreaterOrEqual(t, v.RetryAfter, 100*Millisecond)
+		assert.NotZero(t, h.Stats().Totals.RejectedByReason[want])
 	}
 }
 
@@ -230,40 +230,40 @@
 		h.push(fmt.Sprint("t-", i), func(j *Job) { j.Queue = "tables" })
 	}
 	assert.Empty(t, h.opened)
-	h.Tables(h.now, true)
+	h.SetTableWorkersReady(h.now, true)
 	assert.Len(t, h.opened, 4, "the window of the table workers")
-	asks := []*Ask{{}, {}}
+	asks := []*Fetch{{}, {}}
 	for _, a := range asks {
-		h.Wait(h.now, a, "w", []string{"a"})
+		h.AddFetch(h.now, a, "w", []string{"a"})
 	}
 	assert.Len(t, h.opened, 6)
-	h.Given(h.now, h.open["a-0"], "w", asks[1])
+	h.Started(h.now, h.open["a-0"], "w", asks[1])
 	assert.Len(t, h.opened, 6, "the other FETCH now stands for the other job")
-	h.Machine.Ended(h.now, h.open["t-0"], EndRefused, Second, nil)
+	h.Machine.RequestEnded(h.now, h.open["t-0"], OutcomeRefused, Second, nil)
 	h.pass(2 * Second)
-	assert.LessOrEqual(t, h.queues["tables"].loose, 4)
-	assert.Equal(t, 2, h.queues["tables"].window, "half after a refusal")
+	assert.LessOrEqual(t, h.queues["tables"].tableOpen, 4)
+	assert.Equal(t, 2, h.queues["tables"].tableWindow, "half after a refusal")
 }
 
 func TestMutations(t *testing.T) {
 	h := newHost(nil)
 	for i := range 6 {
 		h.push(fmt.Sprint("job-", i), func(j *Job) { j.Class, j.Retry = int32(i%2), 0 })
-		h.Machine.Ended(h.now, h.fetch("a"), EndFailed, 0, nil)
+		h.Machine.RequestEnded(h.now, h.fetch("a"), OutcomeFailed, 0, nil)
 	}
-	require.Equal(t, 6, h.Figures().Dead)
+	require.Equal(t, 6, h.Stats().Dead)
 	h.Mutate(Mutation{Command: Requeue, Set: SetDead}, 1)
-	h.Due(h.now, 2)
+	h.ProcessDue(h.now, 2)
 	require.Empty(t, h.mutated, "a bounded part at a time")
 	h.pass(0)
 	require.Len(t, h.mutated, 1)
-	assert.Equal(t, []any{3, map[Reason]int{MayHaveRun: 3}}, []any{h.mutated[0].Changed, h.mutated[0].Barred})
-	assert.Equal(t, []int{3, 3}, []int{h.Figures().Enqueued, h.Figures().Dead}, "what must not run twice stays dead")
+	assert.Equal(t, []any{3, map[Reason]int{MayHaveRun: 3}}, []any{h.mutated[0].Changed, h.mutated[0].Rejected})
+	assert.Equal(t, []int{3, 3}, []int{h.Stats().Enqueued, h.Stats().Dead}, "what must not run twice stays dead")
 	h.Mutate(Mutation{Command: Discard, Set: SetDead, IDs: []string{"job-1", "none"}}, 2)
-	h.Mutate(Mutation{Command: Wipe, Set: SetDead, Match: func(j *Job) bool { return j.ID == "job-3" }}, 3)
+	h.Mutate(Mutation{Command: Clear, Set: SetDead, Matches: func(j *Job) bool { return j.ID == "job-3" }}, 3)
 	h.pass(0)
-	assert.Equal(t, []int{1, 1, 1}, []int{h.mutated[1].Changed, h.mutated[2].Changed, h.Figures().Dead})
-	h.push("later", func(j *Job) { j.At = h.now + Second })
+	assert.Equal(t, []int{1, 1, 1}, []int{h.mutated[1].Changed, h.mutated[2].Changed, h.Stats().Dead})
+	h.push("later", func(j *Job) { j.NotBefore = h.now + Second })
 	h.Mutate(Mutation{Command: Kill, Set: SetScheduled}, 4)
 	h.pass(0)
 	assert.Equal(t, []any{Dead, ByOperator}, []any{h.Find("later").State, h.Find("later").Reason})
@@ -276,12 +276,12 @@
 	h := newHost(func(s *Settings) { s.MaxDead, s.MaxEnded = 2, 3 })
 	for i := range 5 {
 		h.push(fmt.Sprint("d-", i), func(j *Job) { j.Class = 1 })
-		h.Machine.Ended(h.now, h.fetch("a"), EndFailed, 0, nil)
+		h.Machine.RequestEnded(h.now, h.fetch("a"), OutcomeFailed, 0, nil)
 		h.push(fmt.Sprint("e-", i), nil)
-		h.Machine.Ended(h.now, h.fetch("a"), EndServed, 0, nil)
+		h.Machine.RequestEnded(h.now, h.fetch("a"), OutcomeServed, 0, nil)
 	}
-	f := h.Figures()
-	assert.Equal(t, []any{2, 3, uint64(3), uint64(2)}, []any{f.Dead, f.Ended, f.Totals.DeadForgotten, f.Totals.EndedForgotten})
+	f := h.Stats()
+	assert.Equal(t, []any{2, 3, uint64(3), uint64(2)}, []any{f.Dead, f.Ended, f.Totals.DeadEvicted, f.Totals.EndedEvicted})
 	assert.Nil(t, h.Find("d-0"))
 	assert.NotNil(t, h.Find("d-4"))
 }
@@ -291,17 +291,17 @@
 	h.push("working", func(j *Job) { j.Class = 1 })
 	w := h.fetch("a")
 	h.push("open", nil)
-	h.Wait(h.now, &Ask{}, "w", []string{"a"})
+	h.AddFetch(h.now, &Fetch{}, "w", []string{"a"})
 	h.push("held", func(j *Job) { j.Queue = "b" })
-	h.push("later", func(j *Job) { j.At = h.now + Second })
+	h.push("later", func(j *Job) { j.NotBefore = h.now + Second })
 	h.Drain()
 	h.pass(0)
 	for _, id := range []string{"open", "held", "later"} {
 		assert.Equal(t, []any{Refused, ShutDown}, []any{h.Find(id).State, h.Find(id).Reason}, id)
 	}
 	assert.Equal(t, []string{"open"}, h.withdrawn)
-	assert.Equal(t, ShutDown, h.push("new", nil).Full)
-	h.Machine.Ended(h.now, w, EndServed, 0, nil)
+	assert.Equal(t, ShutDown, h.push("new", nil).Rejected)
+	h.Machine.RequestEnded(h.now, w, OutcomeServed, 0, nil)
 	assert.Equal(t, Served, w.State)
 }
 
@@ -310,23 +310,23 @@
 	for _, held := range []int{10, 1000, 100_000} {
 		b.Run(fmt.Sprint(held), func(b *testing.B) {
 			h := newHost(func(s *Settings) {
-				s.MaxHeld, s.MaxQueue, s.MaxClient, s.MaxHeldBytes, s.MaxClientBytes = 1<<20, 1<<20, 1<<20, 1<<30, 1<<30
+				s.MaxHeldJobs, s.MaxQueueJobs, s.MaxClientJobs, s.MaxHeldBytes, s.MaxClientBytes = 1<<20, 1<<20, 1<<20, 1<<30, 1<<30
 			})
 			for i := range held {
 				h.push(fmt.Sprint("held-", i), nil)
 			}
-			a := &Ask{}
+			a := &Fetch{}
 			queues := []string{"a"}
 			n := held
 			for b.Loop() {
 				h.push(fmt.Sprint("held-", n), nil)
 				n++
 				h.opened = h.opened[:0]
-				h.Wait(h.now, a, "w", queues)
+				h.AddFetch(h.now, a, "w", queues)
 				j := h.open[h.opened[0]]
 				delete(h.open, j.ID)
-				h.Given(h.now, j, "w", a)
-				h.Machine.Ended(h.now, j, EndServed, 0, nil)
+				h.Started(h.now, j, "w", a)
+				h.Machine.RequestEnded(h.now, j, OutcomeServed, 0, nil)
 			}
 		})
 	}
--- a/internal/jobs/mutate.go
+++ b/internal/jobs/mutate.go
@@ -18,26 +18,26 @@
 	Kill    Command = "kill"    // to the dead
 	Discard Command = "discard" // ended, or forgotten where dead
 	Requeue Command = "requeue" // enqueued now
-	Wipe    Command = "clear"   // discard all
+	Clear   Command = "clear"   // discard all
 )
 
 // Mutation is an operator's MUTATE, and what became of it.
 type Mutation struct {
-	Command Command
-	Set     Set
-	IDs     []string          // only these; nil: all
-	Match   func(j *Job) bool // only these; nil: all
-	Changed int               // jobs
-	Barred  map[Reason]int    // jobs that were to be requeued and could not be, by why
-	Example map[Reason]string // one id for each of these
+	Command         Command
+	Set             Set
+	IDs             []string          // only these; nil: all
+	Matches         func(j *Job) bool // only these; nil: all
+	Changed         int               // jobs
+	Rejected        map[Reason]int    // jobs that were to be requeued and could not be, by why
+	RejectedExample map[Reason]string // one id for each of these
 }
 
-type running struct {
+type runningMutation struct {
 	Mutation
-	token uint64
-	began bool
-	until uint64 // jobs that came into the set later are not looked at
-	next  int    // of IDs
+	token      uint64
+	hasStarted bool
+	lastSeq    uint64 // jobs that came into the set later are not looked at
+	nextID     int    // of IDs
 }
 
 // MaxMutations may be under way at once; one more is not taken.
@@ -49,12 +49,12 @@
 	if len(m.mutations) >= MaxMutations {
 		return false
 	}
-	mu.Barred, mu.Example = map[Reason]int{}, map[Reason]string{}
-	m.mutations = append(m.mutations, &running{Mutation: mu, token: token})
+	mu.Rejected, mu.RejectedExample = map[Reason]int{}, map[Reason]string{}
+	m.mutations = append(m.mutations, &runningMutation{Mutation: mu, token: token})
 	return true
 }
 
-func (m *Machine) setOf(s Set) *list {
+func (m *Machine) listOf(s Set) *list {
 	switch s {
 	case SetScheduled:
 		return &m.scheduled
@@ -65,22 +65,22 @@
 }
 
 // mutate does a part of the mutation at the head.
-func (m *Machine) mutate(now Time, budget int) {
+func (m *Machine) runMutations(now Time, budget int) {
 	for ; budget > 0 && len(m.mutations) > 0; budget-- {
 		r := m.mutations[0]
-		l := m.setOf(r.Set)
-		if !r.began {
-			r.began, r.until, l.cursor = true, l.order, l.first
+		l := m.listOf(r.Set)
+		if !r.hasStarted {
+			r.hasStarted, r.lastSeq, l.cursor = true, l.lastSeq, l.first
 		}
 		var j *Job
 		if r.IDs != nil {
-			for r.next < len(r.IDs) && j == nil {
-				if j = m.jobs[r.IDs[r.next]]; j != nil && j.home != l {
+			for r.nextID < len(r.IDs) && j == nil {
+				if j = m.jobs[r.IDs[r.nextID]]; j != nil && j.list != l {
 					j = nil
 				}
-				r.next++
+				r.nextID++
 			}
-		} else if j = l.cursor; j != nil && j.order > r.until {
+		} else if j = l.cursor; j != nil && j.seq > r.lastSeq {
 			j = nil
 		} else if j != nil {
 			l.cursor = j.next
@@ -88,31 +88,31 @@
 		if j == nil {
 			l.cursor = nil
 			m.mutations = m.mutations[1:]
-			m.act.Mutated(r.token, r.Mutation)
+			m.actions.MutationDone(r.token, r.Mutation)
 			continue
 		}
-		if r.Match == nil || r.Match(j) {
-			m.change(now, r, j)
+		if r.Matches == nil || r.Matches(j) {
+			m.apply(now, r, j)
 		}
 	}
 }
 
-func (m *Machine) change(now Time, r *running, j *Job) {
+func (m *Machine) apply(now Time, r *runningMutation, j *Job) {
 	switch {
 	case r.Command == Requeue:
 		if why := m.requeue(now, j); why != "" {
-			r.Barred[why]++
-			r.Example[why] = j.ID
+			r.Rejected[why]++
+			r.RejectedExample[why] = j.ID
 			return
 		}
 	case j.State == Dead && r.Command == Kill:
 		return
 	case j.State == Dead:
-		m.forget(j)
+		m.remove(j)
 	case r.Command == Kill:
-		m.drop(now, j, Dead, ByOperator)
+		m.terminate(now, j, Dead, ByOperator)
 	default:
-		m.giveUp(now, j, ByOperator)
+		m.endUnheld(now, j, ByOperator)
 	}
 	r.Changed++
 }
@@ -121,22 +121,22 @@
 // it run again: one that may have run and must not twice stays dead.
 func (m *Machine) requeue(now Time, j *Job) (barred Reason) {
 	if j.State == Dead {
-		if j.ran && !m.set.Repeatable[j.Class] {
+		if j.mayHaveRun && !m.settings.IsRepeatable[j.Class] {
 			return MayHaveRun
 		}
 		if j.ExpiresAt > 0 && now >= j.ExpiresAt {
 			return Expired
 		}
-		q, full := m.room(now, j)
+		q, full := m.checkLimits(now, j)
 		if full != "" {
 			return full
 		}
-		j.leave()
-		j.At, j.Failures, j.Reason = 0, 0, ""
-		m.take(now, j, q)
+		j.unlink()
+		j.NotBefore, j.Failures, j.Reason = 0, 0, ""
+		m.addHeld(now, j, q)
 	} else {
-		j.leave()
-		m.wakeAt(j, 0)
+		j.unlink()
+		m.setNextStep(j, 0)
 	}
 	m.enqueue(now, j)
 	return ""
--- a/internal/jobs/property_test.go
+++ b/internal/jobs/property_test.go
@@ -13,9 +13,9 @@
 	t       *rapid.T
 	m       *Machine
 	now     Time
-	open    map[*Job]bool // with a request in the core
-	given   map[*Job]*Ask // with a worker
-	asks    []*Ask
+	open    map[*Job]bool   // with a request in the core
+	given   map[*Job]*Fetch // with a worker
+	asks    []*Fetch
 	finals  map[*Job]int
 	lives   map[*Job]int
 	runs    map[*Job]int // tries that may have run
@@ -23,14 +23,14 @@
 	mutated int
 }
 
-func (w *world) Open(j *Job, worker string) {
+func (w *world) OpenRequest(j *Job, worker string) {
 	if w.open[j] {
 		w.t.Fatalf("%s is opened twice", j.ID)
 	}
 	if j.State != Enqueued {
 		w.t.Fatalf("%s is opened while %s", j.ID, j.State)
 	}
-	if w.runs[j] > 0 && !w.m.set.Repeatable[j.Class] {
+	if w.runs[j] > 0 && !w.m.settings.IsRepeatable[j.Class] {
 		w.t.Fatalf("%s may have run and must not again", j.ID)
 	}
 	if w.m.queues[j.Queue].paused {
@@ -39,7 +39,7 @@
 	w.open[j] = true
 }
 
-func (w *world) Withdraw(j *Job) {
+func (w *world) CancelRequest(j *Job) {
 	if !w.open[j] {
 		w.t.Fatalf("%s is withdrawn and not open", j.ID)
 	}
@@ -47,35 +47,35 @@
 	delete(w.given, j)
 }
 
-func (w *world) Expire(j *Job) {
+func (w *world) ExpireReservation(j *Job) {
 	if w.given[j] == nil {
 		w.t.Fatalf("the reservation of %s ran out, and nobody has it", j.ID)
 	}
-	w.end(j, EndFailed)
+	w.end(j, OutcomeFailed)
 }
 
-func (w *world) Ended(j *Job) {
+func (w *world) JobEnded(j *Job) {
 	w.finals[j]++
 	if j.State == Refused && w.runs[j] > 0 {
 		w.t.Fatalf("%s may have run and is said never to", j.ID)
 	}
 }
 
-func (w *world) Mutated(uint64, Mutation) { w.mutated++ }
+func (w *world) MutationDone(uint64, Mutation) { w.mutated++ }
 
 // end ends a request, as the core does, in an event of its own.
-func (w *world) end(j *Job, e End) {
+func (w *world) end(j *Job, e Outcome) {
 	delete(w.open, j)
 	delete(w.given, j)
-	w.m.Ended(w.now, j, e, 0, nil)
+	w.m.RequestEnded(w.now, j, e, 0, nil)
 }
 
 func (w *world) check() {
 	m := w.m
-	f := m.Figures()
+	f := m.Stats()
 	held, bytes, working, enqueued := 0, 0, 0, 0
 	for _, j := range m.jobs {
-		if !j.State.Final() {
+		if !j.State.IsFinal() {
 			held++
 			bytes += int(j.Size)
 		}
@@ -85,37 +85,37 @@
 		case Enqueued:
 			enqueued++
 		}
-		if j.open != w.open[j] {
-			w.t.Fatalf("%s: open here %v, in the core %v", j.ID, j.open, w.open[j])
+		if j.isOpen != w.open[j] {
+			w.t.Fatalf("%s: open here %v, in the core %v", j.ID, j.isOpen, w.open[j])
 		}
 	}
 	if held != f.Held || bytes != f.HeldBytes || working != f.Working || enqueued != f.Enqueued {
 		w.t.Fatalf("held %d/%d, bytes %d/%d, working %d/%d, enqueued %d/%d", held, f.Held, bytes, f.HeldBytes, working, f.Working, enqueued, f.Enqueued)
 	}
-	s := &m.set
-	if f.Held > s.MaxHeld || f.HeldBytes > s.MaxHeldBytes || f.Scheduled > s.MaxScheduled || f.Retries > s.MaxRetries ||
+	s := &m.settings
+	if f.Held > s.MaxHeldJobs || f.HeldBytes > s.MaxHeldBytes || f.Scheduled > s.MaxScheduled || f.Retries > s.MaxRetries ||
 		f.Dead > s.MaxDead || f.Ended > s.MaxEnded || f.Queues > s.MaxQueues || f.EndedBytes > s.MaxEndedBytes {
 		w.t.Fatalf("a bound is broken: %+v", f)
 	}
 	for _, j := range w.pushed {
 		final := 0
-		if j.State.Final() {
+		if j.State.IsFinal() {
 			final = 1
 		}
 		if w.finals[j] != w.lives[j]-1+final {
 			w.t.Fatalf("%s has %d final states in %d lives and is %s", j.ID, w.finals[j], w.lives[j], j.State)
 		}
 	}
-	for _, q := range m.order {
-		if q.count > 0 && q.idle.first != nil && m.lets(w.now, q) {
+	for _, q := range m.queueOrder {
+		if q.backlog > 0 && q.waiting.first != nil && m.mayOpen(w.now, q) {
 			w.t.Fatalf("queue %s has jobs and a FETCH that waits for them", q.name)
 		}
-		if q.covered.count+q.adrift.count != q.open {
-			w.t.Fatalf("queue %s: %d open, %d covered, %d adrift", q.name, q.open, q.covered.count, q.adrift.count)
+		if q.bound.count+q.unbound.count != q.openCount {
+			w.t.Fatalf("queue %s: %d open, %d covered, %d adrift", q.name, q.openCount, q.bound.count, q.unbound.count)
 		}
 	}
 	for _, a := range w.asks {
-		if j := a.cover; j != nil && (j.cover != a || !a.waiting || !j.open) {
+		if j := a.job; j != nil && (j.fetch != a || !a.isWaiting || !j.isOpen) {
 			w.t.Fatalf("a FETCH stands for %s, which stands for another", j.ID)
 		}
 	}
@@ -135,13 +135,13 @@
 }
 
 func newWorld(t *rapid.T) *world {
-	w := &world{t: t, now: 1 << 42, open: map[*Job]bool{}, given: map[*Job]*Ask{}, finals: map[*Job]int{}, lives: map[*Job]int{},
+	w := &world{t: t, now: 1 << 42, open: map[*Job]bool{}, given: map[*Job]*Fetch{}, finals: map[*Job]int{}, lives: map[*Job]int{},
 		runs: map[*Job]int{}}
-	w.m = New(Settings{Repeatable: []bool{true, false}, Reserve: 5 * Second, MaxHeld: 12, MaxHeldBytes: 1100, MaxQueue: 8, MaxClient: 9,
+	w.m = New(Settings{IsRepeatable: []bool{true, false}, DefaultReservation: 5 * Second, MaxHeldJobs: 12, MaxHeldBytes: 1100, MaxQueueJobs: 8, MaxClientJobs: 9,
 		MaxClientBytes: 900, MaxScheduled: 5, MaxRetries: 3, MaxQueues: 4, MaxDead: 4, MaxDeadBytes: 350, MaxEnded: 5,
 		MaxEndedBytes: 3000, TableWindow: 2}, rand.New(rand.NewPCG(1, 2)), w, func(q string) bool { return q == "tables" })
 	for range 3 {
-		w.asks = append(w.asks, &Ask{})
+		w.asks = append(w.asks, &Fetch{})
 	}
 	return w
 }
@@ -156,15 +156,15 @@
 		Retry: rapid.Int32Range(-1, 2).Draw(t, "retry"), Size: rapid.Int32Range(50, 150).Draw(t, "size"),
 		Client: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "client")}
 	if rapid.Bool().Draw(t, "later") {
-		j.At = w.now + Time(rapid.IntRange(1, 20).Draw(t, "at"))*Second
+		j.NotBefore = w.now + Time(rapid.IntRange(1, 20).Draw(t, "at"))*Second
 	}
 	if rapid.Bool().Draw(t, "limited") {
-		j.Left = Time(rapid.IntRange(1, 40).Draw(t, "left")) * Second
+		j.TimeLeft = Time(rapid.IntRange(1, 40).Draw(t, "left")) * Second
 	}
 	if rapid.IntRange(0, 3).Draw(t, "unique") == 0 {
-		j.UniqueFor, j.Fingerprint[0], j.UntilStart = 10*Second, byte(rapid.IntRange(0, 2).Draw(t, "print")), rapid.Bool().Draw(t, "start")
+		j.UniqueFor, j.Fingerprint[0], j.UniqueUntilStart = 10*Second, byte(rapid.IntRange(0, 2).Draw(t, "print")), rapid.Bool().Draw(t, "start")
 	}
-	if old := w.m.Find(j.ID); w.m.Push(w.now, j).Taken {
+	if old := w.m.Find(j.ID); w.m.Push(w.now, j).Accepted {
 		if old != nil {
 			t.Fatalf("%s is taken twice", j.ID)
 		}
@@ -178,9 +178,9 @@
 	if j == nil || w.given[j] != nil {
 		return
 	}
-	var to *Ask
+	var to *Fetch
 	for _, a := range w.asks {
-		if a.waiting && a.Lists(j.Queue) && (to == nil || rapid.Bool().Draw(t, "other")) {
+		if a.isWaiting && a.HasQueue(j.Queue) && (to == nil || rapid.Bool().Draw(t, "other")) {
 			to = a
 		}
 	}
@@ -190,10 +190,10 @@
 	w.runs[j]++
 	w.given[j] = to
 	if to == nil {
-		w.given[j] = &Ask{}
+		w.given[j] = &Fetch{}
 	}
-	w.m.Given(w.now, j, "w", to)
-	if w.m.Figures().Working == 0 {
+	w.m.Started(w.now, j, "w", to)
+	if w.m.Stats().Working == 0 {
 		t.Fatal("given and not working")
 	}
 }
@@ -202,7 +202,7 @@
 func (w *world) advance(t *rapid.T) {
 	w.now += Time(rapid.IntRange(1, 30_000).Draw(t, "ms")) * Millisecond
 	for range 40 {
-		if !w.m.Due(w.now, 3) {
+		if !w.m.ProcessDue(w.now, 3) {
 			return
 		}
 	}
@@ -221,10 +221,10 @@
 	}
 	w.m.Mutate(mu, 1)
 	for done := w.mutated; w.mutated == done; {
-		w.m.Due(w.now, 2)
+		w.m.ProcessDue(w.now, 2)
 	}
 	for _, j := range w.pushed {
-		if before[j] && !j.State.Final() {
+		if before[j] && !j.State.IsFinal() {
 			w.lives[j]++
 		}
 	}
@@ -235,10 +235,10 @@
 	if rapid.IntRange(0, 9).Draw(t, "rarely") > 0 {
 		return
 	}
-	for w.m.Clear(); w.m.Clearing(); {
-		w.m.Due(w.now, 5)
+	for w.m.Flush(); w.m.IsClearing(); {
+		w.m.ProcessDue(w.now, 5)
 	}
-	if f := w.m.Figures(); f.Held+f.Dead+f.Ended != 0 {
+	if f := w.m.Stats(); f.Held+f.Dead+f.Ended != 0 {
 		t.Fatalf("left after a flush: %+v", f)
 	}
 }
@@ -246,17 +246,17 @@
 // fetch has a FETCH wait that does not yet.
 func (w *world) fetch(t *rapid.T) {
 	a := rapid.SampledFrom(w.asks).Draw(t, "ask")
-	if !a.waiting {
-		w.m.Wait(w.now, a, "w", rapid.SliceOfN(rapid.SampledFrom(queueNames), 1, 4).Draw(t, "queues"))
+	if !a.isWaiting {
+		w.m.AddFetch(w.now, a, "w", rapid.SliceOfN(rapid.SampledFrom(queueNames), 1, 4).Draw(t, "queues"))
 	}
 }
 
 // endSome ends an open job, as refused where no worker has it.
 func (w *world) endSome(t *rapid.T) {
 	if j := w.some(w.open, "open"); j != nil && w.given[j] != nil {
-		w.end(j, rapid.SampledFrom([]End{EndServed, EndFailed}).Draw(t, "end"))
+		w.end(j, rapid.SampledFrom([]Outcome{OutcomeServed, OutcomeFailed}).Draw(t, "end"))
 	} else if j != nil {
-		w.end(j, EndRefused)
+		w.end(j, OutcomeRefused)
 	}
 }
 
@@ -269,30 +269,30 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"push":   w.push,
 			"fetch":  w.fetch,
-			"stop":   func(t *rapid.T) { m.Stop(rapid.SampledFrom(w.asks).Draw(t, "ask")) },
+			"stop":   func(t *rapid.T) { m.CancelFetch(rapid.SampledFrom(w.asks).Draw(t, "ask")) },
 			"give":   w.give,
 			"end":    w.endSome,
 			"time":   w.advance,
-			"tables": func(t *rapid.T) { m.Tables(w.now, rapid.Bool().Draw(t, "ready")) },
-			"pause":  func(t *rapid.T) { m.Pause(w.now, rapid.SampledFrom(queueNames).Draw(t, "queue")) },
-			"resume": func(t *rapid.T) { m.Resume(w.now, rapid.SampledFrom(queueNames).Draw(t, "queue")) },
-			"remove": func(t *rapid.T) { m.Remove(w.now, rapid.SampledFrom(queueNames).Draw(t, "queue")) },
+			"tables": func(t *rapid.T) { m.SetTableWorkersReady(w.now, rapid.Bool().Draw(t, "ready")) },
+			"pause":  func(t *rapid.T) { m.PauseQueue(w.now, rapid.SampledFrom(queueNames).Draw(t, "queue")) },
+			"resume": func(t *rapid.T) { m.ResumeQueue(w.now, rapid.SampledFrom(queueNames).Draw(t, "queue")) },
+			"remove": func(t *rapid.T) { m.RemoveQueue(w.now, rapid.SampledFrom(queueNames).Draw(t, "queue")) },
 			"mutate": w.mutate,
 			"flush":  w.flush,
 			"":       func(t *rapid.T) { w.t = t; w.check() },
 		})
 		// The end: what nobody holds is ended at once, the rest with its worker.
 		m.Drain()
-		for m.Clearing() {
-			m.Due(w.now, 2)
+		for m.IsClearing() {
+			m.ProcessDue(w.now, 2)
 		}
 		for _, j := range w.pushed {
 			if w.open[j] {
-				w.end(j, EndServed)
+				w.end(j, OutcomeServed)
 			}
 		}
 		w.check()
-		if f := m.Figures(); f.Held != 0 || f.Clients != 0 {
+		if f := m.Stats(); f.Held != 0 || f.Clients != 0 {
 			t.Fatalf("held after the end: %+v", f)
 		}
 	})
--- a/internal/jobs/queue.go
+++ b/internal/jobs/queue.go
@@ -4,41 +4,41 @@
 
 // queue holds the enqueued jobs of one name, and the FETCHes that wait for them.
 type queue struct {
-	name    string
-	levels  [HighestPriority + 1]list
-	count   int // enqueued and not let into the core
-	open    int // let in, and not with a worker yet
-	held    int // in any state before the end
-	paused  bool
-	gone    bool
-	idle    waiters
-	covered list // let in for a FETCH that waits, and not with a worker yet
-	adrift  list // let in, and no FETCH waits for it
-
-	table  bool // the table workers run its jobs too
-	window int  // of those that may be with them at once
-	loose  int  // of those that are
-	later  Time // nothing is let in before
-	wake   timer
+	name       string
+	byPriority [MaxPriority + 1]list
+	backlog    int // enqueued and not let into the core
+	openCount  int // let in, and not with a worker yet
+	heldCount  int // in any state before the end
+	paused     bool
+	removed    bool
+	waiting    waiterList
+	bound      list // let in for a FETCH that waits, and not with a worker yet
+	unbound    list // let in, and no FETCH waits for it
+
+	usesTableWorkers bool // the table workers run its jobs too
+	tableWindow      int  // of those that may be with them at once
+	tableOpen        int  // of those that are
+	notBefore        Time // nothing is let in before
+	resumeTimer      timer
 }
 
 func (q *queue) add(j *Job) {
-	q.levels[j.Priority].add(j)
-	q.count++
+	q.byPriority[j.Priority].add(j)
+	q.backlog++
 }
 
 func (q *queue) addFirst(j *Job) {
-	q.levels[j.Priority].addFirst(j)
-	q.count++
+	q.byPriority[j.Priority].addFirst(j)
+	q.backlog++
 }
 
 // head is the next job: of the highest priority, and of these the one that came first.
 func (q *queue) head() *Job {
-	if q.count == 0 {
+	if q.backlog == 0 {
 		return nil
 	}
-	for p := HighestPriority; p >= LowestPriority; p-- {
-		if j := q.levels[p].first; j != nil {
+	for p := MaxPriority; p >= MinPriority; p-- {
+		if j := q.byPriority[p].first; j != nil {
 			return j
 		}
 	}
@@ -46,21 +46,21 @@
 }
 
 // Ask is a FETCH that waits. The host keeps one for each connection and may use it again once it has ended.
-type Ask struct {
+type Fetch struct {
 	Worker string
 
-	names   []string // as last given, to be compared with
-	queues  []weighted
-	nodes   []waiter
-	cover   *Job // let into the core for it
-	waiting bool
+	names     []string // as last given, to be compared with
+	queues    []weightedQueue
+	nodes     []waiter
+	job       *Job // let into the core for it
+	isWaiting bool
 }
 
 // Waiting tells whether the FETCH has no answer yet.
-func (a *Ask) Waiting() bool { return a.waiting }
+func (a *Fetch) IsWaiting() bool { return a.isWaiting }
 
 // Lists tells whether the FETCH names the queue.
-func (a *Ask) Lists(queue string) bool {
+func (a *Fetch) HasQueue(queue string) bool {
 	for i := range a.queues {
 		if a.queues[i].q.name == queue {
 			return true
@@ -69,22 +69,22 @@
 	return false
 }
 
-type weighted struct {
+type weightedQueue struct {
 	q      *queue
 	weight int
 }
 
 // waiter is an Ask's place among those that wait at a queue.
 type waiter struct {
-	ask        *Ask
+	fetch      *Fetch
 	prev, next *waiter
-	in         bool
+	linked     bool
 }
 
-type waiters struct{ first, last *waiter }
+type waiterList struct{ first, last *waiter }
 
-func (l *waiters) add(w *waiter) {
-	w.in = true
+func (l *waiterList) add(w *waiter) {
+	w.linked = true
 	if w.prev, w.next = l.last, nil; l.last != nil {
 		l.last.next = w
 	} else {
@@ -93,11 +93,11 @@
 	l.last = w
 }
 
-func (l *waiters) remove(w *waiter) {
-	if !w.in {
+func (l *waiterList) remove(w *waiter) {
+	if !w.linked {
 		return
 	}
-	w.in = false
+	w.linked = false
 	if w.prev != nil {
 		w.prev.next = w.next
 	} else {
@@ -111,22 +111,22 @@
 }
 
 // rest has an Ask wait at all its queues.
-func (a *Ask) rest() {
+func (a *Fetch) joinQueues() {
 	for i := range a.queues {
-		a.queues[i].q.idle.add(&a.nodes[i])
+		a.queues[i].q.waiting.add(&a.nodes[i])
 	}
 }
 
 // rise takes it from them.
-func (a *Ask) rise() {
+func (a *Fetch) leaveQueues() {
 	for i := range a.nodes {
-		a.queues[i].q.idle.remove(&a.nodes[i])
+		a.queues[i].q.waiting.remove(&a.nodes[i])
 	}
 }
 
 // order puts the queues of a FETCH into the order of this one: as they are listed, or by weighted draws where
 // a queue is listed more than once (the public documentation's weighted queues).
-func (a *Ask) order(rng *rand.Rand) []weighted {
+func (a *Fetch) orderQueues(rng *rand.Rand) []weightedQueue {
 	total := 0
 	for i := range a.queues {
 		total += a.queues[i].weight
@@ -134,7 +134,7 @@
 	if total == len(a.queues) {
 		return a.queues
 	}
-	left := append([]weighted(nil), a.queues...)
+	left := append([]weightedQueue(nil), a.queues...)
 	for i := range left {
 		n := rng.IntN(total)
 		for k := i; ; k++ {
@@ -149,35 +149,35 @@
 }
 
 // queue finds a queue, or makes it where there is room. One that nothing is known of but its name gives way.
-func (m *Machine) queue(name string) *queue {
+func (m *Machine) findOrCreateQueue(name string) *queue {
 	if q := m.queues[name]; q != nil {
 		return q
 	}
-	if len(m.queues) >= m.set.MaxQueues {
-		for _, q := range m.order {
-			if q.held == 0 && !q.paused && q.idle.first == nil {
-				m.forgetQueue(q)
+	if len(m.queues) >= m.settings.MaxQueues {
+		for _, q := range m.queueOrder {
+			if q.heldCount == 0 && !q.paused && q.waiting.first == nil {
+				m.removeQueue(q)
 				break
 			}
 		}
-		if len(m.queues) >= m.set.MaxQueues {
+		if len(m.queues) >= m.settings.MaxQueues {
 			return nil
 		}
 	}
-	q := &queue{name: name, table: m.atTables(name), window: m.set.TableWindow}
-	q.wake.queue = q
+	q := &queue{name: name, usesTableWorkers: m.usesTableWorkers(name), tableWindow: m.settings.TableWindow}
+	q.resumeTimer.queue = q
 	m.queues[name] = q
-	m.order = append(m.order, q)
+	m.queueOrder = append(m.queueOrder, q)
 	return q
 }
 
-func (m *Machine) forgetQueue(q *queue) {
-	q.gone = true
-	m.timers.set(&q.wake, 0)
+func (m *Machine) removeQueue(q *queue) {
+	q.removed = true
+	m.timers.set(&q.resumeTimer, 0)
 	delete(m.queues, q.name)
-	for i, other := range m.order {
+	for i, other := range m.queueOrder {
 		if other == q {
-			m.order = append(m.order[:i], m.order[i+1:]...)
+			m.queueOrder = append(m.queueOrder[:i], m.queueOrder[i+1:]...)
 			return
 		}
 	}
@@ -187,11 +187,11 @@
 func (m *Machine) HasQueue(name string) bool { return m.queues[name] != nil }
 
 // Make has a queue known; false: there are too many.
-func (m *Machine) Make(name string) bool { return m.queue(name) != nil }
+func (m *Machine) EnsureQueue(name string) bool { return m.findOrCreateQueue(name) != nil }
 
 // Pause has a queue hand out nothing more, and Resume has it go on. What is in the core goes on.
-func (m *Machine) Pause(now Time, name string) bool {
-	q := m.queue(name)
+func (m *Machine) PauseQueue(now Time, name string) bool {
+	q := m.findOrCreateQueue(name)
 	if q == nil {
 		return false
 	}
@@ -200,35 +200,35 @@
 }
 
 // Resume ends a pause.
-func (m *Machine) Resume(now Time, name string) bool {
+func (m *Machine) ResumeQueue(now Time, name string) bool {
 	q := m.queues[name]
 	if q == nil {
-		return m.queue(name) != nil
+		return m.findOrCreateQueue(name) != nil
 	}
 	q.paused = false
-	m.letIn(now, q)
+	m.openRequests(now, q)
 	return true
 }
 
 // Remove ends all jobs that wait in a queue; those in the core go on.
-func (m *Machine) Remove(now Time, name string) (removed int) {
+func (m *Machine) RemoveQueue(now Time, name string) (removed int) {
 	q := m.queues[name]
 	if q == nil {
 		return 0
 	}
 	for j := q.head(); j != nil; j = q.head() {
-		m.giveUp(now, j, QueueRemoved)
+		m.endUnheld(now, j, QueueRemoved)
 		removed++
 	}
 	q.paused = false
-	if q.held == 0 && q.idle.first == nil {
-		m.forgetQueue(q)
+	if q.heldCount == 0 && q.waiting.first == nil {
+		m.removeQueue(q)
 	}
 	return removed
 }
 
 // QueueFigures tell of one queue.
-type QueueFigures struct {
+type QueueStats struct {
 	Name     string
 	Enqueued int  // not with a worker yet
 	Latency  Time // how long the job that is next has waited
@@ -236,11 +236,11 @@
 }
 
 // Queues tells of all queues, in the order of their first use.
-func (m *Machine) Queues(now Time) (out []QueueFigures) {
-	for _, q := range m.order {
-		f := QueueFigures{Name: q.name, Enqueued: q.count + q.open, Paused: q.paused}
+func (m *Machine) QueueStats(now Time) (out []QueueStats) {
+	for _, q := range m.queueOrder {
+		f := QueueStats{Name: q.name, Enqueued: q.backlog + q.openCount, Paused: q.paused}
 		if j := q.head(); j != nil {
-			f.Latency = now - j.Since
+			f.Latency = now - j.StateSince
 		}
 		out = append(out, f)
 	}
--- a/internal/jobs/timers.go
+++ b/internal/jobs/timers.go
@@ -5,13 +5,13 @@
 // timer is an entry of the machine's one ordered structure of times. Jobs hold two, for the end of their time
 // and for their next step, locks one, and queues one for the time in which nothing is let in.
 type timer struct {
-	at    Time
-	index int // in the heap, from 1; 0: not in it
-	seq   uint64
-	job   *Job
-	lock  *lock
-	queue *queue
-	wakes bool // the job's next step; else its end
+	at     Time
+	index  int // in the heap, from 1; 0: not in it
+	seq    uint64
+	job    *Job
+	lock   *lock
+	queue  *queue
+	isStep bool // the job's next step; else its end
 }
 
 type timers struct {
@@ -66,43 +66,43 @@
 	first, last *Job
 	count       int
 	bytes       int
-	order       uint64
+	lastSeq     uint64
 	cursor      *Job // of a walk that is under way
 }
 
 func (l *list) add(j *Job) {
-	l.order++
-	j.order = l.order
+	l.lastSeq++
+	j.seq = l.lastSeq
 	if j.prev, j.next = l.last, nil; l.last != nil {
 		l.last.next = j
 	} else {
 		l.first = j
 	}
 	l.last = j
-	l.joined(j)
+	l.linked(j)
 }
 
 // addFirst puts a job back to the head.
 func (l *list) addFirst(j *Job) {
-	j.order = 0
+	j.seq = 0
 	if j.prev, j.next = nil, l.first; l.first != nil {
 		l.first.prev = j
 	} else {
 		l.last = j
 	}
 	l.first = j
-	l.joined(j)
+	l.linked(j)
 }
 
-func (l *list) joined(j *Job) {
-	j.home = l
+func (l *list) linked(j *Job) {
+	j.list = l
 	l.count++
 	l.bytes += int(j.Size)
 }
 
 // leave takes a job out of the list that it is in.
-func (j *Job) leave() {
-	l := j.home
+func (j *Job) unlink() {
+	l := j.list
 	if l == nil {
 		return
 	}
@@ -121,5 +121,5 @@
 	}
 	l.count--
 	l.bytes -= int(j.Size)
-	j.home, j.prev, j.next = nil, nil, nil
+	j.list, j.prev, j.next = nil, nil, nil
 }
--- a/internal/measure/faktory.go
+++ b/internal/measure/faktory.go
@@ -132,7 +132,7 @@
 		if err != nil {
 			return err
 		}
-		if !r.OK() {
+		if !r.IsOK() {
 			l.refused.Add(1)
 			if l.rate == 0 {
 				<-l.tokens
@@ -153,7 +153,7 @@
 		if err != nil {
 			return err
 		}
-		if r.Null {
+		if r.IsNull {
 			continue
 		}
 		now := time.Since(began)
--- a/internal/platform/http2_cancel_test.go
+++ b/internal/platform/http2_cancel_test.go
@@ -212,6 +212,6 @@
 
 // streamResets returns the number of streams that clients have reset.
 func streamResets(n *standin.Node) (resets uint64) {
-	n.On(func() { resets = n.HTTP2.Figures.Resets })
+	n.On(func() { resets = n.HTTP2.Stats.Resets })
 	return resets
 }
