--- a/internal/jobs/api.go
+++ b/internal/jobs/api.go
@@ -1,33 +1,34 @@
-// Package jobs owns the life of a job of the Faktory work protocol, from its PUSH to its one final state:
+// Package jobs owns the lifecycle of a job of the Faktory work protocol, from its PUSH to its one final state:
 //
 //	scheduled → enqueued → working → served | refused | failed | dead
 //
-// with retries between. It decides when a job is let into the core, for which waiting FETCH, whether and
-// when a failed one is tried again, what is turned away when a bound is reached, and what is forgotten.
-// It never chooses a worker: each try is a request in the core, where package rules does.
+// with retries in between. It decides when a job gets a request in the core and for which waiting FETCH, whether and
+// when a failed job is retried, which PUSH is rejected when a limit is reached, and which finished jobs are evicted. It
+// never chooses a worker: each run of a job is one request in the core, where package rules decides. Package faktory is
+// its only caller.
 //
-// # What the host owes
+// # Obligations of the host
 //
-// A Machine is used by one goroutine at a time and does no I/O. Every event carries now, in microseconds of
-// a clock that never goes back; randomness comes in with New. Actions are emitted from within the event
-// methods; the host calls the machine back only after the event has returned. After each
-// event the host asks Next, and calls Due at that time or later. Each Open is followed by exactly one Ended,
-// unless the machine withdrew the job with Withdraw.
+// A Machine is used by one goroutine at a time and does no I/O. Every event carries now, in microseconds of a monotonic
+// clock; the random source is passed to New. Actions are called from within the event methods; the host calls the
+// machine back only after the event has returned. After each event the host calls NextDue, and calls ProcessDue at that
+// time or later. Each OpenRequest is followed by exactly one RequestEnded, unless the machine cancelled the request
+// with CancelRequest.
 //
-// The protocol is the public one of github.com/contribsys/faktory's documentation ("The Job Payload", "Work
-// Protocol", "Mutate API"); where it is silent the class decides, and the choice is told in docs/design/faktory.md.
+// The protocol is the public one of github.com/contribsys/faktory's documentation ("The Job Payload", "Work Protocol",
+// "Mutate API"). Where that is silent, the job's class decides; docs/design/faktory.md lists these choices.
 package jobs
 
-// Time is a point in, or a length of, the host's clock, in microseconds.
+// Time is a point in time or a duration on the host's clock, in microseconds.
 type Time = int64
 
-// Lengths of time.
+// Durations.
 const (
 	Millisecond Time = 1_000
 	Second      Time = 1_000_000
 )
 
-// State is where a job stands.
+// State is the position of a job in its lifecycle.
 type State uint8
 
 // The states; those from Served on are final.
@@ -38,31 +39,30 @@
 	Working
 	Retrying
 	Served
-	Refused // it never ran
-	Failed  // it may have run, and is not kept for another try
-	Dead    // it failed for good and is kept for the operator
+	Refused // the job never ran
+	Failed  // it may have run, and is not kept for a retry
+	Dead    // it failed permanently and is kept for the operator
 )
 
 var stateNames = [...]string{"unknown", "scheduled", "enqueued", "working", "retries", "served", "refused", "failed", "dead"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Final tells whether a job in this state has its one final answer.
+// IsFinal reports whether a job in this state has its one final answer.
 func (s State) IsFinal() bool { return s >= Served }
 
-// Reason says why a job came to its end, or why a PUSH was not taken. It stands in answers, the log and the
-// operator's page alike.
+// Reason says why a job ended or why a PUSH was rejected. Replies, the log and the operator's page show it.
 type Reason string
 
-// The reasons.
+// The reasons for the end of a job, then the limits that reject a PUSH.
 const (
 	Done             Reason = "done"
-	Expired          Reason = "expired"           // its time was over before it started
-	DeadlinePassed   Reason = "time-over"         // its time was over while it ran
+	Expired          Reason = "expired"           // its deadline or expires_at passed before it started
+	DeadlinePassed   Reason = "time-over"         // its deadline passed while it ran
 	Discarded        Reason = "discarded"         // it failed, and its retry is -1
-	RetriesExhausted Reason = "retries-exhausted" // it failed as often as its retry allows
+	RetriesExhausted Reason = "retries-exhausted" // it failed more often than its retry allows
 	MayHaveRun       Reason = "may-have-run"      // its class forbids a second run
-	RetriesFull      Reason = "retries-full"      // the set of retries had no room
+	RetriesFull      Reason = "retries-full"      // the set of retries was full
 	ByOperator       Reason = "operator"          // killed or discarded by MUTATE
 	QueueRemoved     Reason = "queue-removed"
 	Flushed          Reason = "flushed"
@@ -78,10 +78,10 @@
 	LimitUniqueLocks Reason = "max_unique"
 )
 
-// Settings are given once. All bounds are above 0; sizes are in bytes.
+// Settings are passed to New and do not change. All limits are above 0; sizes are in bytes.
 type Settings struct {
-	IsRepeatable       []bool // by class: what may have run may run again
-	DefaultReservation Time   // of a job that names none
+	IsRepeatable       []bool // by class: a job that may have run may run again
+	DefaultReservation Time   // of a job that has no reserve_for
 
 	MaxHeldJobs, MaxHeldBytes     int
 	MaxQueueJobs                  int
@@ -90,87 +90,88 @@
 	MaxQueues                     int
 	MaxDead, MaxDeadBytes         int
 	MaxEnded, MaxEndedBytes       int
-	TableWindow                   int // jobs of a table queue that are with the table workers at once
+	TableWindow                   int // jobs of a table queue that may be with the table workers at once
 }
 
-// Priorities of a job within its queue; the highest comes first.
+// Priorities of a job within its queue; the highest is fetched first.
 const (
 	MinPriority     = 1
 	DefaultPriority = 5
 	MaxPriority     = 9
 )
 
-// UsualRetry is the number of retries of a job that names none.
+// DefaultRetries is the number of retries of a job that has no retry.
 const DefaultRetries = 25
 
-// Job is a job of the host's making. The fields of the first part are set before Push and not changed. A hundred
-// thousand of them are held at once, so what few jobs have lies behind pointers.
+// Job is one pushed job. The host sets the fields of the first group before Push and does not change them afterwards.
+// Up to a hundred thousand jobs are held at once, so fields that few jobs use are behind pointers.
 type Job struct {
-	ID, Type, Queue     string
+	ID, Type, Queue string
+	// Payload is dropped when the job ends in another state than Dead.
 	Client              string
-	Payload             string // as it was pushed; let go at an end that is not dead
-	ArgsOffset, ArgsLen int32  // where its args stand in it
+	Payload             string // as it was pushed
+	ArgsOffset, ArgsLen int32  // position of its args in Payload
 	Class               int32
-	Priority            int32 // 1 to 9
-	Retry               int32 // retries after the first failure; 0: dead at once, -1: discarded at once
-	Size                int32 // bytes that it takes
-	NotBefore           Time  // not before; 0: now
-	TimeLeft            Time  // its pusher waits for so long, from the PUSH or from At; 0: for ever
-	*Options                  // never nil from Push on, and perhaps shared
+	Priority            int32 // 1 to 9: MinPriority to MaxPriority
+	Retry               int32 // retries after the first failure; 0: dead at the first, -1: discarded at the first
+	Size                int32 // counts towards the limits, in bytes
+	NotBefore           Time  // earliest start; 0: now
+	TimeLeft            Time  // how long the client waits, from the PUSH or from NotBefore; 0: without limit
+	*Options                  // never nil after Push; may be shared between jobs
 
 	State         State
 	isOpen        bool  // it has a request in the core
-	mayHaveRun    bool  // a try may have run
-	countsAsTable bool  // let in for the table workers, or its FETCH has gone
-	Failures      int32 // tries that may have run and failed
+	mayHaveRun    bool  // a run may have started
+	countsAsTable bool  // opened for the table workers, and counted in queue.tableOpen
+	Failures      int32 // runs that may have started and failed
 	Reason        Reason
-	Failure       *Failure  // the last
-	StateSince    Time      // in this state
-	Result        string    // of Served; set by the host before Ended
-	Worker        string    // that holds it, while working
-	Progress      *Progress // as its worker told; nil: it has not
-
-	deadline               Time   // its pusher has gone by then; 0: never
-	fetch                  *Fetch // the FETCH for which it was let in
+	Failure       *Failure  // the last one
+	StateSince    Time      // when it entered State
+	Result        string    // of a Served job; set by the host before RequestEnded
+	Worker        string    // the worker that holds it, while Working
+	Progress      *Progress // as its worker reported it; nil: no report
+
+	deadline               Time   // when the client stops waiting; 0: never
+	fetch                  *Fetch // the FETCH that its request was opened for
 	expiryTimer, stepTimer *timer
 	list                   *list
 	prev, next             *Job
-	seq                    uint64 // in its set
+	seq                    uint64 // position in its list
 	lock                   *lock
 }
 
-// Options are what few jobs ask for.
+// Options are the fields that only few jobs set.
 type Options struct {
 	Key              string
-	Tenant           int32 // whose share it counts against, numbered from 1; 0: nobody's
+	Tenant           int32 // the tenant whose quota it counts against, numbered from 1; 0: none
 	Slots            float64
-	Hint             Time // the work that its pusher expects; 0: it says nothing
-	Reservation      Time // for which a worker may hold it; 0: the usual
-	ExpiresAt        Time // it must have started by then; 0: never
-	UniqueFor        Time // 0: not unique
-	UniqueUntilStart bool // it is unique until its start, else until it was served
+	Hint             Time // expected run time; 0: unknown
+	Reservation      Time // how long a worker may hold it; 0: Settings.DefaultReservation
+	ExpiresAt        Time // latest start; 0: no limit
+	UniqueFor        Time // 0: the job is not unique
+	UniqueUntilStart bool // the lock is released at the start, else when the job was served
 	Fingerprint      [32]byte
 }
 
 var noOptions Options
 
-// Progress is what a worker told of its job.
+// Progress is what a worker reported about its job.
 type Progress struct {
 	Percent int
 	Desc    string
 }
 
-// Deadline is when its pusher stops waiting; 0: never.
+// Deadline is the time at which the client stops waiting; 0: never.
 func (j *Job) Deadline() Time { return j.deadline }
 
-// Failure is what a worker, or the gateway, told of a failed try. Texts are cut to bounds.
+// Failure describes a failed run, as the worker or the gateway reported it. Truncate bounds its texts.
 type Failure struct {
 	Type, Message string
 	Backtrace     []string
 	At            Time
 }
 
-// Bounds of a Failure's texts, in bytes and lines.
+// Limits of a Failure's texts, in bytes and lines.
 const (
 	MaxMessageBytes       = 1000
 	MaxTypeBytes          = 100
@@ -178,46 +179,46 @@
 	MaxBacktraceLineBytes = 300
 )
 
-// Cut keeps a failure within its bounds.
+// Truncate cuts a failure's texts to their limits and returns it.
 func (f *Failure) Truncate() *Failure {
-	cut := func(s string, most int) string { return s[:min(len(s), most)] }
-	f.Type, f.Message = cut(f.Type, MaxTypeBytes), cut(f.Message, MaxMessageBytes)
+	truncate := func(s string, limit int) string { return s[:min(len(s), limit)] }
+	f.Type, f.Message = truncate(f.Type, MaxTypeBytes), truncate(f.Message, MaxMessageBytes)
 	f.Backtrace = f.Backtrace[:min(len(f.Backtrace), MaxBacktraceLines)]
 	for i, line := range f.Backtrace {
-		f.Backtrace[i] = cut(line, MaxBacktraceLineBytes)
+		f.Backtrace[i] = truncate(line, MaxBacktraceLineBytes)
 	}
 	return f
 }
 
-// Verdict is the answer to a PUSH.
+// PushResult is the result of a PUSH. One of Accepted, Existing, NotUnique and Rejected is set.
 type PushResult struct {
 	Accepted   bool
 	Existing   *Job   // the job that has this id already
 	NotUnique  bool   // another job with the same fingerprint holds the lock
-	Rejected   Reason // the bound that was reached, or ShutDown
-	RetryAfter Time   // when to come back, where Full
+	Rejected   Reason // the limit that was reached, or ShutDown
+	RetryAfter Time   // when the client may push again; set with Rejected
 }
 
-// End is how a request in the core ended.
+// Outcome is how a request in the core ended.
 type Outcome uint8
 
-// The ends.
+// The outcomes.
 const (
 	OutcomeServed  Outcome = iota
-	OutcomeRefused         // it surely never ran
-	OutcomeFailed          // it may have run
+	OutcomeRefused         // the job never ran
+	OutcomeFailed          // the job may have run
 )
 
-// Actions is what a Machine asks of its host.
+// Actions are the calls of a Machine to its host.
 type Actions interface {
-	// Open opens a request in the core for the job. worker is the one that asks for work; empty: none does.
+	// OpenRequest opens a request in the core for the job. worker is the one whose FETCH it answers; empty: none.
 	OpenRequest(j *Job, worker string)
-	// Withdraw ends the job's request; the machine has ended the job, and nothing more is reported of it.
+	// CancelRequest cancels the job's request. The machine has ended the job; no RequestEnded may follow.
 	CancelRequest(j *Job)
-	// Expire ends the try of a job whose reservation ran out, as timed out. Ended follows.
+	// ExpireReservation times out the run of a job whose reservation has ended. RequestEnded follows.
 	ExpireReservation(j *Job)
-	// Ended tells of a job that has come to a final state.
+	// JobEnded reports that the job has reached a final state.
 	JobEnded(j *Job)
-	// Mutated tells that a mutation is done.
+	// MutationDone reports the result of a mutation.
 	MutationDone(token uint64, m Mutation)
 }
--- a/internal/jobs/end.go
+++ b/internal/jobs/end.go
@@ -2,51 +2,51 @@
 
 import "strings"
 
-// Ended tells how the job's request in the core ended. after is when the core wants to be asked again, of a refusal;
-// f what was told of a failure, which may be nil.
-func (m *Machine) RequestEnded(now Time, j *Job, end Outcome, after Time, f *Failure) {
+// RequestEnded reports the outcome of the job's request in the core. after is how long the core asked to wait after a
+// refusal; f describes a failure and may be nil.
+func (m *Machine) RequestEnded(now Time, j *Job, outcome Outcome, after Time, f *Failure) {
 	if !j.isOpen {
 		return
 	}
 	q := m.queues[j.Queue]
-	asked, loose := m.closeRequest(j)
-	switch over := j.deadline > 0 && now >= j.deadline; {
-	case end == OutcomeServed:
+	fetch, countsAsTable := m.closeRequest(j)
+	switch isPastDeadline := j.deadline > 0 && now >= j.deadline; {
+	case outcome == OutcomeServed:
 		m.finish(now, j, Served, Done)
-		if loose {
+		if countsAsTable {
 			q.tableWindow = min(q.tableWindow+1, m.settings.TableWindow)
 		}
-	case end == OutcomeFailed:
+	case outcome == OutcomeFailed:
 		m.runFailed(now, j, f)
 	case m.draining:
 		m.finish(now, j, j.unrunState(), ShutDown)
-	case over || j.ExpiresAt > 0 && now >= j.ExpiresAt:
+	case isPastDeadline || j.ExpiresAt > 0 && now >= j.ExpiresAt:
 		m.finish(now, j, j.unrunState(), Expired)
 	default:
-		// It surely never ran, so it stands first in its queue again. It is not let in again at once: whoever
-		// turned it away would do so again.
+		// The job never ran, so it returns to the front of its queue. It is not opened again at once, since the same
+		// refusal would follow.
 		m.armExpiry(j)
 		j.State, j.StateSince = Enqueued, now
 		m.enqueued++
 		q.addFirst(j)
 		q.notBefore = now + min(max(after, minRefusalDelay), Second)
 		m.timers.set(&q.resumeTimer, q.notBefore)
-		if loose {
+		if countsAsTable {
 			q.tableWindow = max(1, q.tableWindow/2)
 		}
 	}
-	if asked != nil {
-		m.matchFetch(now, asked)
+	if fetch != nil {
+		m.matchFetch(now, fetch)
 	}
 	if q.usesTableWorkers {
 		m.openRequests(now, q)
 	}
 }
 
-// refusedWait is the least time for which a queue lets nothing in after the core refused one of its jobs.
+// minRefusalDelay is the least time for which a queue opens no request after the core refused one of its jobs.
 const minRefusalDelay = 10 * Millisecond
 
-// unrun is the final state of a job of which no try runs.
+// unrunState is the final state of a job that has no run in progress.
 func (j *Job) unrunState() State {
 	if j.mayHaveRun {
 		return Failed
@@ -54,28 +54,29 @@
 	return Refused
 }
 
-// shut takes the job's request out of the counts.
-func (m *Machine) closeRequest(j *Job) (asked *Fetch, loose bool) {
+// closeRequest removes the job's request from the counts and from its lists. It returns the FETCH that the request was
+// bound to, and whether it was opened for the table workers.
+func (m *Machine) closeRequest(j *Job) (fetch *Fetch, countsAsTable bool) {
 	q := m.queues[j.Queue]
 	if j.isOpen = false; j.State != Working {
 		q.openCount--
 		m.enqueued--
 	}
 	j.unlink()
-	if loose = j.countsAsTable; loose {
+	if countsAsTable = j.countsAsTable; countsAsTable {
 		j.countsAsTable = false
 		q.tableOpen--
 	}
-	if asked = j.fetch; asked != nil {
-		j.fetch, asked.job = nil, nil
+	if fetch = j.fetch; fetch != nil {
+		j.fetch, fetch.job = nil, nil
 	}
 	m.setNextStep(j, 0)
 	j.Worker = ""
-	return asked, loose
+	return fetch, countsAsTable
 }
 
-// failed decides on a try that may have run: only where the class permits it and the job asks for it, there
-// is another.
+// runFailed handles the end of a run that may have started: the job is retried only where its class permits it and its
+// retry allows it.
 func (m *Machine) runFailed(now Time, j *Job, f *Failure) {
 	m.totals.FailedRuns++
 	j.mayHaveRun = true
@@ -106,25 +107,26 @@
 	}
 }
 
-// backoff is the public server's wait before a retry, count⁴ + 15 + rand(30)·(count + 1) seconds, for the number
-// of retries so far.
+// backoff is the public Faktory server's delay before a retry, count⁴ + 15 + rand(30)·(count + 1) seconds, where count
+// is the number of retries so far.
 func (m *Machine) backoff(count int) Time {
 	c := Time(min(count, 50))
 	return (c*c*c*c+15)*Second + Time(m.rng.IntN(30))*(c+1)*Second
 }
 
-// giveUp ends a job that no worker holds.
+// endUnheld ends a job that no worker holds.
 func (m *Machine) endUnheld(now Time, j *Job, why Reason) { m.terminate(now, j, j.unrunState(), why) }
 
-// drop takes a job that no worker holds out of wherever it is, and ends it.
+// terminate removes a job from its list, cancels its request in the core, if any, and ends it. A job that a worker
+// holds ends as Failed.
 func (m *Machine) terminate(now Time, j *Job, state State, why Reason) {
-	var asked *Fetch
+	var fetch *Fetch
 	switch {
 	case j.State.IsFinal():
 		return
 	case j.isOpen:
 		working := j.State == Working
-		if asked, _ = m.closeRequest(j); working {
+		if fetch, _ = m.closeRequest(j); working {
 			j.mayHaveRun, state = true, Failed
 		}
 		m.actions.CancelRequest(j)
@@ -136,12 +138,12 @@
 		j.unlink()
 	}
 	m.finish(now, j, state, why)
-	if asked != nil {
-		m.matchFetch(now, asked)
+	if fetch != nil {
+		m.matchFetch(now, fetch)
 	}
 }
 
-// finish gives a held job its one final state.
+// finish moves a held job to its one final state.
 func (m *Machine) finish(now Time, j *Job, state State, why Reason) {
 	m.held--
 	m.heldBytes -= int(j.Size)
@@ -176,54 +178,53 @@
 		return
 	}
 	j.Payload = ""
-	// The names are parts of the payload, which is not kept for them.
+	// ID, Type and Queue are substrings of the payload; clones let it be freed.
 	j.ID, j.Type, j.Queue = strings.Clone(j.ID), strings.Clone(j.Type), strings.Clone(j.Queue)
 	j.Size = int32(endedOverheadBytes + len(j.ID) + len(j.Type) + len(j.Result))
 	m.ended.add(j)
 	m.evictOldest(&m.ended, m.settings.MaxEnded, m.settings.MaxEndedBytes, &m.totals.EndedEvicted)
 }
 
-// endedSize is what is reckoned for an ended job beyond its texts.
+// endedOverheadBytes is the size that counts for an ended job beyond its texts.
 const endedOverheadBytes = 512
 
-// trim forgets the oldest of a set beyond its bounds, and counts them.
-func (m *Machine) evictOldest(l *list, most, bytes int, forgotten *uint64) {
-	for l.count > most || l.bytes > bytes && l.count > 0 {
+// evictOldest removes the oldest jobs of a list beyond its limits, and counts them in evicted.
+func (m *Machine) evictOldest(l *list, maxCount, maxBytes int, evicted *uint64) {
+	for l.count > maxCount || l.bytes > maxBytes && l.count > 0 {
 		m.remove(l.first)
-		*forgotten++
+		*evicted++
 	}
 }
 
-// forget lets go of an ended or dead job.
+// remove deletes an ended or dead job.
 func (m *Machine) remove(j *Job) {
 	j.unlink()
 	if m.jobs[j.ID] == j {
 		delete(m.jobs, j.ID)
 	}
 	if l := j.lock; l != nil {
-		l.job = &Job{} // the lock stands for its time, the job need not
+		l.job = &Job{} // the lock stays until its time is over, without keeping the job in memory
 	}
 }
 
-// Drain begins the end: nothing new is taken, and all that no worker holds is ended, over as many calls of Due
-// as it takes. What a worker holds is waited for.
+// Drain begins the shutdown: new jobs are rejected and all jobs that no worker holds are ended, over several calls of
+// ProcessDue. Jobs that workers hold run on.
 func (m *Machine) Drain() {
 	m.draining = true
 	m.clearReason = ShutDown
 }
 
-// Clear ends all that is held, with workers too, and forgets what is dead or ended. Whoever still runs a job
-// reports to nobody.
+// Flush ends all held jobs, those with workers too, and removes dead and ended ones. Later reports on them are ignored.
 func (m *Machine) Flush() {
 	if !m.draining {
 		m.clearReason = Flushed
 	}
 }
 
-// Clearing tells whether a Clear or Drain is not done yet.
+// IsClearing reports whether a Flush or Drain is still in progress.
 func (m *Machine) IsClearing() bool { return m.clearReason != "" }
 
-// clear does a part of what Drain or Clear asked for.
+// clearSome does a part of a Flush or Drain and returns what is left of the budget.
 func (m *Machine) clearSome(now Time, budget int) (left int) {
 	if m.clearReason == "" {
 		return budget
@@ -246,6 +247,7 @@
 	return 0
 }
 
+// nextToClear returns the next job that a Flush or Drain has to end or remove; nil: none is left.
 func (m *Machine) nextToClear() *Job {
 	for _, l := range []*list{&m.scheduled, &m.retries} {
 		if l.first != nil {
--- a/internal/jobs/machine.go
+++ b/internal/jobs/machine.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Machine owns all jobs. See api.go for what its host owes.
+// Machine owns all jobs. The package comment lists the obligations of its host.
 type Machine struct {
 	settings         Settings
 	actions          Actions
@@ -25,13 +25,13 @@
 	timers     timers
 
 	held, heldBytes   int
-	enqueued          int // in the core too, but not with a worker
+	enqueued          int // not with a worker yet; includes those that have a request in the core
 	tableWorkersReady bool
 	draining          bool
-	clearReason       Reason // all that is held is being ended for it
+	clearReason       Reason // Flush or Drain is ending all held jobs, for this reason
 	mutations         []*runningMutation
 	lastEndAt         Time
-	meanEndInterval   float64 // between two ends, as a fading mean
+	meanEndInterval   float64 // moving average of the time between two job ends, in µs
 	totals            Totals
 }
 
@@ -43,17 +43,17 @@
 	timer timer
 }
 
-// Totals count since the start.
+// Totals are counters since the start of the process.
 type Totals struct {
-	Pushed, Served, Refused, Failed, Dead uint64 // jobs, by their end
-	FailedRuns                            uint64 // tries that failed
+	Pushed, Served, Refused, Failed, Dead uint64 // jobs, by their final state
+	FailedRuns                            uint64 // runs that failed
 	Retried                               uint64
 	DeadEvicted, EndedEvicted             uint64
 	NotUnique                             uint64
-	RejectedByReason                      map[Reason]uint64 // PUSHes, by the bound
+	RejectedByReason                      map[Reason]uint64 // rejected PUSHes, by the limit that was reached
 }
 
-// Figures are what is held now.
+// Stats are the present numbers of jobs, queues, clients and locks, and the totals.
 type Stats struct {
 	Held, HeldBytes, Enqueued, Scheduled, Retries, Working int
 	Dead, DeadBytes, Ended, EndedBytes                     int
@@ -61,25 +61,26 @@
 	Totals                                                 Totals
 }
 
-// New makes a machine. atTables tells of a queue whether the table workers run its jobs too.
-func New(s Settings, rng *rand.Rand, act Actions, atTables func(queue string) bool) *Machine {
-	m := &Machine{settings: s, actions: act, rng: rng, usesTableWorkers: atTables, meanEndInterval: float64(Second / 16), jobs: map[string]*Job{},
+// New returns a machine without jobs. usesTableWorkers reports whether the table workers also run the jobs of a queue.
+func New(s Settings, rng *rand.Rand, actions Actions, usesTableWorkers func(queue string) bool) *Machine {
+	m := &Machine{settings: s, actions: actions, rng: rng, usesTableWorkers: usesTableWorkers, meanEndInterval: float64(Second / 16), jobs: map[string]*Job{},
 		queues: map[string]*queue{}, clients: map[string]*clientUsage{}, locks: map[[32]byte]*lock{}}
 	m.totals.RejectedByReason = map[Reason]uint64{}
 	return m
 }
 
-// Find gives a job by its id, as long as it is remembered.
+// Find returns the job with this id; nil: it is unknown, or it has ended and was evicted.
 func (m *Machine) Find(id string) *Job { return m.jobs[id] }
 
-// Figures tell what is held and what has been.
+// Stats returns the present numbers and the totals.
 func (m *Machine) Stats() Stats {
 	return Stats{Held: m.held, HeldBytes: m.heldBytes, Enqueued: m.enqueued, Scheduled: m.scheduled.count,
 		Retries: m.retries.count, Working: m.working.count, Dead: m.dead.count, DeadBytes: m.dead.bytes, Ended: m.ended.count,
 		EndedBytes: m.ended.bytes, Queues: len(m.queues), Clients: len(m.clients), Locks: len(m.locks), Totals: m.totals}
 }
 
-// Push takes a job, or says why not. A job that was taken comes to exactly one final state.
+// Push accepts or rejects a job. An accepted job reaches exactly one final state, unless an operator requeues it when
+// it is dead.
 func (m *Machine) Push(now Time, j *Job) PushResult {
 	if old := m.jobs[j.ID]; old != nil {
 		return PushResult{Existing: old}
@@ -115,7 +116,8 @@
 	return PushResult{Accepted: true}
 }
 
-// room checks the bounds for a job that is to be held, and finds its queue.
+// checkLimits checks the limits for a job that is to be held, and finds or creates its queue. The reason is empty when
+// the job fits.
 func (m *Machine) checkLimits(now Time, j *Job) (*queue, Reason) {
 	s := &m.settings
 	c := m.clients[j.Client]
@@ -148,7 +150,7 @@
 	return q, ""
 }
 
-// take counts a job as held, from its PUSH or its requeue on.
+// addHeld counts a job as held, from its PUSH or its requeue on, and starts its deadline.
 func (m *Machine) addHeld(now Time, j *Job, q *queue) {
 	m.held++
 	m.heldBytes += int(j.Size)
@@ -166,7 +168,7 @@
 	m.armExpiry(j)
 }
 
-// armEnd has the job's time end while no worker holds it.
+// armExpiry sets the timer for the earlier of a job's deadline and its ExpiresAt, which apply until a worker holds it.
 func (m *Machine) armExpiry(j *Job) {
 	at := j.deadline
 	if j.ExpiresAt > 0 && (at == 0 || j.ExpiresAt < at) {
@@ -175,23 +177,24 @@
 	m.setExpiry(j, at)
 }
 
-// comeBack is when a client that was turned away may try again: by the pace at which jobs end.
+// retryAfter is when a rejected client may push again: after about 16 job ends at the present rate, bounded to 100 ms
+// to 30 s.
 func (m *Machine) retryAfter() Time {
 	return min(max(Time(16*m.meanEndInterval), 100*Millisecond), 30*Second)
 }
 
-// endAt arms the end of a job's time, and wakeAt its next step; at 0 they take it out. A job that needs neither has
-// no timers.
+// setExpiry sets the timer that ends a job which has not started; at 0 stops it. A job without timers allocates none.
 func (m *Machine) setExpiry(j *Job, at Time) { m.setTimer(&j.expiryTimer, j, at, false) }
 
+// setNextStep sets the timer for a job's next state change; at 0 stops it.
 func (m *Machine) setNextStep(j *Job, at Time) { m.setTimer(&j.stepTimer, j, at, true) }
 
-func (m *Machine) setTimer(t **timer, j *Job, at Time, wakes bool) {
+func (m *Machine) setTimer(t **timer, j *Job, at Time, isStep bool) {
 	if *t == nil {
 		if at == 0 {
 			return
 		}
-		*t = &timer{job: j, isStep: wakes}
+		*t = &timer{job: j, isStep: isStep}
 	}
 	if m.timers.set(*t, at); at == 0 {
 		*t = nil
@@ -206,8 +209,8 @@
 	m.openRequests(now, q)
 }
 
-// letIn opens requests for the jobs of a queue, as far as FETCHes wait for them, or the table workers take
-// them: a backlog waits here, where it takes no place from others in the core.
+// openRequests opens requests in the core for the jobs of a queue, one for each waiting FETCH and as many as the table
+// workers may hold. The rest of the backlog stays here, where it uses no capacity of the core.
 func (m *Machine) openRequests(now Time, q *queue) {
 	for q.backlog > 0 && m.mayOpen(now, q) {
 		if w := q.waiting.first; w != nil {
@@ -221,80 +224,82 @@
 	}
 }
 
+// mayOpen reports whether jobs of the queue may get a request in the core now.
 func (m *Machine) mayOpen(now Time, q *queue) bool {
 	return !q.paused && !m.draining && m.clearReason == "" && now >= q.notBefore
 }
 
-// open lets the next job of a queue in.
-func (m *Machine) openNext(q *queue, a *Fetch) {
+// openNext opens a request for the next job of a queue: for a FETCH or, with nil, for the table workers.
+func (m *Machine) openNext(q *queue, fetch *Fetch) {
 	j := q.head()
 	j.unlink()
 	q.backlog--
 	q.openCount++
-	j.isOpen, j.fetch = true, a
+	j.isOpen, j.fetch = true, fetch
 	worker := ""
-	if a == nil {
+	if fetch == nil {
 		j.countsAsTable = true
 		q.tableOpen++
 		q.unbound.add(j)
 	} else {
-		a.job, worker = j, a.Worker
+		fetch.job, worker = j, fetch.Worker
 		q.bound.add(j)
 	}
 	m.actions.OpenRequest(j, worker)
 }
 
-// Wait has a FETCH wait for a job of the queues named. It gives false where none of them can be had, since
-// there are too many queues. The answer is the host's to give, when an attempt comes; it then calls Given.
-func (m *Machine) AddFetch(now Time, a *Fetch, worker string, names []string) bool {
-	a.Worker = worker
-	if !slices.Equal(a.names, names) || slices.ContainsFunc(a.queues, func(w weightedQueue) bool { return w.q.removed }) {
-		a.names, a.queues = append(a.names[:0], names...), a.queues[:0]
+// AddFetch registers a FETCH that waits for a job of the named queues. It returns false when none of the queues could
+// be created because there are too many. The host answers the FETCH when an attempt reaches the worker, and then calls
+// Started.
+func (m *Machine) AddFetch(now Time, fetch *Fetch, worker string, names []string) bool {
+	fetch.Worker = worker
+	if !slices.Equal(fetch.names, names) || slices.ContainsFunc(fetch.queues, func(w weightedQueue) bool { return w.q.removed }) {
+		fetch.names, fetch.queues = append(fetch.names[:0], names...), fetch.queues[:0]
 		for _, name := range names {
-			if i := slices.IndexFunc(a.queues, func(w weightedQueue) bool { return w.q.name == name }); i >= 0 {
-				a.queues[i].weight++
+			if i := slices.IndexFunc(fetch.queues, func(w weightedQueue) bool { return w.q.name == name }); i >= 0 {
+				fetch.queues[i].weight++
 			} else if q := m.findOrCreateQueue(name); q != nil {
-				a.queues = append(a.queues, weightedQueue{q, 1})
+				fetch.queues = append(fetch.queues, weightedQueue{q, 1})
 			}
 		}
-		a.nodes = make([]waiter, len(a.queues))
-		for i := range a.nodes {
-			a.nodes[i].fetch = a
+		fetch.nodes = make([]waiter, len(fetch.queues))
+		for i := range fetch.nodes {
+			fetch.nodes[i].fetch = fetch
 		}
-		if len(a.queues) == 0 {
-			a.names = a.names[:0]
+		if len(fetch.queues) == 0 {
+			fetch.names = fetch.names[:0]
 			return false
 		}
 	}
-	a.isWaiting = true
-	m.matchFetch(now, a)
+	fetch.isWaiting = true
+	m.matchFetch(now, fetch)
 	return true
 }
 
-// serve finds a job for a FETCH: the first of its queues that has one, in its order of them.
-func (m *Machine) matchFetch(now Time, a *Fetch) {
-	for _, w := range a.orderQueues(m.rng) {
+// matchFetch finds a job for a FETCH: from the first of its queues that has one, in the order of orderQueues.
+func (m *Machine) matchFetch(now Time, fetch *Fetch) {
+	for _, w := range fetch.orderQueues(m.rng) {
 		q := w.q
 		if !q.usesTableWorkers && q.unbound.first != nil {
-			m.bind(q.unbound.first, a)
+			m.bind(q.unbound.first, fetch)
 			return
 		}
 		if q.backlog > 0 && m.mayOpen(now, q) {
-			m.openNext(q, a)
+			m.openNext(q, fetch)
 			return
 		}
 	}
-	a.joinQueues()
+	fetch.joinQueues()
 }
 
-// cover has a FETCH that waits stand for a job that is in the core already.
-func (m *Machine) bind(j *Job, a *Fetch) {
+// bind assigns a waiting FETCH to a job that has a request in the core already.
+func (m *Machine) bind(j *Job, fetch *Fetch) {
 	j.unlink()
 	m.queues[j.Queue].bound.add(j)
-	j.fetch, a.job = a, j
+	j.fetch, fetch.job = fetch, j
 }
 
-// uncover finds another FETCH for a job that has lost its own.
+// unbind removes a job's FETCH and assigns another one that waits at its queue, if any.
 func (m *Machine) unbind(j *Job) {
 	j.fetch = nil
 	q := m.queues[j.Queue]
@@ -306,22 +311,22 @@
 	}
 }
 
-// Stop ends a FETCH without a job.
-func (m *Machine) CancelFetch(a *Fetch) {
-	if !a.isWaiting {
+// CancelFetch ends a FETCH without a job.
+func (m *Machine) CancelFetch(fetch *Fetch) {
+	if !fetch.isWaiting {
 		return
 	}
-	a.isWaiting = false
-	a.leaveQueues()
-	if j := a.job; j != nil {
-		a.job = nil
+	fetch.isWaiting = false
+	fetch.leaveQueues()
+	if j := fetch.job; j != nil {
+		fetch.job = nil
 		m.unbind(j)
 	}
 }
 
-// Given tells that a worker has the job: by the FETCH a, which is answered with it, or, where a is nil, as a
-// table worker. From here on it may run.
-func (m *Machine) Started(now Time, j *Job, worker string, a *Fetch) {
+// Started reports that a worker holds the job: by the FETCH that is answered with it or, with nil, as a table worker.
+// From here on the job may have run.
+func (m *Machine) Started(now Time, j *Job, worker string, fetch *Fetch) {
 	q := m.queues[j.Queue]
 	if !j.isOpen {
 		return
@@ -333,7 +338,7 @@
 		m.enqueued--
 		j.unlink()
 		m.working.add(j)
-		m.setExpiry(j, 0) // the core ends a try when the pusher's time is over
+		m.setExpiry(j, 0) // the core times out a run when the client's deadline passes
 		if j.UniqueUntilStart {
 			m.releaseLock(j)
 		}
@@ -345,28 +350,28 @@
 		reserve = m.settings.DefaultReservation
 	}
 	m.setNextStep(j, now+reserve)
-	if a != nil {
-		other := a.job
-		a.isWaiting, a.job = false, nil
-		a.leaveQueues()
+	if fetch != nil {
+		other := fetch.job
+		fetch.isWaiting, fetch.job = false, nil
+		fetch.leaveQueues()
 		if other != nil && other != j {
 			m.unbind(other)
 		}
 	}
-	if mine != nil && mine != a {
+	if mine != nil && mine != fetch {
 		mine.job = nil
 		m.matchFetch(now, mine)
 	}
 }
 
-// Extend moves the end of a reservation, for a worker that says how long it will still take.
+// Extend moves the end of a job's reservation to a later time.
 func (m *Machine) Extend(j *Job, until Time) {
 	if j.State == Working && j.stepTimer != nil && j.stepTimer.index > 0 {
 		m.setNextStep(j, max(until, j.stepTimer.at))
 	}
 }
 
-// Tables tells whether there are table workers.
+// SetTableWorkersReady reports whether any table worker is ready.
 func (m *Machine) SetTableWorkersReady(now Time, ready bool) {
 	if m.tableWorkersReady = ready; ready {
 		for _, q := range m.queueOrder {
@@ -375,7 +380,8 @@
 	}
 }
 
-// Due does what has come due, and a bounded part of what takes long; it tells whether more is due now.
+// ProcessDue runs the timers that are due and a part of any flush, drain or mutation, budget steps in all. It reports
+// whether more is due now.
 func (m *Machine) ProcessDue(now Time, budget int) (more bool) {
 	budget = m.clearSome(now, budget)
 	for ; budget > 0 && m.timers.Len() > 0 && m.timers.items[0].at <= now; budget-- {
@@ -396,7 +402,8 @@
 	return ok && at <= now
 }
 
-// step takes a job's next step: it is due, to be tried again, or its reservation has run out.
+// advance moves a job on when its step timer fires: a scheduled or retrying job is enqueued, the reservation of a
+// working one ends.
 func (m *Machine) advance(now Time, j *Job) {
 	switch j.State {
 	case Scheduled, Retrying:
@@ -410,7 +417,7 @@
 	}
 }
 
-// Next tells when Due has to be called; false: there is nothing to wait for.
+// NextDue returns when ProcessDue has to be called; false: nothing is pending.
 func (m *Machine) NextDue(now Time) (at Time, ok bool) {
 	if m.clearReason != "" || len(m.mutations) > 0 {
 		return now, true
@@ -421,7 +428,7 @@
 	return 0, false
 }
 
-// guard takes the job's lock, and unguard gives it back.
+// acquireLock gives the job the lock of its fingerprint, from an older job if need be, for UniqueFor.
 func (m *Machine) acquireLock(now Time, j *Job) {
 	if old := m.locks[j.Fingerprint]; old != nil {
 		m.timers.set(&old.timer, 0)
@@ -434,6 +441,7 @@
 	m.timers.set(&l.timer, max(now, j.NotBefore)+j.UniqueFor)
 }
 
+// releaseLock removes the job's lock, if it still holds it.
 func (m *Machine) releaseLock(j *Job) {
 	if l := j.lock; l != nil && m.locks[l.key] == l {
 		m.timers.set(&l.timer, 0)
--- a/internal/jobs/machine_test.go
+++ b/internal/jobs/machine_test.go
@@ -9,28 +9,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// host takes down what a machine asks for.
-type host struct {
+// fakeHost records the actions of a Machine and holds its clock.
+type fakeHost struct {
 	*Machine
 	now       Time
 	opened    []string
 	open      map[string]*Job
-	withdrawn []string
+	cancelled []string
 	expired   []*Job
 	mutated   []Mutation
 }
 
-func (h *host) OpenRequest(j *Job, _ string) {
+func (h *fakeHost) OpenRequest(j *Job, _ string) {
 	h.opened = append(h.opened, j.ID)
 	h.open[j.ID] = j
 }
-func (h *host) CancelRequest(j *Job)               { h.withdrawn = append(h.withdrawn, j.ID) }
-func (h *host) ExpireReservation(j *Job)           { h.expired = append(h.expired, j) }
-func (h *host) JobEnded(*Job)                      {}
-func (h *host) MutationDone(_ uint64, mu Mutation) { h.mutated = append(h.mutated, mu) }
+func (h *fakeHost) CancelRequest(j *Job)               { h.cancelled = append(h.cancelled, j.ID) }
+func (h *fakeHost) ExpireReservation(j *Job)           { h.expired = append(h.expired, j) }
+func (h *fakeHost) JobEnded(*Job)                      {}
+func (h *fakeHost) MutationDone(_ uint64, mu Mutation) { h.mutated = append(h.mutated, mu) }
 
-func newHost(change func(*Settings)) *host {
-	h := &host{now: 1 << 42, open: map[string]*Job{}}
+func newFakeHost(change func(*Settings)) *fakeHost {
+	h := &fakeHost{now: 1 << 42, open: map[string]*Job{}}
 	s := Settings{IsRepeatable: []bool{true, false}, DefaultReservation: 1800 * Second, MaxHeldJobs: 1000, MaxHeldBytes: 1 << 20, MaxQueueJobs: 1000, MaxClientJobs: 1000,
 		MaxClientBytes: 1 << 20, MaxScheduled: 1000, MaxRetries: 1000, MaxQueues: 16, MaxDead: 1000, MaxDeadBytes: 1 << 20, MaxEnded: 100,
 		MaxEndedBytes: 1 << 20, TableWindow: 4}
@@ -41,7 +41,7 @@
 	return h
 }
 
-func (h *host) push(id string, change func(*Job)) PushResult {
+func (h *fakeHost) push(id string, change func(*Job)) PushResult {
 	j := &Job{ID: id, Type: "t", Queue: "a", Priority: DefaultPriority, Retry: DefaultRetries, Size: 100, Client: "c", Options: &Options{}}
 	if change != nil {
 		change(j)
@@ -49,8 +49,8 @@
 	return h.Push(h.now, j)
 }
 
-// fetch has a FETCH answered with the job that was let in for it.
-func (h *host) fetch(queues ...string) *Job {
+// fetch sends a FETCH and starts the job that was opened for it; nil: there was none, and the FETCH is cancelled.
+func (h *fakeHost) fetch(queues ...string) *Job {
 	a := &Fetch{}
 	n := len(h.opened)
 	h.AddFetch(h.now, a, "w", queues)
@@ -63,14 +63,14 @@
 	return j
 }
 
-func (h *host) pass(by Time) {
-	h.now += by
+func (h *fakeHost) advanceClock(delta Time) {
+	h.now += delta
 	for h.ProcessDue(h.now, 100) {
 	}
 }
 
-func TestPriorityThenOrderOfComing(t *testing.T) {
-	h := newHost(nil)
+func TestFetchOrderIsPriorityThenPushOrder(t *testing.T) {
+	h := newFakeHost(nil)
 	for i, p := range []int{5, 1, 9, 5, 9} {
 		h.push(fmt.Sprint("job-", i), func(j *Job) { j.Priority = int32(p) })
 	}
@@ -82,8 +82,8 @@
 	assert.Equal(t, []string{"other", "job-2", "job-4", "job-0", "job-3", "job-1"}, got)
 }
 
-func TestAQueueListedMoreOftenIsChosenMoreOften(t *testing.T) {
-	h := newHost(nil)
+func TestFetchDrawsQueuesByWeight(t *testing.T) {
+	h := newFakeHost(nil)
 	for i := range 400 {
 		h.push(fmt.Sprint("a-", i), nil)
 		h.push(fmt.Sprint("b-", i), func(j *Job) { j.Queue = "b" })
@@ -95,109 +95,109 @@
 	assert.InDelta(t, 300, first["a"], 40)
 }
 
-func TestFailedTriesComeBackOnlyAsFarAsTheClassPermits(t *testing.T) {
+func TestFailedRunIsRetriedOnlyIfClassAndRetryAllow(t *testing.T) {
 	for _, c := range []struct {
 		class, retry int
 		state        State
-		why          Reason
+		reason       Reason
 	}{
 		{0, 25, Retrying, ""}, {0, 0, Dead, RetriesExhausted}, {0, -1, Failed, Discarded},
 		{1, 25, Dead, MayHaveRun}, {1, -1, Failed, Discarded},
 	} {
-		h := newHost(nil)
+		h := newFakeHost(nil)
 		h.push("job", func(j *Job) { j.Class, j.Retry = int32(c.class), int32(c.retry) })
 		j := h.fetch("a")
 		h.Machine.RequestEnded(h.now, j, OutcomeFailed, 0, &Failure{Type: "E", Message: "m"})
-		assert.Equal(t, []any{c.state, c.why}, []any{j.State, j.Reason})
+		assert.Equal(t, []any{c.state, c.reason}, []any{j.State, j.Reason})
 	}
 }
 
-func TestBackoffGrowsAsThePublicFormula(t *testing.T) {
-	h := newHost(nil)
+func TestBackoffFollowsTheFaktoryFormula(t *testing.T) {
+	h := newFakeHost(nil)
 	h.push("job", func(j *Job) { j.Retry = 2 })
-	for n, least := range []Time{15, 16} {
+	for n, minSeconds := range []Time{15, 16} {
 		j := h.fetch("a")
 		h.Machine.RequestEnded(h.now, j, OutcomeFailed, 0, nil)
 		at, ok := h.NextDue(h.now)
 		require.True(t, ok)
-		assert.GreaterOrEqual(t, at-h.now, least*Second)
-		assert.Less(t, at-h.now, (least+30*Time(n+1))*Second)
-		h.pass(at - h.now)
+		assert.GreaterOrEqual(t, at-h.now, minSeconds*Second)
+		assert.Less(t, at-h.now, (minSeconds+30*Time(n+1))*Second)
+		h.advanceClock(at - h.now)
 	}
 	j := h.fetch("a")
 	h.Machine.RequestEnded(h.now, j, OutcomeFailed, 0, nil)
 	assert.Equal(t, []any{Dead, RetriesExhausted, int32(3)}, []any{j.State, j.Reason, j.Failures})
 }
 
-func TestARefusedTryKeepsItsPlaceAndIsNotAFailure(t *testing.T) {
-	h := newHost(nil)
+func TestRefusedRunReturnsToTheFrontAndIsNoFailure(t *testing.T) {
+	h := newFakeHost(nil)
 	h.push("one", func(j *Job) { j.Class = 1 })
 	h.push("two", nil)
 	a := &Fetch{}
 	h.AddFetch(h.now, a, "w", []string{"a"})
 	h.Machine.RequestEnded(h.now, h.open["one"], OutcomeRefused, 0, nil)
-	assert.Equal(t, []string{"one"}, h.opened, "not let in again at once")
-	h.pass(Second)
+	assert.Equal(t, []string{"one"}, h.opened, "not opened again at once")
+	h.advanceClock(Second)
 	assert.Equal(t, []string{"one", "one"}, h.opened)
 	assert.Zero(t, h.open["one"].Failures)
 }
 
-func TestReservationAndLateEnds(t *testing.T) {
-	h := newHost(nil)
+func TestExtendedReservationAndLateReport(t *testing.T) {
+	h := newFakeHost(nil)
 	h.push("job", func(j *Job) { j.Reservation = 60 * Second })
 	j := h.fetch("a")
 	h.Extend(j, h.now+90*Second)
-	h.pass(80 * Second)
+	h.advanceClock(80 * Second)
 	assert.Empty(t, h.expired)
-	h.pass(11 * Second)
+	h.advanceClock(11 * Second)
 	require.Len(t, h.expired, 1)
 	h.Machine.RequestEnded(h.now, j, OutcomeFailed, 0, nil)
 	h.Machine.RequestEnded(h.now, j, OutcomeServed, 0, nil)
-	assert.Equal(t, Retrying, j.State, "the late end changes nothing")
+	assert.Equal(t, Retrying, j.State, "the late report changes nothing")
 }
 
-func TestTimes(t *testing.T) {
-	h := newHost(nil)
+func TestNotBeforeDeadlineAndExpiresAt(t *testing.T) {
+	h := newFakeHost(nil)
 	at := h.now + 10*Second
 	h.push("later", func(j *Job) { j.NotBefore, j.TimeLeft = at, 3*Second })
 	h.push("stale", func(j *Job) { j.ExpiresAt = h.now + Second })
 	assert.Equal(t, "stale", h.fetch("a").ID)
 	h.push("stale-2", func(j *Job) { j.ExpiresAt = h.now + Second })
 	assert.Equal(t, Scheduled, h.Find("later").State)
-	h.pass(9 * Second)
+	h.advanceClock(9 * Second)
 	assert.Equal(t, []any{Refused, Expired}, []any{h.Find("stale-2").State, h.Find("stale-2").Reason})
 	assert.Equal(t, Working, h.Find("stale").State, "it started in time")
-	h.pass(Second)
+	h.advanceClock(Second)
 	assert.Equal(t, Enqueued, h.Find("later").State)
-	h.pass(3 * Second)
-	assert.Equal(t, Refused, h.Find("later").State, "its time counted from at")
+	h.advanceClock(3 * Second)
+	assert.Equal(t, Refused, h.Find("later").State, "its deadline counts from NotBefore")
 }
 
-func TestUniqueJobs(t *testing.T) {
-	h := newHost(nil)
+func TestUniqueJobsHoldTheirLock(t *testing.T) {
+	h := newFakeHost(nil)
 	unique := func(start bool) func(*Job) {
 		return func(j *Job) { j.UniqueFor, j.UniqueUntilStart, j.Fingerprint[0] = 60*Second, start, 7 }
 	}
 	require.True(t, h.push("one", unique(false)).Accepted)
 	assert.True(t, h.push("two", unique(false)).NotUnique)
 	j := h.fetch("a")
-	assert.True(t, h.push("two", unique(false)).NotUnique, "until it was served")
+	assert.True(t, h.push("two", unique(false)).NotUnique, "locked until it was served")
 	h.Machine.RequestEnded(h.now, j, OutcomeServed, 0, nil)
 	require.True(t, h.push("two", unique(true)).Accepted)
 	h.fetch("a")
-	require.True(t, h.push("three", unique(false)).Accepted, "until its start")
-	h.pass(61 * Second)
-	assert.True(t, h.push("four", unique(false)).Accepted, "its time is over")
+	require.True(t, h.push("three", unique(false)).Accepted, "locked until its start only")
+	h.advanceClock(61 * Second)
+	assert.True(t, h.push("four", unique(false)).Accepted, "UniqueFor is over")
 }
 
-func TestFullSaysWhichBoundAndWhenToReturn(t *testing.T) {
+func TestRejectedPushNamesTheLimitAndRetryAfter(t *testing.T) {
 	for want, change := range map[Reason]func(*Settings){
 		LimitHeldJobs: func(s *Settings) { s.MaxHeldJobs = 2 }, LimitHeldBytes: func(s *Settings) { s.MaxHeldBytes = 250 },
 		LimitQueueJobs: func(s *Settings) { s.MaxQueueJobs = 2 }, LimitClientJobs: func(s *Settings) { s.MaxClientJobs = 2 },
 		LimitClientBytes: func(s *Settings) { s.MaxClientBytes = 250 }, LimitScheduled: func(s *Settings) { s.MaxScheduled = 2 },
 		LimitUniqueLocks: func(s *Settings) { s.MaxHeldJobs = 1 }, LimitQueues: func(s *Settings) { s.MaxQueues = 1 },
 	} {
-		h := newHost(change)
+		h := newFakeHost(change)
 		v := PushResult{}
 		for i := 0; i < 3; i++ {
 			v = h.push(fmt.Sprint(i), func(j *Job) {
@@ -222,9 +222,10 @@
 	}
 }
 
-// A backlog waits outside the core: no more is let in than FETCHes wait, or the table workers may hold.
-func TestABacklogWaitsOutsideTheCore(t *testing.T) {
-	h := newHost(nil)
+// Guards against a backlog that fills the core: no more requests are opened than FETCHes wait, or than the table
+// workers may hold.
+func TestBacklogStaysOutsideTheCore(t *testing.T) {
+	h := newFakeHost(nil)
 	for i := range 50 {
 		h.push(fmt.Sprint("a-", i), nil)
 		h.push(fmt.Sprint("t-", i), func(j *Job) { j.Queue = "tables" })
@@ -232,21 +233,21 @@
 	assert.Empty(t, h.opened)
 	h.SetTableWorkersReady(h.now, true)
 	assert.Len(t, h.opened, 4, "the window of the table workers")
-	asks := []*Fetch{{}, {}}
-	for _, a := range asks {
+	fetches := []*Fetch{{}, {}}
+	for _, a := range fetches {
 		h.AddFetch(h.now, a, "w", []string{"a"})
 	}
 	assert.Len(t, h.opened, 6)
-	h.Started(h.now, h.open["a-0"], "w", asks[1])
-	assert.Len(t, h.opened, 6, "the other FETCH now stands for the other job")
+	h.Started(h.now, h.open["a-0"], "w", fetches[1])
+	assert.Len(t, h.opened, 6, "the other FETCH is bound to the other job")
 	h.Machine.RequestEnded(h.now, h.open["t-0"], OutcomeRefused, Second, nil)
-	h.pass(2 * Second)
+	h.advanceClock(2 * Second)
 	assert.LessOrEqual(t, h.queues["tables"].tableOpen, 4)
 	assert.Equal(t, 2, h.queues["tables"].tableWindow, "half after a refusal")
 }
 
-func TestMutations(t *testing.T) {
-	h := newHost(nil)
+func TestMutationsRunInPartsAndRespectTheClass(t *testing.T) {
+	h := newFakeHost(nil)
 	for i := range 6 {
 		h.push(fmt.Sprint("job-", i), func(j *Job) { j.Class, j.Retry = int32(i%2), 0 })
 		h.Machine.RequestEnded(h.now, h.fetch("a"), OutcomeFailed, 0, nil)
@@ -254,26 +255,26 @@
 	require.Equal(t, 6, h.Stats().Dead)
 	h.Mutate(Mutation{Command: Requeue, Set: SetDead}, 1)
 	h.ProcessDue(h.now, 2)
-	require.Empty(t, h.mutated, "a bounded part at a time")
-	h.pass(0)
+	require.Empty(t, h.mutated, "a bounded part in each call")
+	h.advanceClock(0)
 	require.Len(t, h.mutated, 1)
 	assert.Equal(t, []any{3, map[Reason]int{MayHaveRun: 3}}, []any{h.mutated[0].Changed, h.mutated[0].Rejected})
-	assert.Equal(t, []int{3, 3}, []int{h.Stats().Enqueued, h.Stats().Dead}, "what must not run twice stays dead")
+	assert.Equal(t, []int{3, 3}, []int{h.Stats().Enqueued, h.Stats().Dead}, "jobs that must not run twice stay dead")
 	h.Mutate(Mutation{Command: Discard, Set: SetDead, IDs: []string{"job-1", "none"}}, 2)
 	h.Mutate(Mutation{Command: Clear, Set: SetDead, Matches: func(j *Job) bool { return j.ID == "job-3" }}, 3)
-	h.pass(0)
+	h.advanceClock(0)
 	assert.Equal(t, []int{1, 1, 1}, []int{h.mutated[1].Changed, h.mutated[2].Changed, h.Stats().Dead})
 	h.push("later", func(j *Job) { j.NotBefore = h.now + Second })
 	h.Mutate(Mutation{Command: Kill, Set: SetScheduled}, 4)
-	h.pass(0)
+	h.advanceClock(0)
 	assert.Equal(t, []any{Dead, ByOperator}, []any{h.Find("later").State, h.Find("later").Reason})
 	h.Mutate(Mutation{Command: Requeue, Set: SetDead, IDs: []string{"later"}}, 5)
-	h.pass(0)
+	h.advanceClock(0)
 	assert.Equal(t, Enqueued, h.Find("later").State, "it never ran")
 }
 
-func TestDeadAndEndedForgetTheirOldest(t *testing.T) {
-	h := newHost(func(s *Settings) { s.MaxDead, s.MaxEnded = 2, 3 })
+func TestDeadAndEndedEvictTheOldest(t *testing.T) {
+	h := newFakeHost(func(s *Settings) { s.MaxDead, s.MaxEnded = 2, 3 })
 	for i := range 5 {
 		h.push(fmt.Sprint("d-", i), func(j *Job) { j.Class = 1 })
 		h.Machine.RequestEnded(h.now, h.fetch("a"), OutcomeFailed, 0, nil)
@@ -286,8 +287,8 @@
 	assert.NotNil(t, h.Find("d-4"))
 }
 
-func TestDrainEndsWhatNobodyHolds(t *testing.T) {
-	h := newHost(nil)
+func TestDrainEndsJobsThatNoWorkerHolds(t *testing.T) {
+	h := newFakeHost(nil)
 	h.push("working", func(j *Job) { j.Class = 1 })
 	w := h.fetch("a")
 	h.push("open", nil)
@@ -295,21 +296,22 @@
 	h.push("held", func(j *Job) { j.Queue = "b" })
 	h.push("later", func(j *Job) { j.NotBefore = h.now + Second })
 	h.Drain()
-	h.pass(0)
+	h.advanceClock(0)
 	for _, id := range []string{"open", "held", "later"} {
 		assert.Equal(t, []any{Refused, ShutDown}, []any{h.Find(id).State, h.Find(id).Reason}, id)
 	}
-	assert.Equal(t, []string{"open"}, h.withdrawn)
+	assert.Equal(t, []string{"open"}, h.cancelled)
 	assert.Equal(t, ShutDown, h.push("new", nil).Rejected)
 	h.Machine.RequestEnded(h.now, w, OutcomeServed, 0, nil)
 	assert.Equal(t, Served, w.State)
 }
 
-// The cost of a cycle must not grow with what is held; see docs/measurements/faktory.md.
+// Measures a cycle of PUSH, FETCH and ACK at several numbers of held jobs; its cost must not grow with them
+// (docs/measurements/faktory.md).
 func BenchmarkCycle(b *testing.B) {
 	for _, held := range []int{10, 1000, 100_000} {
 		b.Run(fmt.Sprint(held), func(b *testing.B) {
-			h := newHost(func(s *Settings) {
+			h := newFakeHost(func(s *Settings) {
 				s.MaxHeldJobs, s.MaxQueueJobs, s.MaxClientJobs, s.MaxHeldBytes, s.MaxClientBytes = 1<<20, 1<<20, 1<<20, 1<<30, 1<<30
 			})
 			for i := range held {
--- a/internal/jobs/main_test.go
+++ b/internal/jobs/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The same worlds are drawn in every run: more, or others, with -rapid.checks and -rapid.seed.
+// Fixes rapid's seed so that every run draws the same cases; -rapid.checks and -rapid.seed draw more or others.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.seed", "20261201")
 	flag.Set("rapid.checks", "4000")
--- a/internal/jobs/mutate.go
+++ b/internal/jobs/mutate.go
@@ -10,41 +10,41 @@
 	SetDead      Set = "dead"
 )
 
-// Command is what MUTATE does to the jobs that it finds.
+// Command is the operation of a MUTATE on the jobs that match.
 type Command string
 
 // The commands.
 const (
-	Kill    Command = "kill"    // to the dead
-	Discard Command = "discard" // ended, or forgotten where dead
+	Kill    Command = "kill"    // moved to the dead
+	Discard Command = "discard" // ended or, if dead, removed
 	Requeue Command = "requeue" // enqueued now
-	Clear   Command = "clear"   // discard all
+	Clear   Command = "clear"   // as Discard, for all jobs of the set
 )
 
-// Mutation is an operator's MUTATE, and what became of it.
+// Mutation is an operator's MUTATE and its result.
 type Mutation struct {
 	Command         Command
 	Set             Set
-	IDs             []string          // only these; nil: all
-	Matches         func(j *Job) bool // only these; nil: all
-	Changed         int               // jobs
-	Rejected        map[Reason]int    // jobs that were to be requeued and could not be, by why
-	RejectedExample map[Reason]string // one id for each of these
+	IDs             []string          // nil: all jobs of the set
+	Matches         func(j *Job) bool // nil: all jobs
+	Changed         int               // number of jobs
+	Rejected        map[Reason]int    // jobs that could not be requeued, by reason
+	RejectedExample map[Reason]string // one id for each reason
 }
 
 type runningMutation struct {
 	Mutation
 	token      uint64
 	hasStarted bool
-	lastSeq    uint64 // jobs that came into the set later are not looked at
-	nextID     int    // of IDs
+	lastSeq    uint64 // jobs that were added to the set later are skipped
+	nextID     int    // index into IDs
 }
 
-// MaxMutations may be under way at once; one more is not taken.
+// MaxMutations is the number of mutations that may be in progress at once.
 const MaxMutations = 16
 
-// Mutate begins a mutation. It is done over as many calls of Due as it takes, one after the other, and its end
-// is told with Mutated.
+// Mutate starts a mutation; false: MaxMutations are in progress. Mutations run one after the other, each over several
+// calls of ProcessDue, and Actions.MutationDone reports the end.
 func (m *Machine) Mutate(mu Mutation, token uint64) bool {
 	if len(m.mutations) >= MaxMutations {
 		return false
@@ -64,7 +64,7 @@
 	return &m.dead
 }
 
-// mutate does a part of the mutation at the head.
+// runMutations does a part of the oldest mutation, budget jobs in all.
 func (m *Machine) runMutations(now Time, budget int) {
 	for ; budget > 0 && len(m.mutations) > 0; budget-- {
 		r := m.mutations[0]
@@ -97,12 +97,13 @@
 	}
 }
 
+// apply runs the mutation's command on one job.
 func (m *Machine) apply(now Time, r *runningMutation, j *Job) {
 	switch {
 	case r.Command == Requeue:
-		if why := m.requeue(now, j); why != "" {
-			r.Rejected[why]++
-			r.RejectedExample[why] = j.ID
+		if reason := m.requeue(now, j); reason != "" {
+			r.Rejected[reason]++
+			r.RejectedExample[reason] = j.ID
 			return
 		}
 	case j.State == Dead && r.Command == Kill:
@@ -117,9 +118,9 @@
 	r.Changed++
 }
 
-// requeue enqueues a job of a set now. A dead one begins a new life, with all its retries, where its class lets
-// it run again: one that may have run and must not twice stays dead.
-func (m *Machine) requeue(now Time, j *Job) (barred Reason) {
+// requeue enqueues a job of a set now. A dead job starts over with all its retries, unless it may have run and its
+// class forbids a second run; then it stays dead.
+func (m *Machine) requeue(now Time, j *Job) (rejected Reason) {
 	if j.State == Dead {
 		if j.mayHaveRun && !m.settings.IsRepeatable[j.Class] {
 			return MayHaveRun
--- a/internal/jobs/property_test.go
+++ b/internal/jobs/property_test.go
@@ -8,19 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-// world plays the host, the core and the workers of a machine, and keeps a ledger of its own.
+// world is the host, the core and the workers of a Machine; it keeps its own record of each job to check against.
 type world struct {
-	t       *rapid.T
-	m       *Machine
-	now     Time
-	open    map[*Job]bool   // with a request in the core
-	given   map[*Job]*Fetch // with a worker
-	asks    []*Fetch
-	finals  map[*Job]int
-	lives   map[*Job]int
-	runs    map[*Job]int // tries that may have run
-	pushed  []*Job
-	mutated int
+	t           *rapid.T
+	m           *Machine
+	now         Time
+	open        map[*Job]bool   // jobs with a request in the core
+	withWorker  map[*Job]*Fetch // jobs that a worker holds
+	fetches     []*Fetch
+	finalStates map[*Job]int // final states that were reported
+	lifetimes   map[*Job]int // how often the job was pushed or requeued from the dead
+	runs        map[*Job]int // runs that may have started
+	pushed      []*Job
+	mutated     int
 }
 
 func (w *world) OpenRequest(j *Job, worker string) {
@@ -28,36 +28,36 @@
 		w.t.Fatalf("%s is opened twice", j.ID)
 	}
 	if j.State != Enqueued {
-		w.t.Fatalf("%s is opened while %s", j.ID, j.State)
+		w.t.Fatalf("%s is opened in state %s", j.ID, j.State)
 	}
 	if w.runs[j] > 0 && !w.m.settings.IsRepeatable[j.Class] {
-		w.t.Fatalf("%s may have run and must not again", j.ID)
+		w.t.Fatalf("%s may have run and is opened again, which its class forbids", j.ID)
 	}
 	if w.m.queues[j.Queue].paused {
-		w.t.Fatalf("%s is handed out of a paused queue", j.ID)
+		w.t.Fatalf("%s is opened from a paused queue", j.ID)
 	}
 	w.open[j] = true
 }
 
 func (w *world) CancelRequest(j *Job) {
 	if !w.open[j] {
-		w.t.Fatalf("%s is withdrawn and not open", j.ID)
+		w.t.Fatalf("%s is cancelled and has no request", j.ID)
 	}
 	delete(w.open, j)
-	delete(w.given, j)
+	delete(w.withWorker, j)
 }
 
 func (w *world) ExpireReservation(j *Job) {
-	if w.given[j] == nil {
-		w.t.Fatalf("the reservation of %s ran out, and nobody has it", j.ID)
+	if w.withWorker[j] == nil {
+		w.t.Fatalf("the reservation of %s ended, and no worker holds it", j.ID)
 	}
 	w.end(j, OutcomeFailed)
 }
 
 func (w *world) JobEnded(j *Job) {
-	w.finals[j]++
+	w.finalStates[j]++
 	if j.State == Refused && w.runs[j] > 0 {
-		w.t.Fatalf("%s may have run and is said never to", j.ID)
+		w.t.Fatalf("%s may have run and was reported as refused", j.ID)
 	}
 }
 
@@ -66,7 +66,7 @@
 // end ends a request, as the core does, in an event of its own.
 func (w *world) end(j *Job, e Outcome) {
 	delete(w.open, j)
-	delete(w.given, j)
+	delete(w.withWorker, j)
 	w.m.RequestEnded(w.now, j, e, 0, nil)
 }
 
@@ -86,7 +86,7 @@
 			enqueued++
 		}
 		if j.isOpen != w.open[j] {
-			w.t.Fatalf("%s: open here %v, in the core %v", j.ID, j.isOpen, w.open[j])
+			w.t.Fatalf("%s: request open in the machine %v, in the core %v", j.ID, j.isOpen, w.open[j])
 		}
 	}
 	if held != f.Held || bytes != f.HeldBytes || working != f.Working || enqueued != f.Enqueued {
@@ -95,33 +95,34 @@
 	s := &m.settings
 	if f.Held > s.MaxHeldJobs || f.HeldBytes > s.MaxHeldBytes || f.Scheduled > s.MaxScheduled || f.Retries > s.MaxRetries ||
 		f.Dead > s.MaxDead || f.Ended > s.MaxEnded || f.Queues > s.MaxQueues || f.EndedBytes > s.MaxEndedBytes {
-		w.t.Fatalf("a bound is broken: %+v", f)
+		w.t.Fatalf("a limit is exceeded: %+v", f)
 	}
 	for _, j := range w.pushed {
 		final := 0
 		if j.State.IsFinal() {
 			final = 1
 		}
-		if w.finals[j] != w.lives[j]-1+final {
-			w.t.Fatalf("%s has %d final states in %d lives and is %s", j.ID, w.finals[j], w.lives[j], j.State)
+		if w.finalStates[j] != w.lifetimes[j]-1+final {
+			w.t.Fatalf("%s has %d final states in %d lifetimes and is %s", j.ID, w.finalStates[j], w.lifetimes[j], j.State)
 		}
 	}
 	for _, q := range m.queueOrder {
 		if q.backlog > 0 && q.waiting.first != nil && m.mayOpen(w.now, q) {
-			w.t.Fatalf("queue %s has jobs and a FETCH that waits for them", q.name)
+			w.t.Fatalf("queue %s has jobs while a FETCH waits for them", q.name)
 		}
 		if q.bound.count+q.unbound.count != q.openCount {
-			w.t.Fatalf("queue %s: %d open, %d covered, %d adrift", q.name, q.openCount, q.bound.count, q.unbound.count)
+			w.t.Fatalf("queue %s: %d open, %d bound, %d unbound", q.name, q.openCount, q.bound.count, q.unbound.count)
 		}
 	}
-	for _, a := range w.asks {
+	for _, a := range w.fetches {
 		if j := a.job; j != nil && (j.fetch != a || !a.isWaiting || !j.isOpen) {
-			w.t.Fatalf("a FETCH stands for %s, which stands for another", j.ID)
+			w.t.Fatalf("a FETCH is bound to %s, which is bound to another or to none", j.ID)
 		}
 	}
 }
 
-func (w *world) some(from map[*Job]bool, label string) *Job {
+// drawJob draws one of the jobs in from; nil: there is none.
+func (w *world) drawJob(from map[*Job]bool, label string) *Job {
 	var list []*Job
 	for _, j := range w.pushed {
 		if from[j] {
@@ -135,21 +136,21 @@
 }
 
 func newWorld(t *rapid.T) *world {
-	w := &world{t: t, now: 1 << 42, open: map[*Job]bool{}, given: map[*Job]*Fetch{}, finals: map[*Job]int{}, lives: map[*Job]int{},
+	w := &world{t: t, now: 1 << 42, open: map[*Job]bool{}, withWorker: map[*Job]*Fetch{}, finalStates: map[*Job]int{}, lifetimes: map[*Job]int{},
 		runs: map[*Job]int{}}
 	w.m = New(Settings{IsRepeatable: []bool{true, false}, DefaultReservation: 5 * Second, MaxHeldJobs: 12, MaxHeldBytes: 1100, MaxQueueJobs: 8, MaxClientJobs: 9,
 		MaxClientBytes: 900, MaxScheduled: 5, MaxRetries: 3, MaxQueues: 4, MaxDead: 4, MaxDeadBytes: 350, MaxEnded: 5,
 		MaxEndedBytes: 3000, TableWindow: 2}, rand.New(rand.NewPCG(1, 2)), w, func(q string) bool { return q == "tables" })
 	for range 3 {
-		w.asks = append(w.asks, &Fetch{})
+		w.fetches = append(w.fetches, &Fetch{})
 	}
 	return w
 }
 
-// queueNames are queues that jobs are pushed to and fetched from; tables has table workers.
+// queueNames are queues that jobs are pushed to and fetched from; the table workers run the jobs of "tables".
 var queueNames = []string{"a", "b", "tables"}
 
-// push pushes a job of any kind.
+// push pushes a random job.
 func (w *world) push(t *rapid.T) {
 	j := &Job{ID: fmt.Sprint("job-", rapid.IntRange(0, 30).Draw(t, "id")), Options: &Options{}, Class: rapid.Int32Range(0, 1).Draw(t, "class"),
 		Queue: rapid.SampledFrom(append(queueNames, "c", "d")).Draw(t, "queue"), Priority: rapid.Int32Range(0, 10).Draw(t, "priority"),
@@ -166,20 +167,20 @@
 	}
 	if old := w.m.Find(j.ID); w.m.Push(w.now, j).Accepted {
 		if old != nil {
-			t.Fatalf("%s is taken twice", j.ID)
+			t.Fatalf("%s is accepted twice", j.ID)
 		}
-		w.pushed, w.lives[j] = append(w.pushed, j), 1
+		w.pushed, w.lifetimes[j] = append(w.pushed, j), 1
 	}
 }
 
-// give hands an open job to a FETCH that waits for it, or to a table worker.
-func (w *world) give(t *rapid.T) {
-	j := w.some(w.open, "open")
-	if j == nil || w.given[j] != nil {
+// assign gives an open job to a FETCH that waits for it, or to a table worker.
+func (w *world) assign(t *rapid.T) {
+	j := w.drawJob(w.open, "open")
+	if j == nil || w.withWorker[j] != nil {
 		return
 	}
 	var to *Fetch
-	for _, a := range w.asks {
+	for _, a := range w.fetches {
 		if a.isWaiting && a.HasQueue(j.Queue) && (to == nil || rapid.Bool().Draw(t, "other")) {
 			to = a
 		}
@@ -188,17 +189,17 @@
 		return
 	}
 	w.runs[j]++
-	w.given[j] = to
+	w.withWorker[j] = to
 	if to == nil {
-		w.given[j] = &Fetch{}
+		w.withWorker[j] = &Fetch{}
 	}
 	w.m.Started(w.now, j, "w", to)
 	if w.m.Stats().Working == 0 {
-		t.Fatal("given and not working")
+		t.Fatal("a job was started and none is working")
 	}
 }
 
-// advance lets time go by, with what is due.
+// advance moves the clock and processes what is due.
 func (w *world) advance(t *rapid.T) {
 	w.now += Time(rapid.IntRange(1, 30_000).Draw(t, "ms")) * Millisecond
 	for range 40 {
@@ -208,7 +209,7 @@
 	}
 }
 
-// mutate has a MUTATE carried out to its end.
+// mutate runs a random MUTATE to its end.
 func (w *world) mutate(t *rapid.T) {
 	before := map[*Job]bool{}
 	for _, j := range w.pushed {
@@ -225,12 +226,12 @@
 	}
 	for _, j := range w.pushed {
 		if before[j] && !j.State.IsFinal() {
-			w.lives[j]++
+			w.lifetimes[j]++
 		}
 	}
 }
 
-// flush empties the machine, now and then.
+// flush empties the machine, in one of ten calls.
 func (w *world) flush(t *rapid.T) {
 	if rapid.IntRange(0, 9).Draw(t, "rarely") > 0 {
 		return
@@ -239,38 +240,39 @@
 		w.m.ProcessDue(w.now, 5)
 	}
 	if f := w.m.Stats(); f.Held+f.Dead+f.Ended != 0 {
-		t.Fatalf("left after a flush: %+v", f)
+		t.Fatalf("jobs left after a flush: %+v", f)
 	}
 }
 
-// fetch has a FETCH wait that does not yet.
+// fetch registers a FETCH that does not wait yet.
 func (w *world) fetch(t *rapid.T) {
-	a := rapid.SampledFrom(w.asks).Draw(t, "ask")
+	a := rapid.SampledFrom(w.fetches).Draw(t, "ask")
 	if !a.isWaiting {
 		w.m.AddFetch(w.now, a, "w", rapid.SliceOfN(rapid.SampledFrom(queueNames), 1, 4).Draw(t, "queues"))
 	}
 }
 
-// endSome ends an open job, as refused where no worker has it.
+// endSome ends an open job: as refused if no worker holds it, else as served or failed.
 func (w *world) endSome(t *rapid.T) {
-	if j := w.some(w.open, "open"); j != nil && w.given[j] != nil {
+	if j := w.drawJob(w.open, "open"); j != nil && w.withWorker[j] != nil {
 		w.end(j, rapid.SampledFrom([]Outcome{OutcomeServed, OutcomeFailed}).Draw(t, "end"))
 	} else if j != nil {
 		w.end(j, OutcomeRefused)
 	}
 }
 
-// Whatever happens in whatever order: each job that was taken has one final state in each life, none that may
-// have run and must not again is let in again, bounds and counts hold, and no FETCH waits beside a job.
-func TestAnyOrderOfEvents(t *testing.T) {
+// Draws events in random order and checks after each: an accepted job has one final state in each lifetime, a job that
+// may have run is opened again only if its class allows it, limits and counts hold, and no FETCH waits while its queue
+// has a job.
+func TestInvariantsHoldInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		m := w.m
 		t.Repeat(map[string]func(*rapid.T){
 			"push":   w.push,
 			"fetch":  w.fetch,
-			"stop":   func(t *rapid.T) { m.CancelFetch(rapid.SampledFrom(w.asks).Draw(t, "ask")) },
-			"give":   w.give,
+			"stop":   func(t *rapid.T) { m.CancelFetch(rapid.SampledFrom(w.fetches).Draw(t, "ask")) },
+			"give":   w.assign,
 			"end":    w.endSome,
 			"time":   w.advance,
 			"tables": func(t *rapid.T) { m.SetTableWorkersReady(w.now, rapid.Bool().Draw(t, "ready")) },
@@ -281,7 +283,7 @@
 			"flush":  w.flush,
 			"":       func(t *rapid.T) { w.t = t; w.check() },
 		})
-		// The end: what nobody holds is ended at once, the rest with its worker.
+		// After a drain, jobs that no worker holds have ended; the others end with their worker.
 		m.Drain()
 		for m.IsClearing() {
 			m.ProcessDue(w.now, 2)
@@ -293,7 +295,7 @@
 		}
 		w.check()
 		if f := m.Stats(); f.Held != 0 || f.Clients != 0 {
-			t.Fatalf("held after the end: %+v", f)
+			t.Fatalf("held after the drain: %+v", f)
 		}
 	})
 }
--- a/internal/jobs/queue.go
+++ b/internal/jobs/queue.go
@@ -2,23 +2,23 @@
 
 import "math/rand/v2"
 
-// queue holds the enqueued jobs of one name, and the FETCHes that wait for them.
+// queue holds the enqueued jobs of one queue name and the FETCHes that wait for them.
 type queue struct {
 	name       string
 	byPriority [MaxPriority + 1]list
-	backlog    int // enqueued and not let into the core
-	openCount  int // let in, and not with a worker yet
-	heldCount  int // in any state before the end
+	backlog    int // enqueued jobs without a request in the core
+	openCount  int // jobs with a request in the core that no worker holds yet
+	heldCount  int // jobs in any state that is not final
 	paused     bool
 	removed    bool
 	waiting    waiterList
-	bound      list // let in for a FETCH that waits, and not with a worker yet
-	unbound    list // let in, and no FETCH waits for it
+	bound      list // jobs of openCount with a waiting FETCH
+	unbound    list // jobs of openCount without one
 
-	usesTableWorkers bool // the table workers run its jobs too
-	tableWindow      int  // of those that may be with them at once
-	tableOpen        int  // of those that are
-	notBefore        Time // nothing is let in before
+	usesTableWorkers bool // the table workers also run its jobs
+	tableWindow      int  // limit of tableOpen
+	tableOpen        int  // jobs that are with the table workers
+	notBefore        Time // no request is opened before this time
 	resumeTimer      timer
 }
 
@@ -32,7 +32,7 @@
 	q.backlog++
 }
 
-// head is the next job: of the highest priority, and of these the one that came first.
+// head returns the next job: the first of the highest priority; nil: there is none.
 func (q *queue) head() *Job {
 	if q.backlog == 0 {
 		return nil
@@ -45,24 +45,24 @@
 	return nil
 }
 
-// Ask is a FETCH that waits. The host keeps one for each connection and may use it again once it has ended.
+// Fetch is a FETCH that waits for a job. The host keeps one for each connection and may reuse it when it has ended.
 type Fetch struct {
 	Worker string
 
-	names     []string // as last given, to be compared with
+	names     []string // as in the last AddFetch
 	queues    []weightedQueue
 	nodes     []waiter
-	job       *Job // let into the core for it
+	job       *Job // the job whose request it is bound to
 	isWaiting bool
 }
 
-// Waiting tells whether the FETCH has no answer yet.
-func (a *Fetch) IsWaiting() bool { return a.isWaiting }
+// IsWaiting reports whether the FETCH has no reply yet.
+func (f *Fetch) IsWaiting() bool { return f.isWaiting }
 
-// Lists tells whether the FETCH names the queue.
-func (a *Fetch) HasQueue(queue string) bool {
-	for i := range a.queues {
-		if a.queues[i].q.name == queue {
+// HasQueue reports whether the FETCH names the queue.
+func (f *Fetch) HasQueue(queue string) bool {
+	for i := range f.queues {
+		if f.queues[i].q.name == queue {
 			return true
 		}
 	}
@@ -74,7 +74,7 @@
 	weight int
 }
 
-// waiter is an Ask's place among those that wait at a queue.
+// waiter is the entry of a Fetch in the list of one queue.
 type waiter struct {
 	fetch      *Fetch
 	prev, next *waiter
@@ -110,31 +110,31 @@
 	}
 }
 
-// rest has an Ask wait at all its queues.
-func (a *Fetch) joinQueues() {
-	for i := range a.queues {
-		a.queues[i].q.waiting.add(&a.nodes[i])
+// joinQueues adds the FETCH to the waiting list of each of its queues.
+func (f *Fetch) joinQueues() {
+	for i := range f.queues {
+		f.queues[i].q.waiting.add(&f.nodes[i])
 	}
 }
 
-// rise takes it from them.
-func (a *Fetch) leaveQueues() {
-	for i := range a.nodes {
-		a.queues[i].q.waiting.remove(&a.nodes[i])
+// leaveQueues removes it from these lists.
+func (f *Fetch) leaveQueues() {
+	for i := range f.nodes {
+		f.queues[i].q.waiting.remove(&f.nodes[i])
 	}
 }
 
-// order puts the queues of a FETCH into the order of this one: as they are listed, or by weighted draws where
-// a queue is listed more than once (the public documentation's weighted queues).
-func (a *Fetch) orderQueues(rng *rand.Rand) []weightedQueue {
+// orderQueues returns the queues of a FETCH in the order to search them: as listed or, when a queue is listed more than
+// once, by weighted random draws (the weighted queues of Faktory's public documentation).
+func (f *Fetch) orderQueues(rng *rand.Rand) []weightedQueue {
 	total := 0
-	for i := range a.queues {
-		total += a.queues[i].weight
+	for i := range f.queues {
+		total += f.queues[i].weight
 	}
-	if total == len(a.queues) {
-		return a.queues
+	if total == len(f.queues) {
+		return f.queues
 	}
-	left := append([]weightedQueue(nil), a.queues...)
+	left := append([]weightedQueue(nil), f.queues...)
 	for i := range left {
 		n := rng.IntN(total)
 		for k := i; ; k++ {
@@ -148,7 +148,8 @@
 	return left
 }
 
-// queue finds a queue, or makes it where there is room. One that nothing is known of but its name gives way.
+// findOrCreateQueue returns the queue of this name. At MaxQueues it replaces a queue without jobs, pause and waiting
+// FETCHes; nil: there is none.
 func (m *Machine) findOrCreateQueue(name string) *queue {
 	if q := m.queues[name]; q != nil {
 		return q
@@ -183,13 +184,14 @@
 	}
 }
 
-// HasQueue tells whether anything is known of a queue.
+// HasQueue reports whether the queue exists.
 func (m *Machine) HasQueue(name string) bool { return m.queues[name] != nil }
 
-// Make has a queue known; false: there are too many.
+// EnsureQueue creates the queue if need be; false: there are too many.
 func (m *Machine) EnsureQueue(name string) bool { return m.findOrCreateQueue(name) != nil }
 
-// Pause has a queue hand out nothing more, and Resume has it go on. What is in the core goes on.
+// PauseQueue stops a queue from opening requests; jobs in the core are not affected. It returns false when the queue
+// could not be created.
 func (m *Machine) PauseQueue(now Time, name string) bool {
 	q := m.findOrCreateQueue(name)
 	if q == nil {
@@ -199,7 +201,7 @@
 	return true
 }
 
-// Resume ends a pause.
+// ResumeQueue ends a pause. It returns false when the queue could not be created.
 func (m *Machine) ResumeQueue(now Time, name string) bool {
 	q := m.queues[name]
 	if q == nil {
@@ -210,7 +212,7 @@
 	return true
 }
 
-// Remove ends all jobs that wait in a queue; those in the core go on.
+// RemoveQueue ends all jobs that wait in a queue and returns their number; jobs in the core are not affected.
 func (m *Machine) RemoveQueue(now Time, name string) (removed int) {
 	q := m.queues[name]
 	if q == nil {
@@ -227,15 +229,15 @@
 	return removed
 }
 
-// QueueFigures tell of one queue.
+// QueueStats describes one queue.
 type QueueStats struct {
 	Name     string
-	Enqueued int  // not with a worker yet
-	Latency  Time // how long the job that is next has waited
+	Enqueued int  // jobs that no worker holds yet
+	Latency  Time // how long the next job has waited
 	Paused   bool
 }
 
-// Queues tells of all queues, in the order of their first use.
+// QueueStats describes all queues, in the order of their first use.
 func (m *Machine) QueueStats(now Time) (out []QueueStats) {
 	for _, q := range m.queueOrder {
 		f := QueueStats{Name: q.name, Enqueued: q.backlog + q.openCount, Paused: q.paused}
--- a/internal/jobs/timers.go
+++ b/internal/jobs/timers.go
@@ -2,16 +2,16 @@
 
 import "container/heap"
 
-// timer is an entry of the machine's one ordered structure of times. Jobs hold two, for the end of their time
-// and for their next step, locks one, and queues one for the time in which nothing is let in.
+// timer is an entry of the machine's timer heap. A job has up to two, for its expiry and for its next step; a lock has
+// one, and so has a queue, for the end of its refusal delay.
 type timer struct {
 	at     Time
-	index  int // in the heap, from 1; 0: not in it
+	index  int // position in the heap, from 1; 0: not in it
 	seq    uint64
 	job    *Job
 	lock   *lock
 	queue  *queue
-	isStep bool // the job's next step; else its end
+	isStep bool // fires the job's next step; else its expiry
 }
 
 type timers struct {
@@ -42,7 +42,7 @@
 	return t
 }
 
-// set arms a timer, or moves it; at 0 takes it out.
+// set starts or moves a timer; at 0 stops it.
 func (h *timers) set(t *timer, at Time) {
 	if at == 0 {
 		if t.index > 0 {
@@ -61,13 +61,13 @@
 
 func (h *timers) pop() *timer { return heap.Pop(h).(*timer) }
 
-// list is a set of jobs in the order of their coming; a job is in one list at most.
+// list is a set of jobs in the order of insertion. A job is in at most one list.
 type list struct {
 	first, last *Job
 	count       int
 	bytes       int
 	lastSeq     uint64
-	cursor      *Job // of a walk that is under way
+	cursor      *Job // of an iteration in progress
 }
 
 func (l *list) add(j *Job) {
@@ -82,7 +82,7 @@
 	l.linked(j)
 }
 
-// addFirst puts a job back to the head.
+// addFirst puts a job at the front.
 func (l *list) addFirst(j *Job) {
 	j.seq = 0
 	if j.prev, j.next = nil, l.first; l.first != nil {
@@ -100,7 +100,7 @@
 	l.bytes += int(j.Size)
 }
 
-// leave takes a job out of the list that it is in.
+// unlink removes a job from its list.
 func (j *Job) unlink() {
 	l := j.list
 	if l == nil {
