--- a/internal/faktory/client/client.go
+++ b/internal/faktory/client/client.go
@@ -1,5 +1,5 @@
-// Package client is a small client of the Faktory work protocol, written from its public description: for the
-// conformance suite, the demonstration and the measurements. It owns one connection and retries nothing.
+// Package client is a small client of the Faktory work protocol, written from its public description. The conformance
+// suite, the demonstration and the measurements use it; it owns one connection and does not retry.
 package client
 
 import (
@@ -16,9 +16,9 @@
 	"cobaltflow/internal/faktory"
 )
 
-// Options of a connection.
+// Options are the settings of a connection.
 type Options struct {
-	WID      string // makes it a worker's
+	WID      string // makes the connection a worker's; empty: a client that only pushes
 	Password string
 	PID      int
 	Timeout  time.Duration // of the dial and of each reply; 0: 10 s
@@ -28,7 +28,7 @@
 type Conn struct {
 	net.Conn
 	Reader   *bufio.Reader
-	Greeting string // the greeting's object
+	Greeting string // the JSON object of the server's HI
 	timeout  time.Duration
 }
 
@@ -36,16 +36,16 @@
 type Reply struct {
 	Text   string // of a simple or bulk string
 	IsNull bool   // the null bulk string
-	Err    string // of an error, with its first word
+	Err    string // of an error reply, with its first word
 }
 
-// OK tells of the reply +OK.
+// IsOK reports whether the reply is +OK.
 func (r Reply) IsOK() bool { return r.Err == "" && !r.IsNull && r.Text == "OK" }
 
-// ErrClosed tells that the server ended the connection.
+// ErrClosed says that the server closed the connection.
 var ErrClosed = errors.New("the server closed the connection")
 
-// Open connects and reads the greeting.
+// Open connects and reads the greeting, without HELLO.
 func Open(address string, o Options) (*Conn, error) {
 	if o.Timeout == 0 {
 		o.Timeout = 10 * time.Second
@@ -62,12 +62,12 @@
 	}
 	if c.Greeting = strings.TrimPrefix(hi.Text, "HI "); c.Greeting == hi.Text {
 		nc.Close()
-		return nil, fmt.Errorf("greeted with %q%s", hi.Text, hi.Err)
+		return nil, fmt.Errorf("unexpected greeting %q%s", hi.Text, hi.Err)
 	}
 	return c, nil
 }
 
-// Dial connects and says HELLO.
+// Dial connects and sends HELLO.
 func Dial(address string, o Options) (*Conn, error) {
 	c, err := Open(address, o)
 	if err != nil {
@@ -83,7 +83,7 @@
 	}
 	if err := json.Unmarshal([]byte(c.Greeting), &hi); err != nil {
 		c.Close()
-		return nil, fmt.Errorf("greeted with %q", c.Greeting)
+		return nil, fmt.Errorf("malformed greeting %q", c.Greeting)
 	}
 	if hi.Salt != "" {
 		hello["pwdhash"] = faktory.PasswordHash(o.Password, hi.Salt, hi.Rounds)
@@ -107,7 +107,7 @@
 	return c.Read()
 }
 
-// DoJSON sends a command with an object.
+// DoJSON sends a command whose argument is arg as JSON.
 func (c *Conn) DoJSON(verb string, arg any) (Reply, error) {
 	text, err := json.Marshal(arg)
 	if err != nil {
@@ -126,7 +126,7 @@
 	return err
 }
 
-// Read reads one reply.
+// Read reads one reply, within the timeout of the options.
 func (c *Conn) Read() (Reply, error) {
 	c.SetReadDeadline(time.Now().Add(c.timeout))
 	line, err := c.Reader.ReadSlice('\n')
@@ -138,7 +138,7 @@
 	}
 	line = line[:max(0, len(line)-2)]
 	if len(line) == 0 {
-		return Reply{}, errors.New("an empty reply")
+		return Reply{}, errors.New("empty reply")
 	}
 	switch line[0] {
 	case '+':
@@ -148,7 +148,7 @@
 	case '$':
 		n, err := strconv.Atoi(string(line[1:]))
 		if err != nil {
-			return Reply{}, fmt.Errorf("a bulk string of length %q", line[1:])
+			return Reply{}, fmt.Errorf("invalid bulk string length %q", line[1:])
 		}
 		if n < 0 {
 			return Reply{IsNull: true}, nil
@@ -158,11 +158,11 @@
 			return Reply{}, err
 		}
 		if data[n] != '\r' || data[n+1] != '\n' {
-			return Reply{}, errors.New("a bulk string without its end")
+			return Reply{}, errors.New("bulk string without CRLF at its end")
 		}
 		return Reply{Text: string(data[:n])}, nil
 	}
-	return Reply{}, fmt.Errorf("a reply that begins with %q", line[0])
+	return Reply{}, fmt.Errorf("unknown reply type %q", line[0])
 }
 
 // Job is a job as it is pushed or fetched.
@@ -180,7 +180,7 @@
 	Failure    *Failure       `json:"failure,omitempty"`
 }
 
-// Failure is what a job carries once a try has failed.
+// Failure is the failure object of a job that has failed before.
 type Failure struct {
 	RetryCount int      `json:"retry_count"`
 	FailedAt   string   `json:"failed_at"`
@@ -198,7 +198,7 @@
 	return err
 }
 
-// Fetch fetches from queues, in their order; nil: there is no job.
+// Fetch fetches from queues, in their order; nil: no job came within the server's timeout.
 func (c *Conn) Fetch(queues ...string) (*Job, error) {
 	r, err := c.Do("FETCH", strings.Join(queues, " "))
 	if err != nil || r.IsNull {
@@ -214,10 +214,10 @@
 	return &j, nil
 }
 
-// Ack reports a job done.
+// Ack reports that a job is done.
 func (c *Conn) Ack(jid string) error { return c.report("ACK", map[string]any{"jid": jid}) }
 
-// Fail reports a job failed.
+// Fail reports that a job has failed.
 func (c *Conn) Fail(jid, kind, message string, backtrace ...string) error {
 	return c.report("FAIL", map[string]any{"jid": jid, "errtype": kind, "message": message, "backtrace": backtrace})
 }
@@ -230,7 +230,7 @@
 	return err
 }
 
-// Info gives the reply to INFO.
+// Info returns the object of the reply to INFO.
 func (c *Conn) Info() (map[string]any, error) {
 	r, err := c.Do("INFO", "")
 	if err != nil {
--- a/internal/faktory/export_test.go
+++ b/internal/faktory/export_test.go
@@ -6,17 +6,17 @@
 	"cobaltflow/internal/core"
 )
 
-// ExpireForTest ends a job's reservation now, within the present turn.
+// ExpireForTest ends a job's reservation now, within the present turn of the loop.
 func (f *Front) ExpireForTest(jid string) {
 	if j := f.jobs.Find(jid); j != nil {
 		host{f}.ExpireReservation(j)
 	}
 }
 
-// DeadForTest is the number of dead jobs.
+// DeadForTest returns the number of dead jobs.
 func (f *Front) DeadForTest() int { return f.jobs.Stats().Dead }
 
-// FillForTest schedules jobs without the wire.
+// FillForTest schedules n jobs without a connection.
 func (f *Front) FillForTest(n int) {
 	for i := range n {
 		j, err := f.parseJob(fmt.Appendf(nil, `{"jid":"dead-%07d","jobtype":"move","queue":"q","args":[%d]}`, i, i), "here")
@@ -29,7 +29,7 @@
 	}
 }
 
-// Waiting is the number of FETCHes that wait. It is called on the loop.
+// Waiting returns the number of waiting FETCHes. It must be called on the loop.
 func (f *Front) Waiting() (n int) {
 	for _, w := range f.workers {
 		n += len(w.waitingSessions)
--- a/internal/faktory/faktory_test.go
+++ b/internal/faktory/faktory_test.go
@@ -19,7 +19,7 @@
 func start(t *testing.T, change func(*config.Config), workers ...*standin.Worker) *standin.Node {
 	return standin.Start(t, func(c *config.Config) {
 		c.Faktory.Listen = "127.0.0.1:0"
-		c.Settings.SlowStartWindow, c.Settings.OverloadWindow = 1, 1 // a worker is warm at once, but in the test of that
+		c.Settings.SlowStartWindow, c.Settings.OverloadWindow = 1, 1 // no slow start, except in its own test
 		if change != nil {
 			change(c)
 		}
@@ -32,8 +32,9 @@
 	return f
 }
 
-// joined gives a worker that has fetched once, and so is one of the endpoints; its FETCH goes on in the background.
-func joined(n *standin.Node, wid string) (*standin.Faktory, chan [2]string) {
+// startFetching connects a worker that fetches in the background, and returns when it is one of the endpoints. The
+// channel receives the jid and jobtype of the job that it fetches.
+func startFetching(n *standin.Node, wid string) (*standin.Faktory, chan [2]string) {
 	w := session(n, wid)
 	got := make(chan [2]string, 1)
 	go func() {
@@ -51,9 +52,9 @@
 	return w, got
 }
 
-func TestPushFetchAck(t *testing.T) {
+func TestPushFetchAckAndTrack(t *testing.T) {
 	n := start(t, nil)
-	w, got := joined(n, "w-1")
+	w, got := startFetching(n, "w-1")
 	c := session(n, "")
 	require.Equal(t, "OK", c.Push("job-0001", "settle", 9000))
 	require.Equal(t, [2]string{"job-0001", "settle"}, <-got)
@@ -64,12 +65,12 @@
 	assert.Equal(t, "unknown", c.State("job-none"))
 	assert.Contains(t, c.Do("INFO", ""), `"total_processed":1`)
 	assert.Equal(t, "OK", w.Do("ACK", `{"jid":"job-none"}`))
-	assert.Equal(t, "OK", w.Do("ACK", `{"jid":"job-0001"}`), "a late one changes nothing")
+	assert.Equal(t, "OK", w.Do("ACK", `{"jid":"job-0001"}`), "a late ACK changes nothing")
 	assert.Equal(t, "OK", c.Do("END", ""))
 	assert.Equal(t, "(closed)", c.Reply())
 }
 
-func TestPasswordAndVersion(t *testing.T) {
+func TestHelloChecksPasswordAndVersion(t *testing.T) {
 	n := start(t, func(c *config.Config) { c.Faktory.Password = "open sesame" })
 	session(n, "")
 	assert.Contains(t, standin.NewFaktory(t, n.Faktory.Address(), "", "wrong").Hi, "-ERR invalid password")
@@ -79,7 +80,7 @@
 	assert.Equal(t, "(closed)", raw.Reply())
 }
 
-func TestBadCommands(t *testing.T) {
+func TestBadCommandsGetErrorReplies(t *testing.T) {
 	n := start(t, nil)
 	c, w := session(n, ""), session(n, "w-1")
 	for _, x := range []struct{ verb, arg, want string }{
@@ -116,9 +117,8 @@
 	assert.Contains(t, early.Do("INFO", ""), "-ERR say HELLO first")
 }
 
-// A push that is refused says which bound was reached and when to return, leaves nothing behind and may be made
-// again.
-func TestRefusedPushSaysWhenToReturn(t *testing.T) {
+// A rejected PUSH names the limit and the time to retry, leaves no trace and can be repeated.
+func TestRejectedPushNamesLimitAndRetryTime(t *testing.T) {
 	n := start(t, func(c *config.Config) { c.Faktory.MaxHeldJobs = 1 })
 	c := session(n, "")
 	require.Equal(t, "OK", c.Push("job-0001", "settle", 100))
@@ -129,23 +129,25 @@
 	assert.Contains(t, c.Do("INFO", ""), `"max_held_jobs":1`)
 }
 
-// A job that is taken, then finds no worker by its deadline, never ran: its final state is refused.
-func TestTakenThenRefused(t *testing.T) {
+// A job that was accepted and finds no worker by its deadline never ran, so its final state is refused.
+func TestJobWithoutWorkerEndsRefused(t *testing.T) {
 	n := start(t, nil)
 	c := session(n, "")
 	require.Equal(t, "OK", c.Push("job-0001", "settle", 300))
 	n.Eventually(func() bool { return c.State("job-0001") == "refused" })
-	assert.Contains(t, c.Push("job-0001", "settle", 300), "has ended: refused", "a jid lately ended makes no second request")
+	assert.Contains(t, c.Push("job-0001", "settle", 300), "has ended: refused", "a PUSH with the jid of an ended job opens no second request")
 }
 
-func TestFetchedSettleOfAVanishedWorkerIsNotHandedOutAgain(t *testing.T) {
+// Guards against a second run of a settle, whose class forbids it: the worker that fetched it vanishes, by the end of
+// its connection or by missed heartbeats, and the job ends dead.
+func TestSettleOfVanishedWorkerDoesNotRunAgain(t *testing.T) {
 	for name, vanish := range map[string]func(n *standin.Node, w *standin.Faktory){
 		"connection ends": func(_ *standin.Node, w *standin.Faktory) { w.Close() },
 		"beats missed":    func(*standin.Node, *standin.Faktory) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := start(t, func(c *config.Config) { c.Faktory.HeartbeatTimeoutS = 2.5 })
-			w, got := joined(n, "w-1")
+			w, got := startFetching(n, "w-1")
 			c := session(n, "")
 			require.Equal(t, "OK", c.Push("job-0001", "settle", 20000))
 			require.Equal(t, "job-0001", (<-got)[0])
@@ -160,24 +162,26 @@
 	}
 }
 
-func TestUnfetchedAttemptGoesElsewhereAndQuietDrains(t *testing.T) {
+// A worker that goes quiet returns its pending attempt, which another worker fetches, and finishes its own job.
+func TestQuietWorkerReturnsPendingAttempt(t *testing.T) {
 	n := start(t, nil)
-	w, got := joined(n, "w-1")
+	w, got := startFetching(n, "w-1")
 	c := session(n, "")
 	require.Equal(t, "OK", c.Push("job-0001", "move", 9000))
 	require.Equal(t, "job-0001", (<-got)[0])
-	require.Equal(t, "OK", c.Push("job-0002", "move", 9000), "is pending for w-1, the only one")
-	_, got2 := joined(n, "w-2")
+	require.Equal(t, "OK", c.Push("job-0002", "move", 9000), "is pending for w-1, the only worker")
+	_, got2 := startFetching(n, "w-2")
 	require.Equal(t, "OK", w.Do("BEAT", `{"wid":"w-1","current_state":"quiet"}`))
-	assert.Equal(t, "job-0002", (<-got2)[0], "handed back unrun, it runs elsewhere")
-	assert.Equal(t, "(none)", w.Do("FETCH", "default"), "nothing new for one that drains")
-	assert.Equal(t, "OK", w.Do("FAIL", `{"jid":"job-0001","errtype":"x","message":"y"}`), "it ends what it has")
+	assert.Equal(t, "job-0002", (<-got2)[0], "returned unrun, it runs on another worker")
+	assert.Equal(t, "(none)", w.Do("FETCH", "default"), "no new job for a draining worker")
+	assert.Equal(t, "OK", w.Do("FAIL", `{"jid":"job-0001","errtype":"x","message":"y"}`), "it finishes its fetched job")
 	assert.Equal(t, "dead", c.State("job-0001"))
 }
 
-func TestNoFetchAfterTheDeadline(t *testing.T) {
+// A FETCH after a pending job's deadline finds nothing: the job has ended as refused.
+func TestPendingJobIsNotFetchedAfterItsDeadline(t *testing.T) {
 	n := start(t, nil)
-	w, got := joined(n, "w-1")
+	w, got := startFetching(n, "w-1")
 	c := session(n, "")
 	require.Equal(t, "OK", c.Push("job-0001", "move", 9000))
 	<-got
@@ -188,10 +192,11 @@
 	assert.Empty(t, jid)
 }
 
-// On the way to the end nothing new is taken, and what was taken still gets its worker and its end.
-func TestQuietFrontEndsWhatItHasTaken(t *testing.T) {
+// While the front drains, a PUSH is rejected, jobs without a worker end as refused and a fetched job can still be
+// acknowledged.
+func TestDrainFinishesFetchedJobs(t *testing.T) {
 	n := start(t, nil)
-	w, got := joined(n, "w-1")
+	w, got := startFetching(n, "w-1")
 	c := session(n, "")
 	require.Equal(t, "OK", c.Push("job-0001", "settle", 9000))
 	require.Equal(t, "job-0001", (<-got)[0])
@@ -200,7 +205,7 @@
 	n.Gateway.Stop()
 	n.Eventually(func() bool { return c.State("job-0003") == "refused" })
 	assert.Contains(t, c.Push("job-0004", "settle", 9000), "-ERR refused, the program ends, return in")
-	assert.Equal(t, "OK", c.Push("job-0001", "settle", 9000), "known already")
+	assert.Equal(t, "OK", c.Push("job-0001", "settle", 9000), "already accepted")
 	assert.Equal(t, "refused", c.State("job-0002"), "it never ran")
 	assert.Equal(t, `{"state":"quiet"}`, w.Do("BEAT", `{"wid":"w-1","rss_kb":1000}`))
 	assert.Equal(t, "OK", w.Do("BEAT", `{"wid":"w-1","current_state":"quiet"}`))
@@ -209,10 +214,10 @@
 	<-n.Ended
 }
 
-// A worker that joins is cold as far as is known: it is not handed all that waits at once.
-func TestWorkerThatJoinsIsTakenForCold(t *testing.T) {
+// A worker that joins counts as cold: slow start keeps it from getting all pending jobs at once.
+func TestJoiningWorkerIsSubjectToSlowStart(t *testing.T) {
 	n := start(t, func(c *config.Config) { c.Settings.SlowStartWindow, c.Settings.OverloadWindow = 30_000_000, 1_000_000 })
-	joined(n, "w-1")
+	startFetching(n, "w-1")
 	c := session(n, "")
 	for i := range 6 {
 		require.Equal(t, "OK", c.Push(fmt.Sprint("job-000", i), "move", 9000))
@@ -220,39 +225,39 @@
 	n.On(func() { assert.LessOrEqual(t, n.Core.InFlightAttempts(), 1) })
 }
 
-// pushTwice pushes twelve jobs of a client, each a second time, and waits until all that were taken have ended.
+// pushTwice pushes twelve jobs, each twice, and waits until all accepted ones have ended.
 func pushTwice(n *standin.Node, classes []string, client int) {
 	c := standin.NewFaktory(n.T, n.Faktory.Address(), "", "")
-	var taken []string
+	var accepted []string
 	for j := range 12 {
 		jid := fmt.Sprintf("fk-%s-%d-%d", classes[j%3], client, j)
 		first := c.Push(jid, classes[j%3], 4000)
-		c.Push(jid, classes[j%3], 4000) // pushed again
+		c.Push(jid, classes[j%3], 4000) // a repeat
 		if first == "OK" {
-			taken = append(taken, jid)
+			accepted = append(accepted, jid)
 		} else {
 			assert.Contains(n.T, first, "-ERR refused")
 		}
 	}
-	for _, jid := range taken {
+	for _, jid := range accepted {
 		assert.Eventually(n.T, func() bool {
 			return strings.Contains("served refused failed dead", c.State(jid))
 		}, standin.Patience, 5e6, jid)
 	}
 }
 
-// Mixed traffic over both fronts, to workers of both kinds, with workers that vanish and jobs pushed
-// twice: nothing that must not runs twice, and each job has one final answer.
+// Mixed traffic over HTTP and Faktory, to table workers and fetching workers that vanish, with every job pushed twice:
+// no job of a class that forbids it runs twice, and each job has one final answer.
 func TestMixedTrafficRunsNothingTwice(t *testing.T) {
 	var runs standin.Runs
 	var number atomic.Int64
 	table := func(w *standin.Worker, id string, rw http.ResponseWriter, r *http.Request) {
 		runs.Ran(id)
 		switch mine := number.Add(1); {
-		case mine%7 == 0: // the machine breaks off, with the job in its hands
+		case mine%7 == 0: // the connection breaks while the worker holds the job
 			c, _, _ := rw.(http.Hijacker).Hijack()
 			c.Close()
-		case mine%5 == 0: // the process dies after the 202
+		case mine%5 == 0: // the worker process dies after its 202
 			rw.WriteHeader(202)
 			go w.Call(id, "lost", nil)
 		default:
@@ -279,7 +284,7 @@
 	for range 48 {
 		assert.Contains(t, []int{200, 500, 503}, (<-answers).Status)
 	}
-	assert.Empty(t, answers, "one answer a request")
+	assert.Empty(t, answers, "one answer for each request")
 	kinds := map[string]int{}
 	for id, count := range runs.Counts() {
 		kinds[strings.SplitN(id, "-", 2)[0]]++
--- a/internal/faktory/front.go
+++ b/internal/faktory/front.go
@@ -1,8 +1,10 @@
-// Package faktory is the second front: it speaks the public Faktory work protocol with clients that
-// push jobs and workers that fetch them, on the same core, decisions and rules as the HTTP front.
+// Package faktory is the front for the public Faktory work protocol: clients push jobs and workers fetch them, on the
+// same core and rules as the HTTP fronts. Package gateway starts and stops it.
 //
-// Package jobs owns the life of a pushed job. For each try the front opens a request in the core, and a worker that
-// fetches is one of the endpoints; an attempt at it is pending until it fetches, and is withdrawn unrun before that. Jobs of a queue go to the workers that fetch from it, by decisions of the queue's own.
+// Package jobs owns the lifecycle of a pushed job. For each run of a job the front opens a request in the core. A
+// worker that fetches is one of the endpoints; an attempt sent to it is pending until the worker's FETCH, and can be
+// cancelled unrun before that. A queue's jobs go to the workers that fetch from it; each queue has a pool and a
+// dispatcher of its own, unless it uses the main pool.
 package faktory
 
 import (
@@ -28,18 +30,18 @@
 )
 
 const (
-	fetchTimeout       = 2 * core.Second // a FETCH that finds nothing is answered after it
+	fetchTimeout       = 2 * core.Second // a FETCH that finds no job is answered with null after it
 	helloTimeout       = 5 * core.Second
 	sweepInterval      = core.Second / 4
-	maxPendingTime     = core.Second / 4 // an attempt is pending for one worker for so long, while another asks
-	maxDueStepsPerTurn = 1000            // steps of the jobs' machine in one turn
+	maxPendingTime     = core.Second / 4 // how long an attempt stays pending for one worker while another waits
+	maxDueStepsPerTurn = 1000            // timers and steps of the jobs' machine in one turn of the loop
 	maxUnreadBytes     = 4 << 20         // bytes of replies that a session may leave unread
 	workerPrefix       = "faktory:"
 	protocolLevel      = 2
 )
 
-// Front is the Faktory front, and the transport to the workers that are connected to it. All but what its fields
-// say otherwise is the loop's.
+// Front is the Faktory front, and the core's transport to the workers that are connected to it. Its fields belong to
+// the loop, unless they say otherwise.
 type Front struct {
 	loop *core.Loop
 	core *core.Core
@@ -49,52 +51,53 @@
 	listener        netpoll.Listener
 	server          netpoll.EventLoop
 	sessions        core.SlotMap[*session]
-	sessionsToFlush []*session         // with replies of this turn
-	newFetches      []*session         // whose FETCH came in this turn
+	sessionsToFlush []*session         // have replies from this turn
+	newFetches      []*session         // their FETCH came in this turn
 	workers         map[string]*worker // by wid
 	queuePools      map[string]*core.Pool
 	jobs            *jobs.Machine
 	requests        map[*jobs.Job]*jobRequest
-	jobsTimer       *core.Timer // of the machine
+	jobsTimer       *core.Timer // for the next call of jobs.ProcessDue
 	jobsTimerAt     core.Time
-	mutationWaiters map[uint64]*session // whose MUTATE is under way, by its token
-	flushWaiters    []*session
-	lastToken       uint64
+	mutationWaiters map[uint64]*session // sessions whose MUTATE is in progress, by its token
+	// flushWaiters are the sessions whose FLUSH is in progress.
+	flushWaiters []*session
+	lastToken    uint64
 
-	inputBytes      atomic.Int64 // bytes of commands that are not handled, of all sessions
+	inputBytes      atomic.Int64 // bytes of commands that are not handled yet, of all sessions
 	maxInputBytes   int64
-	maxCommandBytes int // bytes of a command
+	maxCommandBytes int // limit for one command
 
 	closed         bool
-	draining       bool // the program is to end: nothing new is taken
+	draining       bool // the process shuts down: new jobs are rejected
 	requestedState string
 	startedAt      time.Duration
 	commandCount   uint64
-	rejected       map[string]uint64 // what was turned away, by the bound
+	rejected       map[string]uint64 // rejected commands and connections, by the limit
 }
 
 type sessionKey struct{}
 
-// New makes the front; Start opens it. The core must have been made with
-// core.SingleClasses: of a try that may have run the jobs' own life decides whether there is another, and when.
+// New makes the front; Start opens it. The core must have been made with core.WithAtMostOnceClasses: package jobs, not
+// the core, decides whether and when a job that may have run runs again.
 func New(c *core.Core, conf *config.Config, log *slog.Logger) *Front {
-	k := &conf.Faktory
+	cfg := &conf.Faktory
 	f := &Front{loop: c.Loop, core: c, conf: conf, log: log, workers: map[string]*worker{}, queuePools: map[string]*core.Pool{},
 		requests: map[*jobs.Job]*jobRequest{}, mutationWaiters: map[uint64]*session{}, startedAt: clock.Monotonic(), rejected: map[string]uint64{},
-		maxInputBytes: int64(k.MaxInputMB) << 20, maxCommandBytes: k.MaxCommandKB << 10}
-	set := jobs.Settings{DefaultReservation: core.Time(k.ReserveS) * core.Second, MaxHeldJobs: k.MaxHeldJobs, MaxHeldBytes: k.MaxHeldMB << 20,
-		MaxQueueJobs: k.MaxQueueJobs, MaxClientJobs: k.MaxClientJobs, MaxClientBytes: k.MaxClientMB << 20, MaxScheduled: k.MaxScheduled,
-		MaxRetries: k.MaxRetries, MaxQueues: k.MaxQueues, MaxDead: k.MaxDead, MaxDeadBytes: k.MaxDeadMB << 20,
-		MaxEnded: k.MaxEndedJobs, MaxEndedBytes: k.MaxEndedMB << 20, TableWindow: k.TableWindow}
+		maxInputBytes: int64(cfg.MaxInputMB) << 20, maxCommandBytes: cfg.MaxCommandKB << 10}
+	settings := jobs.Settings{DefaultReservation: core.Time(cfg.ReserveS) * core.Second, MaxHeldJobs: cfg.MaxHeldJobs, MaxHeldBytes: cfg.MaxHeldMB << 20,
+		MaxQueueJobs: cfg.MaxQueueJobs, MaxClientJobs: cfg.MaxClientJobs, MaxClientBytes: cfg.MaxClientMB << 20, MaxScheduled: cfg.MaxScheduled,
+		MaxRetries: cfg.MaxRetries, MaxQueues: cfg.MaxQueues, MaxDead: cfg.MaxDead, MaxDeadBytes: cfg.MaxDeadMB << 20,
+		MaxEnded: cfg.MaxEndedJobs, MaxEndedBytes: cfg.MaxEndedMB << 20, TableWindow: cfg.TableWindow}
 	for i := range conf.Names.Classes {
-		set.IsRepeatable = append(set.IsRepeatable, conf.Settings.Classes[i].Effect == rules.Repeatable)
+		settings.IsRepeatable = append(settings.IsRepeatable, conf.Settings.Classes[i].Effect == rules.Repeatable)
 	}
-	f.jobs = jobs.New(set, mathrand.New(mathrand.NewPCG(conf.Seed, 0x6661_6b74_6f72_79)), host{f}, k.UsesTableWorkers)
+	f.jobs = jobs.New(settings, mathrand.New(mathrand.NewPCG(conf.Seed, 0x6661_6b74_6f72_79)), host{f}, cfg.UsesTableWorkers)
 	c.OnWorkerList = func() { f.jobs.SetTableWorkersReady(f.loop.Now(), c.MainPool().HasReadyWorker(f)) }
 	return f
 }
 
-// Start listens.
+// Start opens the listener and begins to serve; a *config.Error says that the address cannot be used.
 func (f *Front) Start() error {
 	ln, err := netpoll.CreateListener("tcp", f.conf.Faktory.Listen)
 	if err != nil {
@@ -118,11 +121,12 @@
 	return nil
 }
 
-// Address is where the front listens.
+// Address returns the address of the listener; valid after Start.
 func (f *Front) Address() string { return f.listener.Addr().String() }
 
-// Quiet has the front take no new jobs, since the program is to end. What no worker holds ends now, unrun;
-// workers are told to take nothing new, and what they hold is waited for, up to the time for it.
+// Drain rejects new jobs from now on, since the process is about to end. Jobs that no worker holds end now, unrun.
+// Workers are told to go quiet, after half of faktory.stop_s to terminate, and at its end jobs that they still hold are
+// aborted.
 func (f *Front) Drain() {
 	if f.draining {
 		return
@@ -132,7 +136,7 @@
 	stop := core.Time(f.conf.Faktory.StopS * float64(core.Second))
 	f.loop.At(f.loop.Now()+stop/2, func() { f.requestedState = "terminate" })
 	f.loop.At(f.loop.Now()+stop, func() {
-		f.core.AbortRequests(func(u core.Client) bool { _, ours := u.(*jobRequest); return ours })
+		f.core.AbortRequests(func(client core.Client) bool { _, isOurs := client.(*jobRequest); return isOurs })
 	})
 }
 
@@ -156,6 +160,7 @@
 	return context.WithValue(context.Background(), sessionKey{}, s)
 }
 
+// greet adds a new connection to the sessions and sends HI, or closes it when max_sessions is reached.
 func (f *Front) greet(s *session) {
 	if s.Ended {
 		return
@@ -167,14 +172,14 @@
 		s.replyAndClose(errorReplyf("refused, max_sessions is reached, return in 1.000 s"), link.OverBudget)
 		return
 	}
-	hi := map[string]any{"v": protocolLevel}
+	greeting := map[string]any{"v": protocolLevel}
 	if f.conf.Faktory.Password != "" {
 		var salt [8]byte
 		rand.Read(salt[:])
 		s.salt = hex.EncodeToString(salt[:])
-		hi["s"], hi["i"] = s.salt, f.conf.Faktory.HashRounds
+		greeting["s"], greeting["i"] = s.salt, f.conf.Faktory.HashRounds
 	}
-	text, _ := json.Marshal(hi)
+	text, _ := json.Marshal(greeting)
 	s.reply(simpleReply("HI " + string(text)))
 	f.loop.At(f.loop.Now()+helloTimeout, func() {
 		if !s.greeted && !s.Ended {
@@ -183,7 +188,7 @@
 	})
 }
 
-// gone has a session end. The worker whose last one it was has gone with it.
+// sessionEnded cleans up after a session. A worker whose last session has ended is removed.
 func (f *Front) sessionEnded(s *session) {
 	if !s.MarkEnded(f.log, f.loop.Now()) {
 		return
@@ -200,7 +205,8 @@
 	}
 }
 
-// afterTurn sends the replies of a turn, each session's in one piece, and has the machine called when it is due.
+// afterTurn sends the replies of a turn, each session's in one write, and sets the timer for the next call of
+// jobs.ProcessDue.
 func (f *Front) afterTurn() {
 	f.startFetchTimers()
 	for _, s := range f.sessionsToFlush {
@@ -218,6 +224,7 @@
 	}
 }
 
+// processJobs processes what is due in the jobs' machine, and answers FLUSH commands that are complete.
 func (f *Front) processJobs() {
 	f.jobsTimer = nil
 	f.jobs.ProcessDue(f.loop.Now(), maxDueStepsPerTurn)
@@ -230,14 +237,14 @@
 	}
 }
 
-// sweep ends workers that have given no sign of life for too long, floods, and attempts that are pending for the wrong
-// worker.
+// sweep removes workers that missed their heartbeats, moves attempts that are pending for a busy worker, and closes
+// sessions that flood or do not read.
 func (f *Front) sweep() {
 	now := f.loop.Now()
-	limit := now - f.conf.Faktory.HeartbeatTimeout()
+	oldestBeat := now - f.conf.Faktory.HeartbeatTimeout()
 	for _, w := range f.workers {
-		if w.lastBeat < limit {
-			f.log.Warn("faktory: a worker missed its beats", "wid", w.wid)
+		if w.lastBeat < oldestBeat {
+			f.log.Warn("faktory: worker missed its heartbeats", "wid", w.wid)
 			f.sessions.Each(func(_ core.Ref, s *session) {
 				if s.worker == w {
 					s.Close(link.NoAnswer)
@@ -260,8 +267,8 @@
 	}
 }
 
-// pool gives the pool of a queue: the main one where the table workers run its jobs too, or it is where jobs of
-// the HTTP front are handed out, else one of its own.
+// poolFor returns the pool of a queue: the main one if the table workers run its jobs too or if it hands out the HTTP
+// fronts' requests, else one of its own.
 func (f *Front) poolFor(queue string) *core.Pool {
 	if queue == f.conf.Faktory.Queue || f.conf.Faktory.UsesTableWorkers(queue) {
 		return f.core.MainPool()
@@ -281,7 +288,7 @@
 	return p
 }
 
-// forgetPools lets go of the pools of queues that are no more.
+// closeUnusedPools closes the pools of queues that no longer exist, when there are more pools than max_queues.
 func (f *Front) closeUnusedPools() {
 	if len(f.queuePools) <= f.conf.Faktory.MaxQueues {
 		return
--- a/internal/faktory/fuzz_test.go
+++ b/internal/faktory/fuzz_test.go
@@ -8,6 +8,7 @@
 	"cobaltflow/internal/core"
 )
 
+// The parser never takes more bytes than there are, and asks for more than it has when a command is incomplete.
 func FuzzParseCommand(f *testing.F) {
 	for _, seed := range []string{"PUSH {}\r\n", "*2\r\n$4\r\nPUSH\r\n$2\r\n{}\r\n", "*1\r\n$0\r\n\r\n", "\n", "*-1\r\n", "$5\r\nabc", "*2\r\n$1\r\n"} {
 		f.Add([]byte(seed))
@@ -29,6 +30,7 @@
 	})
 }
 
+// An accepted payload is valid JSON with valid fields, and its args are found in it.
 func FuzzParseJob(f *testing.F) {
 	for _, seed := range []string{
 		`{"jid":"job-0001","jobtype":"move","args":[1,"a"],"custom":{"time_left_ms":9000,"key":"k","slots":2}}`,
@@ -55,7 +57,8 @@
 	})
 }
 
-func TestAccountAndHintOfAJob(t *testing.T) {
+// custom.account and custom.hint_us become the job's tenant and hint; unknown and null values are ignored.
+func TestJobAccountAndHintAreParsed(t *testing.T) {
 	conf, err := config.LoadExample()
 	if err != nil {
 		t.Fatal(err)
@@ -78,6 +81,7 @@
 	}
 }
 
+// A pattern that compiles can be matched against any text.
 func FuzzGlob(f *testing.F) {
 	for _, seed := range []string{"*a*", "[abc]?", `\[`, "[", "[^]]", `[\`, "[z-a]", "**"} {
 		f.Add(seed, "text")
--- a/internal/faktory/host.go
+++ b/internal/faktory/host.go
@@ -7,45 +7,45 @@
 	"cobaltflow/internal/jobs"
 )
 
-// try is one request of a pushed job in the core, and the client of it.
+// jobRequest is one request in the core, for one run of a pushed job, and its client.
 type jobRequest struct {
 	front   *Front
 	job     *jobs.Job
 	request *core.Request
-	failure *jobs.Failure // what was told of it
+	failure *jobs.Failure // as the worker or the front reported it; nil: no report
 }
 
-// host carries out what the jobs' machine asks for.
+// host implements jobs.Actions.
 type host struct{ f *Front }
 
-// forever is for a try of a job whose pusher waits without end: its reservation ends it before.
+// unlimitedDeadline is for a job whose client waits without limit; its reservation ends a run before that.
 const unlimitedDeadline = 400 * 24 * 3600 * core.Second
 
-// Open implements jobs.Actions.
+// OpenRequest implements jobs.Actions.
 func (h host) OpenRequest(j *jobs.Job, worker string) {
 	f := h.f
-	t := &core.Request{ID: j.ID, Deadline: j.Deadline(), Slots: j.Slots, Hint: j.Hint, Pool: f.poolFor(j.Queue), AtMostOnce: true,
+	req := &core.Request{ID: j.ID, Deadline: j.Deadline(), Slots: j.Slots, Hint: j.Hint, Pool: f.poolFor(j.Queue), AtMostOnce: true,
 		Job: core.Job{Class: int(j.Class), Tenant: int(j.Tenant), Target: f.targetOf(j), Key: j.Key}}
 	if f.conf.Faktory.UsesTableWorkers(j.Queue) {
-		t.Job.Body = argsOf(j)
+		req.Job.Body = argsOf(j)
 	}
 	if worker != "" {
-		t.FetchingWorker = workerPrefix + worker
+		req.FetchingWorker = workerPrefix + worker
 	}
-	if t.Deadline == 0 {
-		t.Deadline = f.loop.Now() + unlimitedDeadline
+	if req.Deadline == 0 {
+		req.Deadline = f.loop.Now() + unlimitedDeadline
 	}
-	y := &jobRequest{front: f, job: j, request: t}
-	t.Client = y
-	f.requests[j] = y
-	if !f.core.Accept(t) {
-		// The other front has a request under the same id in the core: it goes first.
+	r := &jobRequest{front: f, job: j, request: req}
+	req.Client = r
+	f.requests[j] = r
+	if !f.core.Accept(req) {
+		// Another front has a request with the same id in the core, which has to end first.
 		delete(f.requests, j)
 		f.loop.Post(func() { f.jobs.RequestEnded(f.loop.Now(), j, jobs.OutcomeRefused, core.Second/10, nil) })
 	}
 }
 
-// target is what a table worker is asked for.
+// targetOf is the request target for a table worker.
 func (f *Front) targetOf(j *jobs.Job) string {
 	target := "/" + f.conf.Names.Classes[j.Class]
 	if j.Key != "" {
@@ -54,23 +54,23 @@
 	return target
 }
 
-// Withdraw implements jobs.Actions.
+// CancelRequest implements jobs.Actions.
 func (h host) CancelRequest(j *jobs.Job) {
-	if y := h.f.requests[j]; y != nil {
+	if r := h.f.requests[j]; r != nil {
 		delete(h.f.requests, j)
-		h.f.core.ClientDisconnected(y.request)
+		h.f.core.ClientDisconnected(r.request)
 	}
 }
 
-// Expire implements jobs.Actions.
+// ExpireReservation implements jobs.Actions.
 func (h host) ExpireReservation(j *jobs.Job) {
-	if y := h.f.requests[j]; y != nil {
-		y.failure = &jobs.Failure{Type: "ReservationExpired", Message: "worker " + j.Worker + " did not report in time"}
-		h.f.core.TimeOutAttempts(y.request)
+	if r := h.f.requests[j]; r != nil {
+		r.failure = &jobs.Failure{Type: "ReservationExpired", Message: "worker " + j.Worker + " did not report in time"}
+		h.f.core.TimeOutAttempts(r.request)
 	}
 }
 
-// Ended implements jobs.Actions.
+// JobEnded implements jobs.Actions.
 func (h host) JobEnded(j *jobs.Job) {
 	if j.Reason == jobs.Done {
 		return
@@ -78,37 +78,38 @@
 	h.f.log.Debug("faktory: job ended", "jid", j.ID, "state", j.State.String(), "reason", string(j.Reason), "failures", j.Failures)
 }
 
-// Answer implements core.UserAgent. It never comes after a Withdraw: what was cancelled is not answered.
-func (y *jobRequest) Answer(_ *core.Request, a core.Answer) {
-	f, now := y.front, y.front.loop.Now()
-	delete(f.requests, y.job)
-	switch a.Kind {
+// Answer implements core.Client. It is never called after CancelRequest: a cancelled request gets no answer.
+func (r *jobRequest) Answer(_ *core.Request, answer core.Answer) {
+	f, now := r.front, r.front.loop.Now()
+	delete(f.requests, r.job)
+	switch answer.Kind {
 	case core.Served:
-		y.job.Result = string(a.Result)
-		f.jobs.RequestEnded(now, y.job, jobs.OutcomeServed, 0, nil)
+		r.job.Result = string(answer.Result)
+		f.jobs.RequestEnded(now, r.job, jobs.OutcomeServed, 0, nil)
 	case core.Refused:
-		f.jobs.RequestEnded(now, y.job, jobs.OutcomeRefused, a.RetryAfter, nil)
+		f.jobs.RequestEnded(now, r.job, jobs.OutcomeRefused, answer.RetryAfter, nil)
 	default:
-		f.jobs.RequestEnded(now, y.job, jobs.OutcomeFailed, 0, y.failure)
+		f.jobs.RequestEnded(now, r.job, jobs.OutcomeFailed, 0, r.failure)
 	}
 }
 
-// Released implements core.UserAgent: the job's text is its own.
-func (y *jobRequest) Released(*core.Request) {}
+// Released implements core.Client. There is no buffer to return: the job owns its payload.
+func (r *jobRequest) Released(*core.Request) {}
 
-// Placed implements core.Placed: a table worker has the job from here on; one that fetches only with its FETCH.
-func (y *jobRequest) AttemptSent(t *core.Request, p *core.Attempt) {
-	if _, waits := p.TransportState.(*attemptState); !waits {
-		y.front.jobs.Started(y.front.loop.Now(), y.job, p.Worker, nil)
+// AttemptSent implements core.AttemptObserver: a table worker holds the job from here on, a worker that fetches only
+// when its FETCH is answered.
+func (r *jobRequest) AttemptSent(_ *core.Request, attempt *core.Attempt) {
+	if _, isPending := attempt.TransportState.(*attemptState); !isPending {
+		r.front.jobs.Started(r.front.loop.Now(), r.job, attempt.Worker, nil)
 	}
 }
 
-// failed notes what is known of an attempt that failed.
-func (f *Front) recordFailure(p *core.Attempt, kind, message string) {
-	if y, ours := p.Request.Client.(*jobRequest); ours {
-		y.failure = &jobs.Failure{Type: kind, Message: message}
+// recordFailure notes why an attempt failed, for the failure that its job keeps.
+func (f *Front) recordFailure(attempt *core.Attempt, kind, message string) {
+	if r, isOurs := attempt.Request.Client.(*jobRequest); isOurs {
+		r.failure = &jobs.Failure{Type: kind, Message: message}
 	}
 }
 
-// argsOf finds the args within a payload, for a table worker's body.
+// argsOf returns the args of a job's payload, which are the body for a table worker.
 func argsOf(j *jobs.Job) []byte { return []byte(j.Payload[j.ArgsOffset : j.ArgsOffset+j.ArgsLen]) }
--- a/internal/faktory/intake.go
+++ b/internal/faktory/intake.go
@@ -15,52 +15,54 @@
 	"cobaltflow/internal/link"
 )
 
-// request is one command of a session, read and with its payload parsed. It holds slices of a buffer that is
-// its batch's own: a batch outlives what netpoll hands out, since commands may wait behind a FETCH.
+// parsedCommand is one command of a session with its payload parsed. Its slices belong to the buffer of its batch,
+// which outlives netpoll's, since commands may wait behind a FETCH.
 type parsedCommand struct {
 	verb    string
 	arg     []byte
 	size    int
-	cost    int       // towards what a session may have unhandled
-	job     *jobs.Job // of PUSH
-	bulk    []bulkJob // of PUSHB
+	cost    int       // towards the session's backlog
+	job     *jobs.Job // of a PUSH
+	bulk    []bulkJob // of a PUSHB
 	err     error
-	isFatal bool // nothing can be read behind it
+	isFatal bool // the session ends, since nothing behind it can be read
 }
 
-// pushed is one job of a PUSHB.
+// bulkJob is one job of a PUSHB.
 type bulkJob struct {
 	jid string
 	job *jobs.Job
 	err error
 }
 
-// intake is the reading side of a session. It belongs to netpoll's goroutine, but for what is atomic.
+// inputState is the reading side of a session. It belongs to netpoll's goroutine, except for the atomic and the locked
+// fields.
 type inputState struct {
-	buffer    []byte      // of a command that is not whole yet
-	scanned   int         // bytes of it in which no end was found
-	greeted   atomic.Bool // HELLO was accepted: its payloads are worth parsing here
+	buffer  []byte      // bytes of a command that is not complete yet
+	scanned int         // bytes of buffer without a line end
+	greeted atomic.Bool // HELLO was accepted, so payloads are parsed on netpoll's goroutine
+	// mu guards heldBytes and closed.
 	mu        sync.Mutex
-	heldBytes int64 // bytes that count towards what all sessions may hold
+	heldBytes int64 // what this session counts in Front.inputBytes
 	closed    bool
 	backlog   *link.Backlog
 	stopped   bool
 }
 
 const (
-	expensiveCommandCost = 8 << 10 // towards the backlog, of a command that looks at all there is
+	expensiveCommandCost = 8 << 10 // towards the backlog, of a command whose work grows with the number of queues and jobs
 	maxBatchCommands     = 256     // commands handed to the loop at once
-	maxBulkJobsPerTurn   = 500     // jobs of a PUSHB that are taken in one turn
+	maxBulkJobsPerTurn   = 500     // jobs of a PUSHB that are pushed in one turn
 )
 
-// onRequest runs on a goroutine of netpoll's, again and again while input is unread.
+// onRequest is called by netpoll, on a goroutine of its own, as long as input is unread.
 func onRequest(ctx context.Context, _ netpoll.Connection) error {
 	s := ctx.Value(sessionKey{}).(*session)
 	return s.read()
 }
 
-// read takes all that has come, cuts it into commands, parses their payloads and posts them. Where the loop is
-// behind it waits, and netpoll's own reading is bounded by the sweep.
+// read takes all input, splits it into commands, parses their payloads and posts them to the loop. It blocks while the
+// loop is behind; sweep bounds what netpoll reads meanwhile.
 func (s *session) read() error {
 	f, in := s.front, &s.input
 	r := s.Conn.Reader()
@@ -91,7 +93,7 @@
 		}
 	}
 	if f.inputBytes.Load() > f.maxInputBytes && len(in.buffer) > 0 && !in.stopped {
-		// Half a command that would take more than all may: the session that brings it pays.
+		// An incomplete command exceeds max_input_mb, the limit of all sessions together: its session is closed.
 		in.stopped = true
 		s.addInputBytes(-int64(len(in.buffer)))
 		in.buffer = nil
@@ -103,8 +105,8 @@
 	return nil
 }
 
-// cut takes whole commands off what has come. Their bytes are handed over with them; what is left of the
-// buffer is copied, so that a batch can live on.
+// splitCommands takes complete commands from the buffer. The batch keeps the buffer's bytes; the rest is copied to a
+// new buffer, so that it does not keep the batch in memory.
 func (s *session) splitCommands() (batch []parsedCommand, cost int) {
 	f, in := s.front, &s.input
 	at := 0
@@ -146,10 +148,10 @@
 	return batch, cost
 }
 
-// dear are the verbs whose work does not go by their length.
+// expensiveVerbs are the verbs whose work does not depend on their length.
 var expensiveVerbs = map[string]bool{"INFO": true, "QUEUE": true, "MUTATE": true, "FLUSH": true}
 
-// verbOf gives the verb as a string without an allocation where it is known.
+// verbString returns the verb as a string, without an allocation if it is known.
 func verbString(b []byte) string {
 	if v, ok := verbs[string(b)]; ok {
 		return v
@@ -157,7 +159,7 @@
 	return fmt.Sprintf("%.32s", b)
 }
 
-// prepare parses the payloads that take time, so that the loop need not.
+// parsePayload parses the job payloads of PUSH and PUSHB, so that the loop need not.
 func (f *Front) parsePayload(s *session, q *parsedCommand) {
 	switch q.verb {
 	case "PUSH":
@@ -182,7 +184,7 @@
 	}
 }
 
-// account counts bytes towards what all sessions may hold, until the session has gone.
+// addInputBytes counts bytes towards the input limit of all sessions, until the session has ended.
 func (s *session) addInputBytes(n int64) {
 	s.input.mu.Lock()
 	defer s.input.mu.Unlock()
@@ -192,7 +194,7 @@
 	}
 }
 
-// letGo gives all that the session held back, when it has gone.
+// releaseInput removes the session's bytes from the input limit and ends its backlog, when the session has ended.
 func (s *session) releaseInput() {
 	s.input.mu.Lock()
 	defer s.input.mu.Unlock()
@@ -203,8 +205,8 @@
 	}
 }
 
-// handled tells the reading side that the loop has done with commands.
-func (s *session) commandsDone(bytes, cost int) {
-	s.addInputBytes(-int64(bytes))
+// commandsDone tells the reading side that the loop has handled commands.
+func (s *session) commandsDone(size, cost int) {
+	s.addInputBytes(-int64(size))
 	s.input.backlog.Done(cost)
 }
--- a/internal/faktory/operate.go
+++ b/internal/faktory/operate.go
@@ -13,9 +13,9 @@
 	"cobaltflow/internal/jobs"
 )
 
-// What operators ask for: TRACK, QUEUE, MUTATE, FLUSH and INFO.
+// The commands of operators: TRACK, QUEUE, MUTATE, FLUSH and INFO.
 
-// tracked is the reply to TRACK GET.
+// trackReply is the reply to TRACK GET.
 func (f *Front) trackReply(jid string) map[string]any {
 	out := map[string]any{"jid": jid, "state": jobs.Unknown.String()}
 	j := f.jobs.Find(jid)
@@ -40,6 +40,7 @@
 
 const maxDescBytes = 300
 
+// trackSet stores the progress that a worker reports with TRACK SET, and extends its reservation by reserve_until.
 func (f *Front) trackSet(s *session, arg string) {
 	var t struct {
 		JID     string `json:"jid"`
@@ -81,7 +82,7 @@
 	}
 }
 
-// queue pauses, resumes, removes and looks at queues: QUEUE PAUSE|RESUME|REMOVE|LATENCY names, or * for all.
+// queue handles QUEUE PAUSE|RESUME|REMOVE|LATENCY with queue names, or * for all queues.
 func (f *Front) queue(s *session, q *parsedCommand) {
 	words := strings.Fields(string(q.arg))
 	if len(words) < 2 {
@@ -135,15 +136,15 @@
 	s.reply(replyOK)
 }
 
-// mutate changes the jobs of a set that a filter finds ("Mutate API" of the Faktory wiki). The reply comes when
-// it is done.
+// mutate changes the jobs of a set that match a filter ("Mutate API" of the Faktory wiki). The reply comes when all are
+// done.
 func (f *Front) mutate(s *session, q *parsedCommand) {
 	var m struct {
 		Cmd    string `json:"cmd"`
 		Target string `json:"target"`
 		Filter *struct {
 			JIDs    []string `json:"jids"`
-			Regexp  string   `json:"regexp"` // a pattern with *, ? and [...], over the whole payload
+			Regexp  string   `json:"regexp"` // a glob with *, ? and [...], over the whole payload
 			Jobtype string   `json:"jobtype"`
 		} `json:"filter"`
 	}
@@ -180,7 +181,7 @@
 	f.mutationWaiters[f.lastToken] = s
 }
 
-// Mutated implements jobs.Actions.
+// MutationDone implements jobs.Actions.
 func (h host) MutationDone(token uint64, m jobs.Mutation) {
 	s := h.f.mutationWaiters[token]
 	delete(h.f.mutationWaiters, token)
@@ -188,14 +189,14 @@
 	if s == nil || s.Ended {
 		return
 	}
-	for _, why := range []jobs.Reason{jobs.MayHaveRun, jobs.Expired} {
-		if n := m.Rejected[why]; n > 0 {
-			s.finishCommand(errorReplyf("%d jobs were changed, %d not: %s, for instance %s", m.Changed, n, rejectionTexts[why], m.RejectedExample[why]))
+	for _, reason := range []jobs.Reason{jobs.MayHaveRun, jobs.Expired} {
+		if count := m.Rejected[reason]; count > 0 {
+			s.finishCommand(errorReplyf("%d jobs were changed, %d not: %s, for instance %s", m.Changed, count, rejectionTexts[reason], m.RejectedExample[reason]))
 			return
 		}
 	}
-	for why, n := range m.Rejected {
-		s.finishCommand(errorReplyf("%d jobs were changed, %d not: %s is reached", m.Changed, n, why))
+	for reason, count := range m.Rejected {
+		s.finishCommand(errorReplyf("%d jobs were changed, %d not: %s is reached", m.Changed, count, reason))
 		return
 	}
 	s.finishCommand(replyOK)
@@ -206,7 +207,8 @@
 	jobs.Expired:    "their expires_at is past (expired)",
 }
 
-// glob compiles a pattern in the form of the public server's filter; empty: nil, which matches all.
+// compileGlob compiles a filter pattern in the public Faktory server's syntax; nil for an empty one, which matches all
+// jobs.
 func compileGlob(pattern string) (*regexp.Regexp, error) {
 	if pattern == "" {
 		return nil, nil
@@ -243,7 +245,7 @@
 	return regexp.Compile(b.String())
 }
 
-// flush ends and forgets all jobs, where the configuration allows it. The reply comes when it is done.
+// flush handles FLUSH: it ends and removes all jobs, if faktory.allow_flush is set. The reply comes when that is done.
 func (f *Front) flush(s *session, _ *parsedCommand) {
 	if !f.conf.Faktory.AllowFlush {
 		s.reply(errorReply("FLUSH is off: faktory.allow_flush switches it on"))
@@ -255,7 +257,7 @@
 	f.flushWaiters = append(f.flushWaiters, s)
 }
 
-// info is the reply to INFO, in the shape of the public server's, with our own figures beside it.
+// info is the reply to INFO, in the shape of the public Faktory server's, with cobaltflow's own figures beside it.
 func (f *Front) info() []byte {
 	n, now := f.jobs.Stats(), f.loop.Now()
 	queues, paused, latency := map[string]int{}, []string{}, map[string]float64{}
--- a/internal/faktory/payload.go
+++ b/internal/faktory/payload.go
@@ -19,26 +19,26 @@
 	"cobaltflow/internal/jobs"
 )
 
-// Bounds of a payload.
+// Limits of a payload.
 const (
 	maxIDBytes     = 128
 	minIDBytes     = 8
-	maxArgsBytes   = 64 << 10 // bytes, as of a job of the HTTP front
-	maxTimeLeftMS  = 24 * 3600 * 1000
-	maxSpanSeconds = 366 * 24 * 3600 // seconds
+	maxArgsBytes   = 64 << 10         // as for a request of the HTTP fronts
+	maxTimeLeftMS  = 24 * 3600 * 1000 // 24 h
+	maxSpanSeconds = 366 * 24 * 3600  // 366 days
 )
 
-// jobOverhead is what a held job takes beyond its payload, in bytes; docs/measurements/faktory.md has it measured.
+// jobOverheadBytes is the memory that a held job takes beyond its payload (measured in docs/measurements/faktory.md).
 const jobOverheadBytes = 400
 
-// field is one key of the public job payload ("The Job Payload" of the Faktory wiki), or of its custom object, with
-// the JSON type that it has to have.
+// fieldParser parses one key of the public job payload ("The Job Payload" of the Faktory wiki), or of its custom
+// object. kind is the JSON type that the value must have.
 type fieldParser struct {
 	kind  string
 	parse func(p *jobParser, v gjson.Result) error
 }
 
-// parsing is a payload as it is read.
+// jobParser is the state of parsing one payload.
 type jobParser struct {
 	front     *Front
 	job       *jobs.Job
@@ -47,7 +47,7 @@
 	err       error
 }
 
-// optionsOf gives the options of the job that is read, made where it had none.
+// optionsOf returns the options of the job, which it creates if need be.
 func optionsOf(p *jobParser) *jobs.Options {
 	if p.job.Options == nil {
 		p.job.Options = &jobs.Options{}
@@ -55,24 +55,24 @@
 	return p.job.Options
 }
 
-// textField is a key whose value is a string.
-func textField(to func(p *jobParser) *string) fieldParser {
-	return fieldParser{"string", func(p *jobParser, v gjson.Result) error { *to(p) = v.Str; return nil }}
+// textField parses a string.
+func textField(dest func(p *jobParser) *string) fieldParser {
+	return fieldParser{"string", func(p *jobParser, v gjson.Result) error { *dest(p) = v.Str; return nil }}
 }
 
-// wholeField is a key whose value is a whole number within bounds.
-func intField(least, most int64, to func(p *jobParser, n int64)) fieldParser {
+// intField parses a whole number from minimum to maximum.
+func intField(minimum, maximum int64, set func(p *jobParser, n int64)) fieldParser {
 	return fieldParser{"number", func(p *jobParser, v gjson.Result) error {
-		if v.Num != math.Trunc(v.Num) || v.Num < float64(least) || v.Num > float64(most) {
-			return fmt.Errorf("%s is no whole number from %d to %d", v.Raw, least, most)
+		if v.Num != math.Trunc(v.Num) || v.Num < float64(minimum) || v.Num > float64(maximum) {
+			return fmt.Errorf("%s is no whole number from %d to %d", v.Raw, minimum, maximum)
 		}
-		to(p, int64(v.Num))
+		set(p, int64(v.Num))
 		return nil
 	}}
 }
 
-// timeField is a key whose value is a time of RFC 3339.
-func timeField(to func(p *jobParser) *core.Time) fieldParser {
+// timeField parses a time of RFC 3339; an empty string leaves the field unset.
+func timeField(dest func(p *jobParser) *core.Time) fieldParser {
 	return fieldParser{"string", func(p *jobParser, v gjson.Result) error {
 		if v.Str == "" {
 			return nil
@@ -81,7 +81,7 @@
 		if err != nil {
 			return errors.New("not a time of RFC 3339")
 		}
-		*to(p) = max(1, p.front.loop.FromWall(t))
+		*dest(p) = max(1, p.front.loop.FromWall(t))
 		return nil
 	}}
 }
@@ -136,7 +136,7 @@
 	}},
 }
 
-// each reads the known keys of an object; a null stands for an absent one.
+// parseObject parses the known keys of an object; a null value counts as absent. The first error is kept in p.err.
 func (p *jobParser) parseObject(object gjson.Result, fields map[string]fieldParser, prefix string) {
 	object.ForEach(func(key, v gjson.Result) bool {
 		f, known := fields[key.Str]
@@ -170,14 +170,14 @@
 	return "boolean"
 }
 
-// parseJob reads a pushed job; the text is copied, since the job outlives the command. It runs on a session's
-// own goroutine and touches nothing that changes.
+// parseJob parses a pushed job and copies its text, since the job outlives the command. It runs on a session's own
+// goroutine and reads only fields that do not change after New.
 func (f *Front) parseJob(text []byte, client string) (*jobs.Job, error) {
 	text = bytes.TrimSpace(text)
 	if len(text) == 0 || text[0] != '{' || !gjson.ValidBytes(text) {
 		return nil, errors.New("malformed job: not an object of JSON")
 	}
-	// One piece of memory holds the payload and the names, which are parts of it.
+	// One allocation holds the payload; ID, Type and Queue are substrings of it.
 	payload := string(text)
 	j := &jobs.Job{Priority: jobs.DefaultPriority, Retry: jobs.DefaultRetries, Client: client}
 	p := jobParser{front: f, job: j}
@@ -223,7 +223,7 @@
 	})
 }
 
-// wireFailure is the failure that a job carries once a try has failed.
+// failureJSON is the failure object of a job that has failed before.
 type failureJSON struct {
 	RetryCount int      `json:"retry_count"`
 	Remaining  int      `json:"remaining"`
@@ -245,33 +245,33 @@
 	return f.loop.ToWall(at).UTC().Format(time.RFC3339Nano)
 }
 
-// payload is what a worker's FETCH is given: a pushed job as it came, with the failure of its last try, if any;
-// any other request as a job whose one argument tells of the request.
-func (f *Front) fetchPayload(t *core.Request) []byte {
-	if try, ok := t.Client.(*jobRequest); ok {
-		j := try.job
+// fetchPayload is the reply to a worker's FETCH: a pushed job as it was pushed, with the failure of its last run, if
+// any; any other request as a job whose single argument describes the request.
+func (f *Front) fetchPayload(req *core.Request) []byte {
+	if r, ok := req.Client.(*jobRequest); ok {
+		j := r.job
 		if j.Failure == nil {
 			return []byte(j.Payload)
 		}
 		text, _ := json.Marshal(f.failureJSONOf(j))
 		return []byte(strings.TrimSuffix(j.Payload, "}") + `,"failure":` + string(text) + "}")
 	}
-	request := map[string]string{"target": t.Job.Target}
-	if utf8.Valid(t.Job.Body) {
-		request["body"] = string(t.Job.Body)
+	request := map[string]string{"target": req.Job.Target}
+	if utf8.Valid(req.Job.Body) {
+		request["body"] = string(req.Job.Body)
 	} else {
-		b, _ := json.Marshal(t.Job.Body) // base64, in quotes
+		b, _ := json.Marshal(req.Job.Body) // base64, in quotes
 		request["body_base64"] = string(b[1 : len(b)-1])
 	}
-	left := max(1, t.TimeLeft(f.loop.Now())/core.Millisecond)
+	leftMS := max(1, req.TimeLeft(f.loop.Now())/core.Millisecond)
 	b, err := json.Marshal(map[string]any{
-		"jid": t.ID, "jobtype": f.conf.Names.Classes[t.Job.Class], "queue": f.conf.Faktory.Queue,
-		"args": []any{request}, "retry": 0, "reserve_for": (left + 999) / 1000,
+		"jid": req.ID, "jobtype": f.conf.Names.Classes[req.Job.Class], "queue": f.conf.Faktory.Queue,
+		"args": []any{request}, "retry": 0, "reserve_for": (leftMS + 999) / 1000,
 		"created_at": clock.Wall().UTC().Format(time.RFC3339Nano),
-		"custom":     map[string]any{"time_left_ms": left},
+		"custom":     map[string]any{"time_left_ms": leftMS},
 	})
 	if err != nil {
-		f.log.Error("faktory: a job could not be written", "error", err)
+		f.log.Error("faktory: job not encoded", "error", err)
 	}
 	return b
 }
--- a/internal/faktory/resp.go
+++ b/internal/faktory/resp.go
@@ -6,27 +6,27 @@
 	"strings"
 )
 
-// Command is one line of a client: a verb and what follows it. The slices are parts of the buffer
-// that was parsed.
+// Command is one command of a client: a verb and its argument. The slices are parts of the parsed buffer; Size is the
+// number of bytes it took.
 type Command struct {
 	Verb, Arg []byte
 	Size      int
 }
 
-// Fault is a command that can't be taken.
+// CommandError describes a command that cannot be parsed; the session is closed.
 type CommandError string
 
 func (f CommandError) Error() string { return string(f) }
 
-// ParseCommand parses the command at the start of buf, of at most longest bytes. A need above zero tells how many
-// bytes there have to be before another try is of use. Clients write commands as plain lines; RESP's array form,
-// which a general client of that protocol sends, is taken as well.
-func ParseCommand(buf []byte, c *Command, longest int) (need int, err error) {
+// ParseCommand parses the command at the start of buf, of at most maxBytes bytes. A need above zero is the number of
+// bytes that buf must have before another call can succeed. Clients send commands as plain lines; RESP's array form,
+// which a generic client of that protocol sends, is accepted as well.
+func ParseCommand(buf []byte, c *Command, maxBytes int) (need int, err error) {
 	*c = Command{}
 	if len(buf) > 0 && buf[0] == '*' {
-		return parseArray(buf, c, longest)
+		return parseArray(buf, c, maxBytes)
 	}
-	line, at, need, err := readLine(buf, 0, longest)
+	line, at, need, err := readLine(buf, 0, maxBytes)
 	if need > 0 || err != nil {
 		return need, err
 	}
@@ -36,21 +36,23 @@
 	return 0, nil
 }
 
-func readLine(buf []byte, from, longest int) (text []byte, at, need int, err error) {
+// readLine returns the line that starts at from, without its line end, and the position after it.
+func readLine(buf []byte, from, maxBytes int) (text []byte, at, need int, err error) {
 	i := bytes.IndexByte(buf[from:], '\n')
 	if i < 0 {
-		if len(buf)-from > longest {
+		if len(buf)-from > maxBytes {
 			return nil, 0, 0, CommandError("command too long")
 		}
 		return nil, 0, len(buf) + 1, nil
 	}
-	if i > longest {
+	if i > maxBytes {
 		return nil, 0, 0, CommandError("command too long")
 	}
 	return bytes.TrimSuffix(buf[from:from+i], []byte("\r")), from + i + 1, 0, nil
 }
 
-func parseArray(buf []byte, c *Command, longest int) (need int, err error) {
+// parseArray parses a command in RESP's array form.
+func parseArray(buf []byte, c *Command, maxBytes int) (need int, err error) {
 	n, at, need, err := parseLength(buf, 0, '*', 64)
 	if need > 0 || err != nil {
 		return need, err
@@ -60,7 +62,7 @@
 	}
 	var args [][]byte
 	for range n {
-		size, start, need, err := parseLength(buf, at, '$', longest)
+		size, start, need, err := parseLength(buf, at, '$', maxBytes)
 		if need > 0 || err != nil {
 			return need, err
 		}
@@ -71,7 +73,7 @@
 			return 0, CommandError("malformed bulk string")
 		}
 		args = append(args, buf[start:start+size])
-		if at = start + size + 2; at > longest {
+		if at = start + size + 2; at > maxBytes {
 			return 0, CommandError("command too long")
 		}
 	}
@@ -84,7 +86,8 @@
 	return 0, nil
 }
 
-func parseLength(buf []byte, from int, kind byte, most int) (n, at, need int, err error) {
+// parseLength parses a length such as "$12\r\n" that starts at from; kind is its first byte.
+func parseLength(buf []byte, from int, kind byte, limit int) (n, at, need int, err error) {
 	if from >= len(buf) {
 		return 0, 0, len(buf) + 1, nil
 	}
@@ -109,13 +112,13 @@
 		}
 		n = n*10 + int(c-'0')
 	}
-	if n > most {
+	if n > limit {
 		return 0, 0, 0, CommandError("command too long")
 	}
 	return n, from + end + 1, 0, nil
 }
 
-// The replies of a server.
+// Replies of the server.
 
 var lineReplacer = strings.NewReplacer("\r", " ", "\n", " ")
 
--- a/internal/faktory/resp_test.go
+++ b/internal/faktory/resp_test.go
@@ -9,7 +9,7 @@
 
 const longest = 128 << 10
 
-func TestParseCommand(t *testing.T) {
+func TestParseCommandAtEverySplit(t *testing.T) {
 	for _, c := range []struct{ text, verb, arg, fault string }{
 		{text: "INFO\r\n", verb: "INFO"},
 		{text: "END\n", verb: "END"},
@@ -38,7 +38,7 @@
 		assert.Equal(t, c.verb, string(got.Verb), c.text)
 		assert.Equal(t, c.arg, string(got.Arg), c.text)
 		assert.Equal(t, len(c.text), got.Size)
-		for i := range len(c.text) { // split at every byte, with more behind it
+		for i := range len(c.text) { // truncated at every byte
 			need, err := ParseCommand([]byte(c.text[:i]), &got, longest)
 			assert.NoError(t, err)
 			assert.Greater(t, need, i, "%q is not whole", c.text[:i])
--- a/internal/faktory/session.go
+++ b/internal/faktory/session.go
@@ -15,29 +15,29 @@
 	"cobaltflow/internal/link"
 )
 
-// session is one connection: a client's that pushes, or a worker's.
+// session is one connection, of a client that pushes or of a worker.
 type session struct {
 	link.Link
 	ref     core.Ref
 	front   *Front
-	client  string // the address that its jobs are counted for
+	client  string // IP address; its jobs count against the limits of one client
 	input   inputState
 	salt    string
 	greeted bool
 	worker  *worker // nil: a client that only pushes
-	replies []byte  // replies of this turn
-	isDirty bool    // it is among those that have some
+	replies []byte  // of this turn, not sent yet
+	isDirty bool    // it is in Front.sessionsToFlush
 
-	queues         []string // of its last FETCH
-	lastFetchArg   string   // as they were written
+	queues         []string // of the last FETCH
+	lastFetchArg   string   // the argument that queues was parsed from
 	fetch          jobs.Fetch
-	fetchTimer     *core.Timer // of the FETCH that waits
-	isBlocked      bool        // a command waits for its reply: those behind it wait too
+	fetchTimer     *core.Timer // ends the waiting FETCH
+	isBlocked      bool        // a command waits for its reply, and so do the commands behind it
 	queuedCommands []parsedCommand
-	bulkPush       *bulkPush // a PUSHB that is under way
+	bulkPush       *bulkPush // the PUSHB in progress
 }
 
-// reply adds a reply; all of a turn leave in one piece.
+// reply appends a reply; all replies of a turn are sent in one write.
 func (s *session) reply(message []byte) {
 	if s.Ended || s.CloseReason != "" {
 		return
@@ -61,7 +61,7 @@
 	}
 }
 
-// end replies and closes.
+// replyAndClose sends a last reply and closes the session for a reason, which the log shows.
 func (s *session) replyAndClose(message []byte, reason string) {
 	s.reply(message)
 	if s.CloseReason == "" {
@@ -69,7 +69,7 @@
 	}
 }
 
-// resume gives the reply that a command waited for, and goes on with those behind it.
+// finishCommand sends the reply of the command that blocks the session, and runs the commands behind it.
 func (s *session) finishCommand(message []byte) {
 	s.reply(message)
 	if !s.isBlocked {
@@ -77,7 +77,7 @@
 	}
 	s.isBlocked = false
 	if len(s.queuedCommands) > 0 {
-		// In an event of its own: this reply may come from within another's.
+		// In a later event, since this call may come from within another event's handler.
 		s.front.loop.Post(func() {
 			if !s.isBlocked {
 				behind := s.queuedCommands
@@ -88,8 +88,8 @@
 	}
 }
 
-// handle has commands in hand. Those behind one that waits for its reply wait too, so that replies keep the order
-// of the commands.
+// handle runs a batch of commands. While a command waits for its reply, those behind it are queued, so that replies
+// keep the order of the commands.
 func (f *Front) handle(s *session, batch []parsedCommand) {
 	if s.isBlocked || len(s.queuedCommands) > 0 {
 		s.queuedCommands = append(s.queuedCommands, batch...)
@@ -98,10 +98,10 @@
 	s.queuedCommands = f.runCommands(s, batch)
 }
 
-// run carries commands out up to the first that waits, and gives those behind it.
+// runCommands runs commands up to the first that blocks the session, and returns those behind it.
 func (f *Front) runCommands(s *session, batch []parsedCommand) (rest []parsedCommand) {
 	for i := range batch {
-		q := &batch[i]
+		cmd := &batch[i]
 		if s.isBlocked {
 			return batch[i:]
 		}
@@ -111,31 +111,32 @@
 			if w := s.worker; w != nil {
 				w.lastBeat = f.loop.Now()
 			}
-			f.dispatch(s, q)
+			f.dispatch(s, cmd)
 		}
-		s.commandsDone(q.size, q.cost)
+		s.commandsDone(cmd.size, cmd.cost)
 	}
 	return nil
 }
 
-func (f *Front) dispatch(s *session, q *parsedCommand) {
-	handle, known := commands[q.verb]
+// dispatch calls the handler of one command.
+func (f *Front) dispatch(s *session, cmd *parsedCommand) {
+	handle, known := commands[cmd.verb]
 	switch {
-	case q.isFatal:
-		s.replyAndClose(errorReply(q.err.Error()), link.BadInput)
-	case !s.greeted && q.verb != "HELLO":
+	case cmd.isFatal:
+		s.replyAndClose(errorReply(cmd.err.Error()), link.BadInput)
+	case !s.greeted && cmd.verb != "HELLO":
 		s.replyAndClose(errorReply("say HELLO first"), link.BadInput)
 	case known:
-		handle(f, s, q)
-	case q.verb == "":
+		handle(f, s, cmd)
+	case cmd.verb == "":
 		s.reply(errorReply("empty command"))
 	default:
-		s.reply(errorReplyf("unknown command %.32q", q.verb))
+		s.reply(errorReplyf("unknown command %.32q", cmd.verb))
 	}
 }
 
-// commands are the verbs that are spoken here, and verbs gives each as a string that need not be made. A handler
-// that can't answer at once blocks its session. They are set in init, since the handlers lead back here.
+// commands are the handlers by verb; a handler that cannot answer at once blocks its session. verbs maps each verb to
+// itself, for lookups without an allocation. Both are set in init, since the handlers refer to them indirectly.
 var (
 	commands map[string]func(f *Front, s *session, q *parsedCommand)
 	verbs    = map[string]string{}
@@ -162,10 +163,10 @@
 	}
 }
 
-// Verbs lists the commands that are spoken here.
+// Verbs returns the supported commands in alphabetical order.
 func Verbs() []string { return slices.Sorted(maps.Keys(commands)) }
 
-func (f *Front) hello(s *session, q *parsedCommand) {
+func (f *Front) hello(s *session, cmd *parsedCommand) {
 	var h struct {
 		Hostname string   `json:"hostname"`
 		WID      string   `json:"wid"`
@@ -175,15 +176,15 @@
 		Version  int      `json:"v"`
 		Hash     string   `json:"pwdhash"`
 	}
-	k := &f.conf.Faktory
-	switch err := json.Unmarshal(q.arg, &h); {
+	cfg := &f.conf.Faktory
+	switch err := json.Unmarshal(cmd.arg, &h); {
 	case err != nil:
 		s.replyAndClose(errorReply("malformed HELLO: "+err.Error()), link.BadInput)
 	case s.greeted:
 		s.reply(errorReply("HELLO was said"))
 	case h.Version != protocolLevel:
 		s.replyAndClose(errorReplyf("protocol version %d is not spoken here, %d is", h.Version, protocolLevel), link.BadInput)
-	case s.salt != "" && subtle.ConstantTimeCompare([]byte(PasswordHash(k.Password, s.salt, k.HashRounds)), []byte(h.Hash)) != 1:
+	case s.salt != "" && subtle.ConstantTimeCompare([]byte(PasswordHash(cfg.Password, s.salt, cfg.HashRounds)), []byte(h.Hash)) != 1:
 		f.rejected["password"]++
 		s.replyAndClose(errorReply("invalid password"), link.BadInput)
 	case len(h.WID) > maxIDBytes || strings.ContainsAny(h.WID, " \r\n\t"):
@@ -198,12 +199,12 @@
 	}
 }
 
-// enlist makes the session one of a worker's. Another process under a wid that is known is another worker: the
-// one before it has gone, though its connections may not have told so yet.
+// registerWorker makes the session one of a worker's. A different process with a known wid is a new worker; the earlier
+// one is removed, even if its connections have not ended yet.
 func (f *Front) registerWorker(s *session, wid, process string) {
 	w := f.workers[wid]
 	if w != nil && w.process != process {
-		f.log.Warn("faktory: a worker came anew", "wid", wid)
+		f.log.Warn("faktory: worker restarted under the same wid", "wid", wid)
 		f.sessions.Each(func(_ core.Ref, other *session) {
 			if other.worker == w {
 				other.Close(link.AddressChanged)
@@ -221,7 +222,8 @@
 	s.worker, s.Party = w, "faktory-worker"
 }
 
-// PasswordHash is the public protocol's: SHA-256 over password and salt, then over its own output.
+// PasswordHash is the protocol's password hash: SHA-256 over password and salt, then rounds-1 times over its own
+// result, in hex.
 func PasswordHash(password, salt string, rounds int) string {
 	sum := sha256.Sum256([]byte(password + salt))
 	for range rounds - 1 {
--- a/internal/faktory/transport.go
+++ b/internal/faktory/transport.go
@@ -10,18 +10,18 @@
 // worker is a process that fetches jobs, over one or more sessions.
 type worker struct {
 	wid             string
-	name            string // among the endpoints
-	process         string // what HELLO told of it: another one under the same wid is another worker
+	name            string // its name among the endpoints
+	process         string // host and pid from HELLO; a different one under the same wid is another worker
 	sessionCount    int
 	pools           map[*core.Pool]bool // the pools that it has joined
-	joinedAt        core.Time           // when it first did
+	joinedAt        core.Time           // when it joined its first pool
 	draining        bool
-	state           string           // as its BEAT told
-	lastBeat        core.Time        // the last sign of life
-	rssKB           int64            // kB, as its BEAT told
-	pending         []pendingAttempt // not fetched yet, in order of their sending
-	fetched         map[string]*core.Attempt
-	waitingSessions []*session // FETCHes that wait
+	state           string                   // from its last BEAT that had one
+	lastBeat        core.Time                // when its last command arrived
+	rssKB           int64                    // resident memory in kB, from its last BEAT
+	pending         []pendingAttempt         // attempts that are not fetched yet, in the order they were sent
+	fetched         map[string]*core.Attempt // by jid
+	waitingSessions []*session               // sessions with a waiting FETCH
 }
 
 // pendingAttempt is an attempt that waits for its worker's FETCH.
@@ -31,100 +31,103 @@
 	since   core.Time
 }
 
-// attemptState is what an attempt carries of ours.
+// attemptState is the front's state of an attempt, in core.Attempt.TransportState.
 type attemptState struct{ isFetched bool }
 
-// removeWorker takes a worker out of the endpoints. What it had fetched may have run, what it had not never did.
+// removeWorker removes a worker from the endpoints. The jobs that it has fetched may have run; its pending attempts
+// never did.
 func (f *Front) removeWorker(w *worker) {
 	if f.workers[w.wid] != w {
-		return // it has vanished before; another may have come under its wid since
+		return // already removed; another worker may have the wid now
 	}
 	delete(f.workers, w.wid)
 	pending, fetched := w.pending, w.fetched
 	w.pending, w.fetched = nil, nil
 	f.updatePools(w, rules.Gone)
-	for _, h := range pending {
-		f.core.AttemptEnded(h.attempt.Ref, rules.Unreachable, nil, rules.Load{})
+	for _, waiting := range pending {
+		f.core.AttemptEnded(waiting.attempt.Ref, rules.Unreachable, nil, rules.Load{})
 	}
-	for _, p := range fetched {
-		f.recordFailure(p, "WorkerVanished", "worker "+w.wid+" vanished with the job")
-		f.core.AttemptEnded(p.Ref, rules.Reset, nil, rules.Load{})
+	for _, attempt := range fetched {
+		f.recordFailure(attempt, "WorkerVanished", "worker "+w.wid+" vanished with the job")
+		f.core.AttemptEnded(attempt.Ref, rules.Reset, nil, rules.Load{})
 	}
 }
 
-// tell tells all pools of a worker.
+// updatePools reports a worker's state to all pools that it has joined.
 func (f *Front) updatePools(w *worker, state rules.WorkerState) {
-	for p := range w.pools {
-		f.updatePool(w, p, state)
+	for pool := range w.pools {
+		f.updatePool(w, pool, state)
 	}
 }
 
-func (f *Front) updatePool(w *worker, p *core.Pool, state rules.WorkerState) {
-	p.UpdateWorkerList(f, rules.ListDelta, []core.ListedWorker{{Name: w.name, Zone: f.core.Settings().Zone, Kind: -1,
+func (f *Front) updatePool(w *worker, pool *core.Pool, state rules.WorkerState) {
+	pool.UpdateWorkerList(f, rules.ListDelta, []core.ListedWorker{{Name: w.name, Zone: f.core.Settings().Zone, Kind: -1,
 		State: state, Weight: 1, StartedAt: w.joinedAt}})
 }
 
-// join makes a worker that fetches from a queue for the first time a member of its pool. It has just started as
-// far as is known here, so the rules for cold workers hold for it.
+// joinPool adds a worker to the pool of a queue on its first FETCH from it. When the process started is not known, so
+// the worker counts as just started and is subject to slow start.
 func (f *Front) joinPool(w *worker, queue string) {
-	p := f.poolFor(queue)
-	if w.pools[p] {
+	pool := f.poolFor(queue)
+	if w.pools[pool] {
 		return
 	}
 	if w.joinedAt == 0 {
 		w.joinedAt = f.loop.Now()
 	}
-	w.pools[p] = true
+	w.pools[pool] = true
 	state := rules.Ready
 	if w.draining {
 		state = rules.Draining
 	}
-	f.updatePool(w, p, state)
+	f.updatePool(w, pool, state)
 }
 
 func (f *Front) workerByName(name string) *worker {
 	return f.workers[strings.TrimPrefix(name, workerPrefix)]
 }
 
-// Carry implements core.Carrier: the attempt waits for the worker's FETCH.
-func (f *Front) Send(p *core.Attempt) {
-	p.TransportState = &attemptState{}
-	w := f.workerByName(p.Worker)
+// Send implements core.Transport: it answers a waiting FETCH of the worker, or lets the attempt wait for the next one.
+func (f *Front) Send(attempt *core.Attempt) {
+	attempt.TransportState = &attemptState{}
+	w := f.workerByName(attempt.Worker)
 	if w == nil {
-		f.loop.Post(func() { f.core.AttemptEnded(p.Ref, rules.Unreachable, nil, rules.Load{}) })
+		f.loop.Post(func() { f.core.AttemptEnded(attempt.Ref, rules.Unreachable, nil, rules.Load{}) })
 		return
 	}
-	queue := f.queueOf(p.Request)
+	queue := f.queueOf(attempt.Request)
 	for _, s := range w.waitingSessions {
 		if s.fetch.HasQueue(queue) {
-			f.deliver(w, s, p)
+			f.deliver(w, s, attempt)
 			return
 		}
 	}
-	w.pending = append(w.pending, pendingAttempt{p, queue, f.loop.Now()})
+	w.pending = append(w.pending, pendingAttempt{attempt, queue, f.loop.Now()})
 }
 
-// Begun implements core.Carrier.
-func (f *Front) HasBegun(p *core.Attempt) bool { return p.TransportState.(*attemptState).isFetched }
+// HasBegun implements core.Transport.
+func (f *Front) HasBegun(attempt *core.Attempt) bool {
+	return attempt.TransportState.(*attemptState).isFetched
+}
 
-// Withdraw implements core.Carrier. An attempt that was not fetched never ran; of one that was, the
-// protocol has no way to tell the worker, which goes on with it.
-func (f *Front) Cancel(p *core.Attempt) (mayHaveRun bool) {
-	if w := f.workerByName(p.Worker); w != nil {
-		for i, h := range w.pending {
-			if h.attempt == p {
+// Cancel implements core.Transport. An attempt that was not fetched never ran. The protocol cannot cancel a fetched
+// one, so its worker goes on with it.
+func (f *Front) Cancel(attempt *core.Attempt) (mayHaveRun bool) {
+	if w := f.workerByName(attempt.Worker); w != nil {
+		for i, waiting := range w.pending {
+			if waiting.attempt == attempt {
 				w.pending = append(w.pending[:i], w.pending[i+1:]...)
 				return false
 			}
 		}
-		if w.fetched[p.Request.ID] == p {
-			delete(w.fetched, p.Request.ID)
+		if w.fetched[attempt.Request.ID] == attempt {
+			delete(w.fetched, attempt.Request.ID)
 		}
 	}
-	return p.TransportState.(*attemptState).isFetched
+	return attempt.TransportState.(*attemptState).isFetched
 }
 
-// Probe implements core.Carrier. What would be asked is known here.
+// Probe implements core.Transport. The worker's load is known here, so no message is sent.
 func (f *Front) Probe(name string) {
 	w := f.workerByName(name)
 	status, load := rules.Unreachable, rules.Load{}
@@ -134,36 +137,36 @@
 	f.loop.Post(func() { f.core.Probed(name, status, 0, load) })
 }
 
-// load is what the decisions would hear from a table worker. free are FETCHes that are sure to come.
-func (w *worker) load(free int) rules.Load {
+// load is the load that a table worker would report. extraSlots are FETCHes that are about to come.
+func (w *worker) load(extraSlots int) rules.Load {
 	return rules.Load{Has: rules.HasQueue | rules.HasInFlight | rules.HasFreeSlots, Queue: float64(len(w.pending)),
-		InFlight: float64(len(w.pending) + len(w.fetched)), FreeSlots: float64(len(w.waitingSessions) + free)}
+		InFlight: float64(len(w.pending) + len(w.fetched)), FreeSlots: float64(len(w.waitingSessions) + extraSlots)}
 }
 
-// deliver answers a FETCH with an attempt. From here on it may have run.
-func (f *Front) deliver(w *worker, s *session, p *core.Attempt) {
-	p.TransportState.(*attemptState).isFetched = true
-	w.fetched[p.Request.ID] = p
+// deliver answers a FETCH with an attempt, which may have run from here on.
+func (f *Front) deliver(w *worker, s *session, attempt *core.Attempt) {
+	attempt.TransportState.(*attemptState).isFetched = true
+	w.fetched[attempt.Request.ID] = attempt
 	w.removeWaiting(s)
 	f.loop.CancelTimer(s.fetchTimer)
 	s.fetchTimer = nil
-	if try, ours := p.Request.Client.(*jobRequest); ours {
-		f.jobs.Started(f.loop.Now(), try.job, w.wid, &s.fetch)
+	if r, isOurs := attempt.Request.Client.(*jobRequest); isOurs {
+		f.jobs.Started(f.loop.Now(), r.job, w.wid, &s.fetch)
 	} else {
 		f.jobs.CancelFetch(&s.fetch)
 	}
-	s.finishCommand(bulkReply(f.fetchPayload(p.Request)))
-	f.core.AttemptStarted(p.Ref)
+	s.finishCommand(bulkReply(f.fetchPayload(attempt.Request)))
+	f.core.AttemptStarted(attempt.Ref)
 }
 
-// deliverPending answers a FETCH with what is pending for its worker: in the order of its queues, and of these in the
-// order of their coming.
+// deliverPending answers a FETCH with a pending attempt of its worker, if any: by the order of the FETCH's queues, then
+// by the order in which the attempts were sent.
 func (f *Front) deliverPending(w *worker, s *session) bool {
 	for _, q := range s.queues {
-		for i, h := range w.pending {
-			if h.queue == q {
+		for i, waiting := range w.pending {
+			if waiting.queue == q {
 				w.pending = append(w.pending[:i], w.pending[i+1:]...)
-				f.deliver(w, s, h.attempt)
+				f.deliver(w, s, waiting.attempt)
 				return true
 			}
 		}
@@ -171,20 +174,21 @@
 	return false
 }
 
-// reassign ends the attempts that are pending for a busy worker while another asks for their queue: they were refused, and
-// go elsewhere.
+// reassign ends attempts that have been pending for a worker for maxPendingTime while another worker waits for a job of
+// their queue. They count as refused, so the core retries them elsewhere.
 func (f *Front) reassign(w *worker, now core.Time) {
 	for i := 0; i < len(w.pending); i++ {
-		h := w.pending[i]
-		if now-h.since < maxPendingTime || !f.hasWaitingFetch(h.queue) {
+		waiting := w.pending[i]
+		if now-waiting.since < maxPendingTime || !f.hasWaitingFetch(waiting.queue) {
 			continue
 		}
 		w.pending = append(w.pending[:i], w.pending[i+1:]...)
 		i--
-		f.core.AttemptEnded(h.attempt.Ref, rules.Refused, nil, w.load(0))
+		f.core.AttemptEnded(waiting.attempt.Ref, rules.Refused, nil, w.load(0))
 	}
 }
 
+// hasWaitingFetch reports whether any FETCH waits for a job of the queue.
 func (f *Front) hasWaitingFetch(queue string) bool {
 	for _, w := range f.workers {
 		for _, s := range w.waitingSessions {
@@ -196,12 +200,12 @@
 	return false
 }
 
-// returnPending ends the attempts that a worker will not fetch any more.
+// returnPending ends all pending attempts of a worker that will not fetch them.
 func (f *Front) returnPending(w *worker) {
 	pending := w.pending
 	w.pending = nil
-	for _, h := range pending {
-		f.core.AttemptEnded(h.attempt.Ref, rules.Refused, nil, rules.Load{})
+	for _, waiting := range pending {
+		f.core.AttemptEnded(waiting.attempt.Ref, rules.Refused, nil, rules.Load{})
 	}
 }
 
@@ -214,9 +218,9 @@
 	}
 }
 
-func (f *Front) queueOf(t *core.Request) string {
-	if try, ok := t.Client.(*jobRequest); ok {
-		return try.job.Queue
+func (f *Front) queueOf(req *core.Request) string {
+	if r, ok := req.Client.(*jobRequest); ok {
+		return r.job.Queue
 	}
 	return f.conf.Faktory.Queue
 }
--- a/internal/faktory/verbs.go
+++ b/internal/faktory/verbs.go
@@ -13,40 +13,40 @@
 	"cobaltflow/rules"
 )
 
-// The commands of clients and workers; those of operators are in operate.go.
+// The commands of clients and workers; operate.go has those of operators.
 
-// take has the machine take a job, and puts its verdict into words.
+// pushJob pushes a job into the machine; a rejection becomes the error text of the reply.
 func (f *Front) pushJob(j *jobs.Job) error {
 	if f.core.HasRequest(j.ID) && f.jobs.Find(j.ID) == nil {
 		return fmt.Errorf("jid %s is in use", j.ID)
 	}
-	v := f.jobs.Push(f.loop.Now(), j)
+	result := f.jobs.Push(f.loop.Now(), j)
 	switch {
-	case v.Accepted:
+	case result.Accepted:
 		return nil
-	case v.Existing != nil:
-		// Pushed again, in flight or lately ended: what was taken stands, and nothing runs twice.
-		if s := v.Existing.State; s == jobs.Refused || s == jobs.Failed || s == jobs.Dead {
+	case result.Existing != nil:
+		// A repeated PUSH of a job that is in flight or has ended lately: the first one stands, so nothing runs twice.
+		if s := result.Existing.State; s == jobs.Refused || s == jobs.Failed || s == jobs.Dead {
 			return fmt.Errorf("job %s has ended: %s", j.ID, s)
 		}
 		return nil
-	case v.NotUnique:
+	case result.NotUnique:
 		return errNotUniqueJob
 	}
-	after := v.RetryAfter
-	if v.Rejected == jobs.ShutDown {
-		after = 2 * core.Second // a client may look for the next process then
+	after := result.RetryAfter
+	if result.Rejected == jobs.ShutDown {
+		after = 2 * core.Second // by then a client may reach the next process
 	}
-	why := string(v.Rejected) + " is reached"
-	if v.Rejected == jobs.ShutDown {
-		why = "the program ends"
+	reason := string(result.Rejected) + " is reached"
+	if result.Rejected == jobs.ShutDown {
+		reason = "the program ends"
 	}
-	return fmt.Errorf("refused, %s, return in %.3f s", why, float64(after)/float64(core.Second))
+	return fmt.Errorf("refused, %s, return in %.3f s", reason, float64(after)/float64(core.Second))
 }
 
 var errNotUniqueJob = errors.New("NOTUNIQUE Job not unique")
 
-// failureOfPush is the error reply to a PUSH. NOTUNIQUE stands in the place of ERR, as clients look for it.
+// pushErrorReply is the error reply to a PUSH. NOTUNIQUE replaces ERR, as Faktory's clients expect.
 func pushErrorReply(err error) []byte {
 	if errors.Is(err, errNotUniqueJob) {
 		return []byte("-" + errNotUniqueJob.Error() + "\r\n")
@@ -54,43 +54,44 @@
 	return errorReply(err.Error())
 }
 
-func (f *Front) push(s *session, q *parsedCommand) {
-	if q.job == nil && q.err == nil {
-		f.parsePayload(s, q)
+func (f *Front) push(s *session, cmd *parsedCommand) {
+	if cmd.job == nil && cmd.err == nil {
+		f.parsePayload(s, cmd)
 	}
-	if q.err == nil {
-		q.err = f.pushJob(q.job)
+	if cmd.err == nil {
+		cmd.err = f.pushJob(cmd.job)
 	}
-	if q.err != nil {
-		s.reply(pushErrorReply(q.err))
+	if cmd.err != nil {
+		s.reply(pushErrorReply(cmd.err))
 		return
 	}
 	s.reply(replyOK)
 }
 
-// bulkPush is a PUSHB that is under way: a part of it is taken in each turn, so that it holds up nobody.
+// bulkPush is a PUSHB in progress. Each turn pushes a part of it, so that other sessions are not delayed.
 type bulkPush struct {
 	remaining  []bulkJob
-	errorsByID map[string]string // jid to what is wrong
+	errorsByID map[string]string // error texts by jid
 }
 
-func (f *Front) pushBulk(s *session, q *parsedCommand) {
-	if q.bulk == nil && q.err == nil {
-		f.parsePayload(s, q)
+func (f *Front) pushBulk(s *session, cmd *parsedCommand) {
+	if cmd.bulk == nil && cmd.err == nil {
+		f.parsePayload(s, cmd)
 	}
-	if q.err != nil {
-		s.reply(errorReply(q.err.Error()))
+	if cmd.err != nil {
+		s.reply(errorReply(cmd.err.Error()))
 		return
 	}
 	s.isBlocked = true
-	s.bulkPush = &bulkPush{remaining: q.bulk, errorsByID: map[string]string{}}
+	s.bulkPush = &bulkPush{remaining: cmd.bulk, errorsByID: map[string]string{}}
 	f.pushNextJobs(s)
 }
 
+// pushNextJobs pushes up to maxBulkJobsPerTurn jobs, and replies after the last.
 func (f *Front) pushNextJobs(s *session) {
 	b := s.bulkPush
 	if s.Ended {
-		return // nobody hears of the rest, which was not taken
+		return // the rest is not pushed, since no reply can report it
 	}
 	for n := 0; n < maxBulkJobsPerTurn && len(b.remaining) > 0; n++ {
 		p := &b.remaining[0]
@@ -112,15 +113,15 @@
 	s.finishCommand(bulkReply(text))
 }
 
-// fetch gives the worker an attempt that is pending for it, now or within the time of a FETCH.
-func (f *Front) fetch(s *session, q *parsedCommand) {
+// fetch handles FETCH: it answers with a pending attempt of the worker, or waits up to fetchTimeout for one.
+func (f *Front) fetch(s *session, cmd *parsedCommand) {
 	w := s.worker
 	if w == nil {
 		s.reply(errorReply("FETCH is for workers: HELLO had no wid"))
 		return
 	}
-	if string(q.arg) != s.lastFetchArg || s.queues == nil {
-		s.lastFetchArg, s.queues = string(q.arg), strings.Fields(string(q.arg))
+	if string(cmd.arg) != s.lastFetchArg || s.queues == nil {
+		s.lastFetchArg, s.queues = string(cmd.arg), strings.Fields(string(cmd.arg))
 		if len(s.queues) == 0 {
 			s.queues = []string{f.conf.Faktory.Queue}
 		}
@@ -133,7 +134,7 @@
 		}
 	}
 	if w.draining {
-		// It has said that it takes nothing new; what still waits for it goes back unrun.
+		// The worker takes no new jobs; its pending attempts go back unrun.
 		f.returnPending(w)
 		s.reply(replyNull)
 		return
@@ -158,7 +159,7 @@
 	f.newFetches = append(f.newFetches, s)
 }
 
-// patient gives the FETCHes of a turn that found nothing in it their time.
+// startFetchTimers starts the timeout of each FETCH of this turn that was not answered within the turn.
 func (f *Front) startFetchTimers() {
 	for _, s := range f.newFetches {
 		if w := s.worker; s.isBlocked && s.fetchTimer == nil && s.fetch.IsWaiting() && !s.Ended {
@@ -174,68 +175,70 @@
 	f.newFetches = f.newFetches[:0]
 }
 
-// held finds the attempt that a worker reports on, and the object that it sent; nil: its time was over, or it came
-// before a restart.
+// reportedAttempt replies to an ACK or FAIL, and returns the attempt that it reports on with the parsed object. The
+// attempt is nil after an error, after the job's time was over, or if the job was fetched before a restart of this
+// process.
 func (f *Front) reportedAttempt(s *session, verb string, arg []byte) (*core.Attempt, gjson.Result) {
 	if !gjson.ValidBytes(arg) {
 		s.reply(errorReplyf("malformed %s: not an object of JSON", verb))
 		return nil, gjson.Result{}
 	}
-	r := gjson.ParseBytes(arg)
-	jid := r.Get("jid")
+	report := gjson.ParseBytes(arg)
+	jid := report.Get("jid")
 	if jid.Type != gjson.String || jid.Str == "" {
 		s.reply(errorReplyf("malformed %s: jid: missing", verb))
-		return nil, r
+		return nil, report
 	}
 	if s.worker == nil {
 		s.reply(errorReplyf("%s is for workers: HELLO had no wid", verb))
-		return nil, r
+		return nil, report
 	}
 	s.reply(replyOK)
-	p := s.worker.fetched[jid.Str]
-	if p != nil {
+	attempt := s.worker.fetched[jid.Str]
+	if attempt != nil {
 		delete(s.worker.fetched, jid.Str)
 	}
-	return p, r
+	return attempt, report
 }
 
-func (f *Front) ack(s *session, q *parsedCommand) {
-	p, r := f.reportedAttempt(s, "ACK", q.arg)
-	if p == nil {
+func (f *Front) ack(s *session, cmd *parsedCommand) {
+	attempt, report := f.reportedAttempt(s, "ACK", cmd.arg)
+	if attempt == nil {
 		return
 	}
-	var result []byte // a text as it reads, anything else as it was written
-	if v := r.Get("result"); v.Type == gjson.String {
+	var result []byte // a string without its quotes, any other JSON value as it was sent
+	if v := report.Get("result"); v.Type == gjson.String {
 		result = []byte(v.Str)
 	} else if v.Exists() {
 		result = []byte(v.Raw)
 	}
-	f.core.AttemptEnded(p.Ref, rules.OK, result, s.worker.load(1))
+	f.core.AttemptEnded(attempt.Ref, rules.OK, result, s.worker.load(1))
 }
 
-func (f *Front) fail(s *session, q *parsedCommand) {
-	p, r := f.reportedAttempt(s, "FAIL", q.arg)
-	if p == nil {
+func (f *Front) fail(s *session, cmd *parsedCommand) {
+	attempt, report := f.reportedAttempt(s, "FAIL", cmd.arg)
+	if attempt == nil {
 		return
 	}
-	if y, ours := p.Request.Client.(*jobRequest); ours {
-		y.failure = &jobs.Failure{Type: r.Get("errtype").String(), Message: r.Get("message").String()}
-		r.Get("backtrace").ForEach(func(_, line gjson.Result) bool {
-			y.failure.Backtrace = append(y.failure.Backtrace, line.String())
-			return len(y.failure.Backtrace) < jobs.MaxBacktraceLines
+	if request, isOurs := attempt.Request.Client.(*jobRequest); isOurs {
+		request.failure = &jobs.Failure{Type: report.Get("errtype").String(), Message: report.Get("message").String()}
+		report.Get("backtrace").ForEach(func(_, line gjson.Result) bool {
+			request.failure.Backtrace = append(request.failure.Backtrace, line.String())
+			return len(request.failure.Backtrace) < jobs.MaxBacktraceLines
 		})
 	}
-	f.core.AttemptEnded(p.Ref, rules.Error, nil, s.worker.load(1))
+	f.core.AttemptEnded(attempt.Ref, rules.Error, nil, s.worker.load(1))
 }
 
-// beat takes a worker's sign of life, and tells it where it is to go quiet or to end.
-func (f *Front) beat(s *session, q *parsedCommand) {
+// beat handles BEAT, a worker's heartbeat. The reply tells the worker to go quiet or to terminate while the front
+// drains.
+func (f *Front) beat(s *session, cmd *parsedCommand) {
 	var b struct {
 		WID   string `json:"wid"`
 		State string `json:"current_state"`
 		RSS   int64  `json:"rss_kb"`
 	}
-	if err := json.Unmarshal(q.arg, &b); err != nil {
+	if err := json.Unmarshal(cmd.arg, &b); err != nil {
 		s.reply(errorReply("malformed BEAT"))
 		return
 	}
@@ -264,7 +267,7 @@
 	s.reply(bulkReply([]byte(`{"state":"` + f.requestedState + `"}`)))
 }
 
-// stopFetches answers the FETCHes of a worker that wants nothing new.
+// stopFetches answers the waiting FETCHes of a worker that takes no new jobs with null.
 func (f *Front) stopFetches(w *worker) {
 	for len(w.waitingSessions) > 0 {
 		s := w.waitingSessions[0]
@@ -276,9 +279,9 @@
 	}
 }
 
-// track looks a job up, or takes what its worker tells of it: TRACK GET jid, TRACK SET {...}.
-func (f *Front) track(s *session, q *parsedCommand) {
-	verb, arg, _ := strings.Cut(string(q.arg), " ")
+// track handles TRACK GET jid, the state of a job, and TRACK SET {...}, a worker's progress report.
+func (f *Front) track(s *session, cmd *parsedCommand) {
+	verb, arg, _ := strings.Cut(string(cmd.arg), " ")
 	switch {
 	case verb == "GET" && arg != "":
 		text, _ := json.Marshal(f.trackReply(arg))
