--- a/internal/front/http2/client_test.go
+++ b/internal/front/http2/client_test.go
@@ -29,8 +29,8 @@
 	}, workers...)
 }
 
-// client is one that nobody here wrote, over one connection.
-func client(n *standin.Node) *http.Client {
+// newClient returns the standard library's HTTP/2 client, which this project did not write, over one connection.
+func newClient(n *standin.Node) *http.Client {
 	var clearText http.Protocols
 	clearText.SetUnencryptedHTTP2(true)
 	t := &http.Transport{Protocols: &clearText, MaxConnsPerHost: 1, HTTP2: &http.HTTP2Config{StrictMaxConcurrentRequests: true}}
@@ -38,14 +38,14 @@
 	return &http.Client{Transport: t, Timeout: standin.Patience}
 }
 
-func request(ctx context.Context, n *standin.Node, class, id string, leftMS int, body string) *http.Request {
+func newRequest(ctx context.Context, n *standin.Node, class, id string, leftMS int, body string) *http.Request {
 	q, _ := http.NewRequestWithContext(ctx, "POST", "http://"+n.HTTP2.Address()+"/"+class+"/k", strings.NewReader(body))
 	q.Header.Set(platform.HeaderID, id)
 	q.Header.Set(platform.HeaderTimeLeft, fmt.Sprint(leftMS))
 	return q
 }
 
-func ask(c *http.Client, q *http.Request) (int, string, error) {
+func send(c *http.Client, q *http.Request) (int, string, error) {
 	r, err := c.Do(q)
 	if err != nil {
 		return 0, "", err
@@ -55,7 +55,7 @@
 	return r.StatusCode, string(text), err
 }
 
-func state(n *standin.Node, c *http.Client, id string) (out struct{ State, Result string }) {
+func jobState(n *standin.Node, c *http.Client, id string) (out struct{ State, Result string }) {
 	r, err := c.Get("http://" + n.HTTP2.Address() + "/jobs/" + id)
 	require.NoError(n.T, err)
 	defer r.Body.Close()
@@ -66,8 +66,8 @@
 	return out
 }
 
-// raw is a connection on which the test writes the frames.
-type raw struct {
+// rawConn is a connection on which the test writes frames itself.
+type rawConn struct {
 	*xhttp2.Framer
 	nc   net.Conn
 	enc  *hpack.Encoder
@@ -75,12 +75,12 @@
 	next uint32
 }
 
-func dial(n *standin.Node, settings ...xhttp2.Setting) *raw {
+func dial(n *standin.Node, settings ...xhttp2.Setting) *rawConn {
 	nc, err := net.Dial("tcp", n.HTTP2.Address())
 	require.NoError(n.T, err)
 	n.T.Cleanup(func() { nc.Close() })
 	nc.SetDeadline(time.Now().Add(standin.Patience))
-	r := &raw{Framer: xhttp2.NewFramer(nc, nc), nc: nc, next: 1}
+	r := &rawConn{Framer: xhttp2.NewFramer(nc, nc), nc: nc, next: 1}
 	r.AllowIllegalWrites = true
 	r.enc = hpack.NewEncoder(&r.buf)
 	io.WriteString(nc, xhttp2.ClientPreface)
@@ -89,7 +89,8 @@
 	return r
 }
 
-func (r *raw) post(class, id string, leftMS int, end bool) uint32 {
+// sendRequest writes the HEADERS of a request and returns its stream ID.
+func (r *rawConn) sendRequest(class, id string, leftMS int, end bool) uint32 {
 	r.buf.Reset()
 	for _, f := range [][2]string{{":method", "POST"}, {":scheme", "http"}, {":path", "/" + class + "/k"}, {":authority", "x"},
 		{"x-correlation-id", id}, {"x-time-left-ms", fmt.Sprint(leftMS)}} {
@@ -100,15 +101,15 @@
 	return r.next - 2
 }
 
-// until reads frames up to one that will do.
-func (r *raw) until(t *testing.T, is func(xhttp2.Frame) bool) xhttp2.Frame {
+// readUntil reads frames readUntil one matches, and returns it.
+func (r *rawConn) readUntil(t *testing.T, matches func(xhttp2.Frame) bool) xhttp2.Frame {
 	for {
 		f, err := r.ReadFrame()
 		require.NoError(t, err)
-		if is(f) {
+		if matches(f) {
 			return f
 		}
 	}
 }
 
-func goAway(f xhttp2.Frame) bool { _, yes := f.(*xhttp2.GoAwayFrame); return yes }
+func isGoAway(f xhttp2.Frame) bool { _, yes := f.(*xhttp2.GoAwayFrame); return yes }
--- a/internal/front/http2/conn.go
+++ b/internal/front/http2/conn.go
@@ -7,7 +7,7 @@
 	"cobaltflow/internal/link"
 )
 
-// write adds frames; all of a turn leave in one piece.
+// write appends frames; all frames of a turn are sent in one write.
 func (c *conn) write(b []byte) {
 	if c.Ended || c.ClosedLocally {
 		return
@@ -27,7 +27,8 @@
 	}
 }
 
-// goAway ends the connection with a GOAWAY and, in the log, a reason. Streams that were taken end as if reset.
+// closeWithGoAway sends a GOAWAY and closes the connection; the log shows the reason. Its open streams end as if the
+// client had reset them.
 func (c *conn) closeWithGoAway(code Code, reason, text string) {
 	if c.CloseReason != "" {
 		return
@@ -42,6 +43,7 @@
 	c.blockedStreams, c.unsentBytes = nil, 0
 }
 
+// fail closes the connection for an error of the client.
 func (c *conn) fail(e *connError) {
 	reason := e.reason
 	if reason == "" {
@@ -50,15 +52,16 @@
 	c.closeWithGoAway(e.code, reason, e.text)
 }
 
-// warn tells that the front ends: with the highest possible stream first, then with the last one taken.
+// sendGoAway announces the shutdown of the front: with the highest possible stream ID first, then with the last
+// accepted one.
 func (c *conn) sendGoAway(last uint32) {
 	if c.CloseReason == "" {
-		c.goAwaySent = true
+		c.isGoingAway = true
 		c.write(appendGoAway(nil, last, NoError, ""))
 	}
 }
 
-// reset ends a stream from our side.
+// reset resets a stream with RST_STREAM.
 func (c *conn) reset(id uint32, code Code) {
 	c.write(appendRSTStream(nil, id, code))
 	c.resetStreams.add(id)
@@ -68,7 +71,7 @@
 	}
 }
 
-// forget lets go of a stream that is closed.
+// removeStream removes a closed stream and its bytes from the connection's counts.
 func (c *conn) removeStream(s *stream) {
 	delete(c.streams, s.id)
 	c.unsentBytes -= len(s.unsent)
@@ -77,7 +80,7 @@
 	c.lastUsed = c.front.loop.Now()
 }
 
-// frame handles one frame, by its type. An error is the connection's.
+// handleFrame handles one frame. The error, if any, closes the connection.
 func (c *conn) handleFrame(f *frame) *connError {
 	now, k := c.front.loop.Now(), &c.front.limits
 	switch f.kind {
@@ -102,14 +105,15 @@
 	case frameWindowUpdate:
 		return c.handleWindowUpdate(f)
 	case frameGoAway:
-		c.goAwaySent = true // it opens no more streams; those it has go on
+		c.isGoingAway = true // the client opens no more streams; the open ones go on
 	}
 	return nil
 }
 
-// idle tells of a stream that nobody has opened yet (RFC 9113, section 5.1).
+// isIdle reports whether a stream is idle: not opened by the client yet (RFC 9113, section 5.1).
 func (c *conn) isIdle(id uint32) bool { return id > c.lastStreamID || id%2 == 0 }
 
+// handleSettings applies the client's SETTINGS and acknowledges them, or notes the acknowledgement of ours.
 func (c *conn) handleSettings(f *frame) *connError {
 	if f.flags&flagAck != 0 {
 		c.settingsAcked = true
@@ -129,10 +133,10 @@
 			if v > maxWindow {
 				return connErrorf(FlowControlError, "INITIAL_WINDOW_SIZE %d (RFC 9113, section 6.5.2)", v)
 			}
-			by := int64(v) - c.initialSendWindow
+			delta := int64(v) - c.initialSendWindow
 			c.initialSendWindow = int64(v)
 			for _, s := range c.streams {
-				if s.sendWindow += by; s.sendWindow > maxWindow {
+				if s.sendWindow += delta; s.sendWindow > maxWindow {
 					return connErrorf(FlowControlError, "a window over 2^31-1 (RFC 9113, section 6.9.2)")
 				}
 			}
@@ -148,13 +152,14 @@
 	return nil
 }
 
+// handleWindowUpdate opens a send window and sends the data that it held back.
 func (c *conn) handleWindowUpdate(f *frame) *connError {
-	by := int64(binary.BigEndian.Uint32(f.data) & maxWindow)
+	increment := int64(binary.BigEndian.Uint32(f.data) & maxWindow)
 	if f.streamID == 0 {
-		if by == 0 {
+		if increment == 0 {
 			return connErrorf(ProtocolError, "WINDOW_UPDATE by 0 (RFC 9113, section 6.9)")
 		}
-		if c.sendWindow += by; c.sendWindow > maxWindow {
+		if c.sendWindow += increment; c.sendWindow > maxWindow {
 			return connErrorf(FlowControlError, "a window over 2^31-1 (RFC 9113, section 6.9.1)")
 		}
 		return c.chargeUnlessProgress(c.sendBlockedData())
@@ -166,26 +171,27 @@
 	if s == nil {
 		return c.chargeUnlessProgress(false)
 	}
-	if by == 0 {
+	if increment == 0 {
 		c.reset(s.id, ProtocolError)
 		return nil
 	}
-	if s.sendWindow += by; s.sendWindow > maxWindow {
+	if s.sendWindow += increment; s.sendWindow > maxWindow {
 		c.reset(s.id, FlowControlError)
 		return nil
 	}
 	return c.chargeUnlessProgress(c.sendBlockedData())
 }
 
-// useful takes a WINDOW_UPDATE that let something go for nothing, and any other from the budget of control frames.
-func (c *conn) chargeUnlessProgress(moved bool) *connError {
-	if !moved && !c.controlBudget.take(c.front.loop.Now(), c.front.limits.ControlPerS) {
+// chargeUnlessProgress charges a WINDOW_UPDATE to the budget of control frames, unless it let data be sent.
+func (c *conn) chargeUnlessProgress(sentData bool) *connError {
+	if !sentData && !c.controlBudget.take(c.front.loop.Now(), c.front.limits.ControlPerS) {
 		return &connError{code: EnhanceYourCalm, reason: ReasonControlFlood, text: "too many window updates of no use"}
 	}
 	return nil
 }
 
-// resetBy takes a client's RST_STREAM. A stream that was opened and reset before its answer cost work for nothing.
+// handleReset handles a client's RST_STREAM. A stream that is reset before its answer is charged to the reset budget,
+// since its work was wasted (the rapid reset attack).
 func (c *conn) handleReset(f *frame) *connError {
 	if c.isIdle(f.streamID) {
 		return connErrorf(ProtocolError, "RST_STREAM of idle stream %d (RFC 9113, section 6.4)", f.streamID)
@@ -205,16 +211,16 @@
 	return nil
 }
 
-// headers opens a stream, or ends one's body with trailers.
+// handleHeaders opens a stream, or ends the body of one with trailers.
 func (c *conn) handleHeaders(f *frame) *connError {
-	h, k := f.header, &c.front.limits
+	h, limits := f.header, &c.front.limits
 	end := f.flags&flagEndStream != 0
 	if s := c.streams[f.streamID]; s != nil {
 		switch {
 		case s.requestEnded:
 			return connErrorf(StreamClosed, "HEADERS on half-closed stream %d (RFC 9113, section 5.1)", s.id)
 		case !end || h.hasPseudo || h.malformed != "" || h.tooLarge:
-			c.reset(s.id, ProtocolError) // trailers end the body, and have no pseudo-header fields (section 8.1)
+			c.reset(s.id, ProtocolError) // trailers end the body and have no pseudo-header fields (RFC 9113, section 8.1)
 		default:
 			s.serve()
 		}
@@ -222,23 +228,24 @@
 	}
 	if f.streamID <= c.lastStreamID {
 		if c.resetStreams.has(f.streamID) {
-			return nil // it was on its way when we, or the client, reset the stream
+			return nil // the client sent it before it saw the reset, or behind its own
 		}
 		return connErrorf(StreamClosed, "HEADERS on closed stream %d (RFC 9113, section 5.1.1)", f.streamID)
 	}
 	if c.front.finalGoAwaySent {
-		// Past the last stream of the GOAWAY: it was never taken, and the client may send it elsewhere.
+		// Past the last stream of the GOAWAY: it was never accepted, so the client may send it elsewhere.
 		c.front.Stats.Refused++
 		c.write(appendRSTStream(nil, f.streamID, RefusedStream))
 		return nil
 	}
 	c.lastStreamID = f.streamID
-	if len(c.streams) >= k.MaxStreams {
-		// Never taken, so it may be sent again. Before our SETTINGS are known it is no fault of the client's.
+	if len(c.streams) >= limits.MaxStreams {
+		// Never accepted, so it may be sent again. Until the client has acknowledged our SETTINGS it cannot know the
+		// limit, and is not charged.
 		c.front.Stats.Refused++
 		c.write(appendRSTStream(nil, f.streamID, RefusedStream))
 		c.resetStreams.add(f.streamID)
-		if c.settingsAcked && !c.excessStreamBudget.take(c.front.loop.Now(), k.ResetsPerS) {
+		if c.settingsAcked && !c.excessStreamBudget.take(c.front.loop.Now(), limits.ResetsPerS) {
 			return &connError{code: EnhanceYourCalm, reason: ReasonStreamFlood, text: "more streams than MAX_CONCURRENT_STREAMS, again and again"}
 		}
 		return nil
@@ -262,9 +269,10 @@
 	return nil
 }
 
-// data takes a part of a body. Flow control counts it whole, padding too, whatever becomes of it.
+// handleData takes a part of a body. Flow control counts the whole frame with its padding, even if the frame is
+// dropped.
 func (c *conn) handleData(f *frame) *connError {
-	now, k := c.front.loop.Now(), &c.front.limits
+	now, limits := c.front.loop.Now(), &c.front.limits
 	if c.isIdle(f.streamID) {
 		return connErrorf(ProtocolError, "DATA on idle stream %d (RFC 9113, section 5.1)", f.streamID)
 	}
@@ -275,7 +283,7 @@
 		c.write(appendWindowUpdate(nil, 0, int(defaultWindow-c.recvWindow)))
 		c.recvWindow = defaultWindow
 	}
-	if end := f.flags&flagEndStream != 0; len(f.data) == 0 && !end && !c.emptyDataBudget.take(now, k.EmptyPerS) {
+	if end := f.flags&flagEndStream != 0; len(f.data) == 0 && !end && !c.emptyDataBudget.take(now, limits.EmptyPerS) {
 		return &connError{code: EnhanceYourCalm, reason: ReasonEmptyFlood, text: "DATA without data, again and again"}
 	}
 	s := c.streams[f.streamID]
@@ -298,7 +306,7 @@
 	return nil
 }
 
-// stalled ends a connection whose client has left its windows full for too long.
+// closeStalled closes a connection whose client has left its windows full for longer than the stall timeout.
 func (c *conn) closeStalled() {
 	for _, s := range append([]*stream(nil), c.blockedStreams...) {
 		if !s.closed {
@@ -308,7 +316,8 @@
 	c.closeWithGoAway(EnhanceYourCalm, ReasonWindowFull, "the window stayed full")
 }
 
-// forgotten remembers the last streams that were reset: what comes on them was on its way.
+// recentStreams remembers the last 256 streams that were reset. Frames that the client sent on them before it saw the
+// reset are no error.
 type recentStreams struct {
 	ring [256]uint32
 	next int
--- a/internal/front/http2/flow_test.go
+++ b/internal/front/http2/flow_test.go
@@ -18,9 +18,9 @@
 	"cobaltflow/internal/standin"
 )
 
-// A client that leaves its window full has its streams reset and its connection closed after a named time; others
-// are served meanwhile, and the answers it did not read stand in the ledger.
-func TestSlowReaderWhoseWindowFills(t *testing.T) {
+// A client that leaves its window full has its streams reset and its connection closed after the stall timeout. Others
+// are served meanwhile, and the ledger has the answers that the client did not read.
+func TestFullWindowClosesTheConnection(t *testing.T) {
 	large := standin.NewWorker(t, "s-1", func(w *standin.Worker, id string, rw http.ResponseWriter, _ *http.Request) {
 		rw.WriteHeader(202)
 		go w.Call(id, "done", map[string]any{"result": strings.Repeat("r", 20_000)})
@@ -28,38 +28,38 @@
 	n := start(t, func(c *config.Config) { c.HTTP2.StallTimeoutMS, c.HTTP2.MaxUnsentKB = 400, 64 }, large)
 	slow := dial(n, xhttp2.Setting{ID: xhttp2.SettingInitialWindowSize, Val: 1000})
 	for i := range 8 {
-		slow.post("move", fmt.Sprint("slow-", i), 9000, true)
+		slow.sendRequest("move", fmt.Sprint("slow-", i), 9000, true)
 	}
-	c := client(n)
+	c := newClient(n)
 	for i := range 20 {
-		status, body, err := ask(c, request(context.Background(), n, "move", fmt.Sprint("id-", i), 9000, ""))
+		status, body, err := send(c, newRequest(context.Background(), n, "move", fmt.Sprint("id-", i), 9000, ""))
 		require.NoError(t, err)
 		assert.Equal(t, []int{200, 20_000}, []int{status, len(body)})
 	}
 	codes := map[xhttp2.ErrCode]int{}
-	slow.until(t, func(f xhttp2.Frame) bool {
+	slow.readUntil(t, func(f xhttp2.Frame) bool {
 		if s, yes := f.(*xhttp2.RSTStreamFrame); yes {
 			codes[s.ErrCode]++
 		}
-		return goAway(f)
+		return isGoAway(f)
 	})
-	assert.Positive(t, codes[xhttp2.ErrCodeCancel], "those that waited for the window")
-	assert.Positive(t, codes[xhttp2.ErrCodeEnhanceYourCalm], "those beyond max_unsent_kb")
+	assert.Positive(t, codes[xhttp2.ErrCodeCancel], "streams that waited for the window")
+	assert.Positive(t, codes[xhttp2.ErrCodeEnhanceYourCalm], "streams beyond max_unsent_kb")
 	n.Eventually(func() bool { return n.Logged("reason=window-full") })
 	for i := range 8 {
-		s := state(n, c, fmt.Sprint("slow-", i))
+		s := jobState(n, c, fmt.Sprint("slow-", i))
 		assert.Equal(t, "served", s.State)
 		assert.Len(t, s.Result, 20_000)
 	}
 }
 
-// A window that opens slowly is used as far as it goes, and the answer is whole.
-func TestSmallWindows(t *testing.T) {
+// Small window updates are used up to their size, and the answer arrives complete.
+func TestSmallWindowUpdatesDeliverTheWholeAnswer(t *testing.T) {
 	n := start(t, nil, standin.NewWorker(t, "s-1", nil))
 	r := dial(n, xhttp2.Setting{ID: xhttp2.SettingInitialWindowSize, Val: 3})
-	id := r.post("move", "id-1", 9000, true)
+	id := r.sendRequest("move", "id-1", 9000, true)
 	body := ""
-	r.until(t, func(f xhttp2.Frame) bool {
+	r.readUntil(t, func(f xhttp2.Frame) bool {
 		d, yes := f.(*xhttp2.DataFrame)
 		if !yes {
 			return false
@@ -72,28 +72,28 @@
 	assert.Equal(t, "s-1 did id-1", body)
 }
 
-// Each kind of flood ends its connection with its reason, and a usual client is served all the while.
-func TestFloods(t *testing.T) {
+// Each kind of flood closes its connection with its reason, and another client is served meanwhile.
+func TestFloodsCloseTheirConnectionOnly(t *testing.T) {
 	n := start(t, func(c *config.Config) { c.HTTP2.SettingsTimeoutMS, c.HTTP2.MaxStreams = 500, 16 }, standin.NewWorker(t, "s-1", nil))
-	c := client(n)
-	for reason, flood := range map[string]func(r *raw) error{
-		"reset-flood": func(r *raw) error {
-			return r.WriteRSTStream(r.post("move", fmt.Sprint("reset-", r.next), 3000, false), xhttp2.ErrCodeCancel)
+	c := newClient(n)
+	for reason, flood := range map[string]func(r *rawConn) error{
+		"reset-flood": func(r *rawConn) error {
+			return r.WriteRSTStream(r.sendRequest("move", fmt.Sprint("reset-", r.next), 3000, false), xhttp2.ErrCodeCancel)
 		},
-		"control-flood": func(r *raw) error { return r.WritePing(false, [8]byte{}) },
-		"empty-flood": func(r *raw) error {
+		"control-flood": func(r *rawConn) error { return r.WritePing(false, [8]byte{}) },
+		"empty-flood": func(r *rawConn) error {
 			if r.next == 1 {
-				r.post("move", "empty", 3000, false)
+				r.sendRequest("move", "empty", 3000, false)
 			}
 			return r.WriteData(1, false, nil)
 		},
-		"stream-flood": func(r *raw) error {
-			r.post("move", fmt.Sprint("many-", r.next), 3000, false)
+		"stream-flood": func(r *rawConn) error {
+			r.sendRequest("move", fmt.Sprint("many-", r.next), 3000, false)
 			return r.WriteData(r.next-2, false, []byte("x"))
 		},
-		"header-flood":  func(r *raw) error { return r.WriteRawFrame(xhttp2.FrameHeaders, 0, r.next, []byte{0x82}) },
+		"header-flood":  func(r *rawConn) error { return r.WriteRawFrame(xhttp2.FrameHeaders, 0, r.next, []byte{0x82}) },
 		"no-settings":   nil,
-		"window-update": func(r *raw) error { return r.WriteWindowUpdate(0, 1) },
+		"window-update": func(r *rawConn) error { return r.WriteWindowUpdate(0, 1) },
 	} {
 		t.Run(reason, func(t *testing.T) {
 			if flood == nil {
@@ -108,7 +108,7 @@
 			r := dial(n)
 			if reason == "header-flood" {
 				r.WriteRawFrame(xhttp2.FrameHeaders, 0, 1, []byte{0x82})
-				flood = func(r *raw) error { return r.WriteRawFrame(xhttp2.FrameContinuation, 0, 1, nil) }
+				flood = func(r *rawConn) error { return r.WriteRawFrame(xhttp2.FrameContinuation, 0, 1, nil) }
 			}
 			done := make(chan struct{})
 			go func() {
@@ -123,7 +123,7 @@
 				}
 			}()
 			go io.Copy(io.Discard, r.nc)
-			status, _, err := ask(c, request(context.Background(), n, "move", "usual-"+reason, 5000, ""))
+			status, _, err := send(c, newRequest(context.Background(), n, "move", "usual-"+reason, 5000, ""))
 			assert.NoError(t, err)
 			assert.Equal(t, 200, status)
 			want := reason
--- a/internal/front/http2/front.go
+++ b/internal/front/http2/front.go
@@ -1,6 +1,6 @@
-// Package http2 is the HTTP/2 front for clients (RFC 9113, without TLS, by prior knowledge): frames, HPACK, streams
-// and flow control before the same admission, core and decisions as the HTTP/1.1 front. It holds wire and nothing else;
-// what a request needs to be taken package admission says. Workers' callbacks don't come here.
+// Package http2 is the HTTP/2 front for clients (RFC 9113, without TLS, by prior knowledge): frames, HPACK, streams and
+// flow control. It hands requests to package admission, as the HTTP/1.1 front does; package gateway starts and stops
+// it. Workers' callbacks are served by the HTTP/1.1 front only.
 package http2
 
 import (
@@ -19,11 +19,11 @@
 
 const (
 	sweepInterval  = 50 * core.Millisecond
-	maxBatchFrames = 128     // frames handed to the loop at once: the work of a turn for a connection
+	maxBatchFrames = 128     // frames handed to the loop at once, which bounds a connection's work in a turn
 	maxUnreadBytes = 4 << 20 // bytes that a client may leave unread in its socket
 )
 
-// Front is the HTTP/2 front. All of it is the loop's.
+// Front is the HTTP/2 front. All its fields belong to the loop.
 type Front struct {
 	loop      *core.Loop
 	core      *core.Core
@@ -43,26 +43,26 @@
 	Stats           Stats
 }
 
-// Figures are totals since the start.
+// Stats are counters since the start of the process.
 type Stats struct {
 	Connections, Streams, Answered, Resets, Refused uint64
-	ClosedByReason                                  map[string]uint64 // connections that the front ended, by reason
+	ClosedByReason                                  map[string]uint64 // connections that the front closed, by reason
 }
 
 type connKey struct{}
 
 // New makes the front; Start opens it.
 func New(c *core.Core, conf *config.Config, controller *admission.Controller, log *slog.Logger) *Front {
-	k := &conf.HTTP2
+	cfg := &conf.HTTP2
 	return &Front{loop: c.Loop, core: c, conf: conf, log: log, admission: controller, Stats: Stats{ClosedByReason: map[string]uint64{}},
-		ledger: admission.NewLedger(k.MaxEndedJobs, k.MaxEndedMB<<20, core.Time(k.EndedRetentionS*float64(core.Second))),
-		limits: Limits{MaxConnections: k.MaxConnections, MaxStreams: k.MaxStreams, MaxHeaderListBytes: k.MaxHeaderKB << 10, HeaderTableBytes: k.HeaderTableBytes,
-			MaxHeaderFrames: 16, MaxUnsentBytes: k.MaxUnsentKB << 10, MaxBodyBytes: k.MaxBodyKB << 10, StallTimeout: core.Time(k.StallTimeoutMS) * core.Millisecond,
-			SettingsTimeout: core.Time(k.SettingsTimeoutMS) * core.Millisecond, IdleTimeout: core.Time(k.IdleTimeoutS) * core.Second, FinalGoAwayDelay: core.Second,
-			ResetsPerS: float64(k.ResetsPerS), ControlPerS: float64(k.ControlPerS), EmptyPerS: float64(k.EmptyPerS)}}
+		ledger: admission.NewLedger(cfg.MaxEndedJobs, cfg.MaxEndedMB<<20, core.Time(cfg.EndedRetentionS*float64(core.Second))),
+		limits: Limits{MaxConnections: cfg.MaxConnections, MaxStreams: cfg.MaxStreams, MaxHeaderListBytes: cfg.MaxHeaderKB << 10, HeaderTableBytes: cfg.HeaderTableBytes,
+			MaxHeaderFrames: 16, MaxUnsentBytes: cfg.MaxUnsentKB << 10, MaxBodyBytes: cfg.MaxBodyKB << 10, StallTimeout: core.Time(cfg.StallTimeoutMS) * core.Millisecond,
+			SettingsTimeout: core.Time(cfg.SettingsTimeoutMS) * core.Millisecond, IdleTimeout: core.Time(cfg.IdleTimeoutS) * core.Second, FinalGoAwayDelay: core.Second,
+			ResetsPerS: float64(cfg.ResetsPerS), ControlPerS: float64(cfg.ControlPerS), EmptyPerS: float64(cfg.EmptyPerS)}}
 }
 
-// Start listens.
+// Start opens the listener and begins to serve; a *config.Error says that the address cannot be used.
 func (f *Front) Start() error {
 	ln, err := netpoll.CreateListener("tcp", f.conf.HTTP2.Listen)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// Address is where the front listens.
+// Address returns the address of the listener; valid after Start.
 func (f *Front) Address() string { return f.listener.Addr().String() }
 
 func (f *Front) accept(nc netpoll.Connection) context.Context {
@@ -99,7 +99,7 @@
 	return context.WithValue(context.Background(), connKey{}, c)
 }
 
-// greet takes a connection in and sends our SETTINGS, which need not wait for the client's (RFC 9113, section 3.4).
+// greet adds a new connection and sends our SETTINGS, which need not wait for the client's (RFC 9113, section 3.4).
 func (f *Front) greet(c *conn) {
 	if c.Ended {
 		return
@@ -118,7 +118,7 @@
 	}
 }
 
-// gone has a connection end. What it waited for goes on or is withdrawn, as for a stream that was reset.
+// connEnded cleans up after a connection; its open streams end as if the client had reset them.
 func (f *Front) connEnded(c *conn) {
 	if !c.MarkEnded(f.log, f.loop.Now()) {
 		return
@@ -134,6 +134,7 @@
 	clear(c.streams)
 }
 
+// afterTurn sends the frames of a turn, each connection's in one write.
 func (f *Front) afterTurn() {
 	for _, c := range f.connsToFlush {
 		c.flush()
@@ -142,7 +143,7 @@
 	f.connsToFlush = f.connsToFlush[:0]
 }
 
-// sweep looks after connections that are slow, silent or full.
+// sweep closes connections that are slow, idle or flooding, or that do not read, and expires the ledger's entries.
 func (f *Front) sweep() {
 	now := f.loop.Now()
 	f.ledger.Expire(now)
@@ -166,11 +167,12 @@
 	}
 }
 
+// maxUnreadInputBytes is what netpoll may buffer beyond a full backlog before the connection counts as flooding.
 const maxUnreadInputBytes = 128 << 10
 
-// Quiet begins the end: a first GOAWAY tells that there will be a last stream, a second which one it was. Streams
-// that were taken go on to their answers, but for those that are still open at within from now, since the platform may
-// kill the process soon after: they are given up, each with its answer. Those past the last were never taken.
+// Drain begins the shutdown with two GOAWAYs: the first announces it, the second names the last accepted stream.
+// Accepted streams run on to their answers. Those still open after within are aborted, each with its answer, since the
+// platform may kill the process soon after. Streams past the last accepted one are refused and may be sent elsewhere.
 func (f *Front) Drain(within core.Time) {
 	if f.draining {
 		return
@@ -182,11 +184,11 @@
 		f.conns.Each(func(_ core.Ref, c *conn) { c.sendGoAway(c.lastStreamID) })
 	})
 	f.loop.At(f.loop.Now()+within, func() {
-		f.core.AbortRequests(func(u core.Client) bool { _, ours := u.(*stream); return ours })
+		f.core.AbortRequests(func(client core.Client) bool { _, isOurs := client.(*stream); return isOurs })
 	})
 }
 
-// Done tells whether no connection has a stream any more, and the last GOAWAY has been sent.
+// IsDrained reports whether the second GOAWAY has been sent and no connection has an open stream or unsent data.
 func (f *Front) IsDrained() bool {
 	if !f.finalGoAwaySent {
 		return false
@@ -198,41 +200,41 @@
 	return done
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (f *Front) Close() {
 	f.closed = true
 	f.listener.Close()
 	f.conns.Each(func(_ core.Ref, c *conn) { c.Close(link.Shutdown) })
 }
 
-// conn is a client's connection. Its reader and what is said to be so are netpoll's goroutine's.
+// conn is a client's connection. Its fields belong to the loop, except for those that belong to netpoll's goroutine.
 type conn struct {
 	link.Link
 	ref         core.Ref
 	front       *Front
 	reader      *reader // netpoll's
-	readStopped bool    // nothing is read any more; netpoll's
+	readStopped bool    // input is discarded; netpoll's
 	backlog     *link.Backlog
 
 	streams           map[uint32]*stream
-	lastStreamID      uint32 // the last stream that was taken, or refused
-	resetStreams      *recentStreams
-	settingsReceived  bool // the client's SETTINGS came
-	settingsAcked     bool // and its acknowledgement of ours
+	lastStreamID      uint32         // the last stream that was accepted or refused
+	resetStreams      *recentStreams // streams that were reset lately
+	settingsReceived  bool           // the client's SETTINGS came
+	settingsAcked     bool           // the client acknowledged ours
 	encoder           *hpack.Encoder
 	headerBuffer      bytes.Buffer
-	sendWindow        int64 // that the client gives us, for the connection
-	recvWindow        int64 // that it has left of what we gave
-	initialSendWindow int64 // of a new stream
-	maxSendFrame      int
-	blockedStreams    []*stream // with data that a window holds back, in the order of their turn
-	unsentBytes       int       // bytes of it
-	bodyBytes         int       // bytes of requests that are not whole
-	lastProgress      core.Time // when a byte of an answer left last, or there was none to leave
-	lastUsed          core.Time
-	output            []byte
-	isDirty           bool
-	goAwaySent        bool
+	sendWindow        int64     // what we may send on the connection, in bytes
+	recvWindow        int64     // what the client may still send on it, in bytes
+	initialSendWindow int64     // sendWindow of a new stream
+	maxSendFrame      int       // bytes of one DATA frame
+	blockedStreams    []*stream // streams with data that a window holds back, in round-robin order
+	unsentBytes       int       // bytes of data held back
+	bodyBytes         int       // bytes of request bodies that are not complete
+	lastProgress      core.Time // when data was sent last, or when unsentBytes last rose from 0
+	lastUsed          core.Time // when a frame came or a stream ended last
+	output            []byte    // frames of this turn, not sent yet
+	isDirty           bool      // it is in Front.connsToFlush
+	isGoingAway       bool      // a GOAWAY was sent or received
 
 	resetBudget, controlBudget, emptyDataBudget, excessStreamBudget tokenBucket
 }
--- a/internal/front/http2/fuzz_test.go
+++ b/internal/front/http2/fuzz_test.go
@@ -6,7 +6,7 @@
 	xhttp2 "golang.org/x/net/http2"
 )
 
-// Whatever comes, and however it is cut, the reader takes what it says it takes and reads the same frames.
+// For any input and any split of it, the reader uses no more bytes than there are and reads the same frames.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte(xhttp2.ClientPreface+"\x00\x00\x00\x04\x00\x00\x00\x00\x00\x00\x00\x01\x01\x05\x00\x00\x00\x01\x82"), 5)
 	f.Add([]byte(xhttp2.ClientPreface+"\x00\x00\x00\x04\x00\x00\x00\x00\x00\x00\x00\x03\x00\x08\x00\x00\x00\x01\x01ab"), 30)
@@ -46,10 +46,10 @@
 		if len(data) == 0 {
 			return
 		}
-		whole, bad := read(t, data, len(data))
-		pieces, worse := read(t, data, cut%64+1)
-		if string(whole) != string(pieces) || bad != worse {
-			t.Fatalf("%v %v in one piece, %v %v in several", whole, bad, pieces, worse)
+		whole, badWhole := read(t, data, len(data))
+		pieces, badInPieces := read(t, data, cut%64+1)
+		if string(whole) != string(pieces) || badWhole != badInPieces {
+			t.Fatalf("%v %v in one piece, %v %v in several", whole, badWhole, pieces, badInPieces)
 		}
 	})
 }
--- a/internal/front/http2/head.go
+++ b/internal/front/http2/head.go
@@ -8,24 +8,24 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// head is a decoded block of headers: a request's, or trailers.
+// fieldSection is a decoded field section (RFC 9113, section 8.1): the header of a request, or trailers.
 type fieldSection struct {
 	method, scheme, path, authority string
 	fields                          []hpack.HeaderField // without the pseudo-header fields
 	contentLength                   int64               // Content-Length; -1: none
-	hasPseudo                       bool                // there is some pseudo-header field
-	tooLarge                        bool
-	malformed                       string // malformed, as a stream error (RFC 9113, section 8.1.1)
+	hasPseudo                       bool                // there is at least one pseudo-header field
+	tooLarge                        bool                // it exceeds max_header_kb, and fields are missing
+	malformed                       string              // why the message is malformed, a stream error (RFC 9113, section 8.1.1); empty: it is not
 }
 
-// fail notes the first fault of a block.
+// setMalformed keeps the first error of a section.
 func (h *fieldSection) setMalformed(format string, args ...any) {
 	if h.malformed == "" {
 		h.malformed = fmt.Sprintf(format, args...)
 	}
 }
 
-// newHead reads a block. What is malformed is told in bad, the first fault of it.
+// newFieldSection checks decoded fields; the first error is kept in malformed.
 func newFieldSection(fields []hpack.HeaderField, tooLarge bool) *fieldSection {
 	h := &fieldSection{contentLength: -1, tooLarge: tooLarge}
 	host, hosts := "", 0
@@ -39,7 +39,7 @@
 		h.addRegular(f)
 		if f.Name == "host" {
 			if hosts++; hosts > 1 {
-				h.setMalformed("host stands twice")
+				h.setMalformed("host appears twice")
 			}
 			host = f.Value
 		}
@@ -50,52 +50,52 @@
 	return h
 }
 
-// addPseudo takes a pseudo-header field; seen are those that came before.
+// addPseudo adds a pseudo-header field; seen marks the ones that came before.
 func (h *fieldSection) addPseudo(f hpack.HeaderField, seen *[4]bool) {
-	to, nth := h.pseudoField(f.Name)
+	dest, index := h.pseudoField(f.Name)
 	switch {
-	case to == nil:
-		h.setMalformed("pseudo-header field %q", f.Name)
-	case seen[nth]:
-		h.setMalformed("%s stands twice", f.Name)
+	case dest == nil:
+		h.setMalformed("unknown pseudo-header field %q", f.Name)
+	case seen[index]:
+		h.setMalformed("%s appears twice", f.Name)
 	case len(h.fields) > 0:
-		h.setMalformed("%s stands behind a regular field", f.Name)
+		h.setMalformed("%s appears behind a regular field", f.Name)
 	default:
-		*to = f.Value
+		*dest = f.Value
 	}
-	seen[nth], h.hasPseudo = true, true
+	seen[index], h.hasPseudo = true, true
 	if !isValidFieldValue(f.Value) {
-		h.setMalformed("%s has a value that can't be one", f.Name)
+		h.setMalformed("%s has an invalid value", f.Name)
 	}
 }
 
-// addRegular takes any other field.
+// addRegular adds a field that is not a pseudo-header field.
 func (h *fieldSection) addRegular(f hpack.HeaderField) {
 	switch {
 	case !isValidFieldName(f.Name):
-		h.setMalformed("field name %q", f.Name)
+		h.setMalformed("invalid field name %q", f.Name)
 	case !isValidFieldValue(f.Value):
-		h.setMalformed("%s has a value that can't be one", f.Name)
+		h.setMalformed("%s has an invalid value", f.Name)
 	}
 	switch f.Name {
 	case "connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade":
-		h.setMalformed("%s is of HTTP/1.1 alone (RFC 9113, section 8.2.2)", f.Name)
+		h.setMalformed("%s is specific to HTTP/1.1 (RFC 9113, section 8.2.2)", f.Name)
 	case "te":
 		if f.Value != "trailers" {
-			h.setMalformed("te: %s", f.Value)
+			h.setMalformed("invalid te: %s", f.Value)
 		}
 	case "content-length":
 		n, err := strconv.ParseUint(f.Value, 10, 62)
 		if err != nil || h.contentLength >= 0 && h.contentLength != int64(n) {
-			h.setMalformed("content-length: %s", f.Value)
+			h.setMalformed("invalid content-length: %s", f.Value)
 		}
 		h.contentLength = int64(n)
 	}
 	h.fields = append(h.fields, f)
 }
 
-// pseudoField is where a request's pseudo-header field goes; nil: there is no such one.
-func (h *fieldSection) pseudoField(name string) (to *string, nth int) {
+// pseudoField returns the field of h for a request's pseudo-header field, and its index; nil: it is unknown.
+func (h *fieldSection) pseudoField(name string) (dest *string, index int) {
 	switch name {
 	case ":method":
 		return &h.method, 0
@@ -109,7 +109,7 @@
 	return nil, 0
 }
 
-// checkRequest tells what a request lacks (RFC 9113, section 8.3.1).
+// checkRequest checks that the pseudo-header fields of a request are complete (RFC 9113, section 8.3.1).
 func (h *fieldSection) checkRequest() {
 	if h.malformed != "" || h.tooLarge {
 		return
@@ -118,15 +118,15 @@
 	case h.method == "":
 		h.malformed = ":method is missing"
 	case h.method == "CONNECT":
-		h.malformed = "CONNECT is not served"
+		h.malformed = "CONNECT is not supported"
 	case h.scheme == "":
 		h.malformed = ":scheme is missing"
 	case h.path == "" || h.path[0] != '/' && !(h.path == "*" && h.method == "OPTIONS"):
-		h.malformed = ":path is missing or is none"
+		h.malformed = ":path is missing or invalid"
 	}
 }
 
-// get gives a field's first value and how often it stands there; the name may be in any case.
+// get returns a field's first value and the number of its values; the name may be in any case.
 func (h *fieldSection) get(name string) (value []byte, count int) {
 	for i := range h.fields {
 		if strings.EqualFold(h.fields[i].Name, name) {
@@ -138,7 +138,7 @@
 	return value, count
 }
 
-// goodName tells of a field name that is a token in lower case (RFC 9113, section 8.2.1).
+// isValidFieldName reports whether a field name is a token in lower case (RFC 9113, section 8.2.1).
 func isValidFieldName(s string) bool {
 	if s == "" {
 		return false
@@ -152,7 +152,7 @@
 	return true
 }
 
-// goodValue tells of a value without NUL, CR and LF, and without blanks at its ends.
+// isValidFieldValue reports whether a value has no NUL, CR and LF and no blanks at its ends (RFC 9113, section 8.2.1).
 func isValidFieldValue(s string) bool {
 	if s == "" {
 		return true
--- a/internal/front/http2/http2_test.go
+++ b/internal/front/http2/http2_test.go
@@ -15,14 +15,15 @@
 	"cobaltflow/internal/standin"
 )
 
+// A hundred requests run on one connection at once, and invalid ones get their status.
 func TestManyStreamsOnOneConnection(t *testing.T) {
 	n := start(t, nil, standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil))
-	c := client(n)
+	c := newClient(n)
 	var wg sync.WaitGroup
 	for i := range 100 {
 		wg.Go(func() {
 			id := fmt.Sprint("id-", i)
-			status, body, err := ask(c, request(context.Background(), n, []string{"move", "settle", "board-view"}[i%3], id, 9000, strings.Repeat("b", 600*i)))
+			status, body, err := send(c, newRequest(context.Background(), n, []string{"move", "settle", "board-view"}[i%3], id, 9000, strings.Repeat("b", 600*i)))
 			if assert.NoError(t, err) && assert.Equal(t, 200, status, body) {
 				assert.Contains(t, body, "did "+id)
 			}
@@ -39,29 +40,29 @@
 		{"none", "id-x", 9000, "", 404}, {"move", "", 9000, "", 400}, {"move", "id-x", 0, "", 400}, {"move", "id-1", 9000, "", 400},
 		{"move", "id-x", 9000, strings.Repeat("x", 64<<10+1), 413},
 	} {
-		status, _, err := ask(c, request(context.Background(), n, bad.class, bad.id, bad.left, bad.body))
+		status, _, err := send(c, newRequest(context.Background(), n, bad.class, bad.id, bad.left, bad.body))
 		assert.NoError(t, err)
 		assert.Equal(t, bad.want, status)
 	}
-	status, _, err := ask(c, request(context.Background(), n, "move", "id-y", 9000, strings.Repeat("x", 64<<10)))
+	status, _, err := send(c, newRequest(context.Background(), n, "move", "id-y", 9000, strings.Repeat("x", 64<<10)))
 	assert.NoError(t, err)
 	assert.Equal(t, 200, status, "a body of the full size, over a window of 64 KiB")
 }
 
-// A client that resets its stream as its move starts can learn the job's one honest end, and a repeat of the id
-// does not run it again.
-func TestResetAsAMoveStarts(t *testing.T) {
+// A client that resets its stream as its move starts can look up the job's final state, and a repeat of the id does not
+// run it again.
+func TestResetStreamOfAStartedMoveKeepsItsOutcome(t *testing.T) {
 	hold := make(chan string, 4)
 	w := standin.NewWorker(t, "s-1", func(_ *standin.Worker, id string, rw http.ResponseWriter, _ *http.Request) {
 		rw.WriteHeader(202)
 		hold <- id
 	})
 	n := start(t, nil, w)
-	c := client(n)
+	c := newClient(n)
 	ctx, reset := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() {
-		_, _, err := ask(c, request(ctx, n, "move", "id-1", 9000, "m"))
+		_, _, err := send(c, newRequest(ctx, n, "move", "id-1", 9000, "m"))
 		ended <- err
 	}()
 	require.Equal(t, "id-1", <-hold)
@@ -71,55 +72,55 @@
 		n.On(func() { yes = n.HTTP2.Stats.Resets == 1 })
 		return yes
 	})
-	assert.Equal(t, "open", state(n, c, "id-1").State, "it goes on")
-	status, _, err := ask(c, request(context.Background(), n, "move", "id-1", 9000, "m"))
+	assert.Equal(t, "open", jobState(n, c, "id-1").State, "the job goes on")
+	status, _, err := send(c, newRequest(context.Background(), n, "move", "id-1", 9000, "m"))
 	require.NoError(t, err)
-	assert.Equal(t, 400, status, "its id is in use")
+	assert.Equal(t, 400, status, "the id is in use")
 	w.Call("id-1", "done", map[string]any{"result": "moved"})
-	n.Eventually(func() bool { s := state(n, c, "id-1"); return s.State == "served" && s.Result == "moved" })
-	status, _, err = ask(c, request(context.Background(), n, "move", "id-1", 9000, "m"))
+	n.Eventually(func() bool { s := jobState(n, c, "id-1"); return s.State == "served" && s.Result == "moved" })
+	status, _, err = send(c, newRequest(context.Background(), n, "move", "id-1", 9000, "m"))
 	require.NoError(t, err)
-	assert.Equal(t, 400, status, "its id was in use")
+	assert.Equal(t, 400, status, "the id was in use")
 	assert.Len(t, w.Jobs(), 1)
-	assert.Empty(t, state(n, c, "id-2").State, "who does not know an id learns nothing")
-	assert.Empty(t, state(n, c, "").State)
+	assert.Empty(t, jobState(n, c, "id-2").State, "an unknown id has no state")
+	assert.Empty(t, jobState(n, c, "").State)
 
-	// A job that may run twice is withdrawn, and one that never reached a worker never ran.
+	// A job that may run twice is cancelled, and a job that reached no worker never ran.
 	ctx, reset = context.WithCancel(context.Background())
-	go ask(c, request(ctx, n, "board-view", "id-3", 4000, "m"))
+	go send(c, newRequest(ctx, n, "board-view", "id-3", 4000, "m"))
 	require.Equal(t, "id-3", <-hold)
 	reset()
-	// By DELETE or, where the 202 had not been read yet, by closing its connection.
+	// By DELETE or, if the 202 was not read yet, by closing the worker's connection.
 	n.Eventually(func() bool {
-		return state(n, c, "id-3").State == "refused" && (w.Deleted("id-3") || n.Logged("reason=given-up"))
+		return jobState(n, c, "id-3").State == "refused" && (w.Deleted("id-3") || n.Logged("reason=given-up"))
 	})
 }
 
-// Refusals of the module are 503 with Retry-After, at once.
-func TestRefusalSaysWhenToReturn(t *testing.T) {
+// A refusal by the rules is answered 503 with Retry-After, at once.
+func TestRefusalIs503WithRetryAfter(t *testing.T) {
 	n := start(t, nil)
-	c := client(n)
-	q := request(context.Background(), n, "move", "id-1", 200, "")
+	c := newClient(n)
+	q := newRequest(context.Background(), n, "move", "id-1", 200, "")
 	r, err := c.Do(q)
 	require.NoError(t, err)
 	r.Body.Close()
 	assert.Equal(t, 503, r.StatusCode)
 	assert.NotEmpty(t, r.Header.Get("Retry-After"))
-	assert.Equal(t, "refused", state(n, c, "id-1").State)
+	assert.Equal(t, "refused", jobState(n, c, "id-1").State)
 }
 
-// askOnThreeFronts has three clients ask for twelve jobs on each front, and waits for all of them. answered is called
+// sendOnThreeFronts has three clients send twelve jobs to each front, and waits for all answers. answered is called
 // with each answer over HTTP.
-func askOnThreeFronts(n *standin.Node, answered func(id string, status int)) {
+func sendOnThreeFronts(n *standin.Node, answered func(id string, status int)) {
 	classes := []string{"board-view", "move", "settle"}
 	var clients sync.WaitGroup
 	for i := range 3 {
-		c := client(n)
+		c := newClient(n)
 		for j := range 12 {
 			class := classes[j%3]
 			clients.Go(func() {
 				id := fmt.Sprintf("h2-%s-%d-%d", class, i, j)
-				status, _, err := ask(c, request(context.Background(), n, class, id, 4000, "b"))
+				status, _, err := send(c, newRequest(context.Background(), n, class, id, 4000, "b"))
 				if assert.NoError(n.T, err) {
 					answered(id, status)
 				}
@@ -148,10 +149,10 @@
 	var runs standin.Runs
 	table := func(w *standin.Worker, id string, rw http.ResponseWriter, r *http.Request) {
 		switch n := runs.Ran(id); {
-		case n%9 == 0: // the machine breaks off, with the job in its hands
+		case n%9 == 0: // the connection breaks while the worker holds the job
 			c, _, _ := rw.(http.Hijacker).Hijack()
 			c.Close()
-		case n%7 == 0: // the process dies after the 202
+		case n%7 == 0: // the worker process dies after its 202
 			rw.WriteHeader(202)
 			go w.Call(id, "lost", nil)
 		default:
@@ -165,7 +166,7 @@
 	stop := make(chan struct{})
 	workers := n.VanishingWorkers(2, 5, &runs, stop)
 	var answers sync.Map
-	askOnThreeFronts(n, func(id string, status int) {
+	sendOnThreeFronts(n, func(id string, status int) {
 		_, twice := answers.LoadOrStore(id, status)
 		assert.False(t, twice, "%s was answered twice", id)
 		assert.Contains(t, []int{200, 500, 503}, status, id)
--- a/internal/front/http2/intake.go
+++ b/internal/front/http2/intake.go
@@ -9,13 +9,13 @@
 	"cobaltflow/internal/link"
 )
 
-// onRequest runs on a goroutine of netpoll's: it cuts what has come into frames, and hands them over in batches. Where
-// the loop is behind, it waits.
+// onRequest is called by netpoll, on a goroutine of its own, as long as input is unread.
 func onRequest(ctx context.Context, _ netpoll.Connection) error {
 	c := ctx.Value(connKey{}).(*conn)
 	return c.read()
 }
 
+// read splits the input into frames and posts them to the loop in batches. It blocks while the loop is behind.
 func (c *conn) read() error {
 	r := c.Conn.Reader()
 	if c.readStopped {
@@ -35,7 +35,7 @@
 			c.Conn.Close()
 			return nil
 		}
-		batch, used, more := c.splitFrames(buf)
+		batch, used, needed := c.splitFrames(buf)
 		r.Skip(used)
 		if err := r.Release(); err != nil {
 			return err
@@ -49,15 +49,16 @@
 				return nil
 			}
 		}
-		if more == 0 || c.readStopped {
+		if needed == 0 || c.readStopped {
 			return nil
 		}
-		need = more
+		need = needed
 	}
 }
 
-// cut takes frames off buf. more above 0 tells that a frame is begun, and how many bytes it needs.
-func (c *conn) splitFrames(buf []byte) (batch []*frame, used, more int) {
+// splitFrames takes frames from buf, up to maxBatchFrames. needed above 0 says that the last frame is incomplete, and
+// how many bytes it needs.
+func (c *conn) splitFrames(buf []byte) (batch []*frame, used, needed int) {
 	for used < len(buf) && len(batch) < maxBatchFrames {
 		f, n, need := c.reader.readFrame(buf[used:])
 		if need > 0 {
@@ -75,7 +76,7 @@
 	return batch, used, 0
 }
 
-// handle has a batch of frames in hand.
+// handle handles a batch of frames.
 func (f *Front) handle(c *conn, batch []*frame, cost int) {
 	c.lastUsed = f.loop.Now()
 	for _, fr := range batch {
@@ -87,8 +88,8 @@
 			c.fail(fr.err)
 			break
 		}
-		if bad := c.handleFrame(fr); bad != nil {
-			c.fail(bad)
+		if err := c.handleFrame(fr); err != nil {
+			c.fail(err)
 		}
 	}
 	c.backlog.Done(cost)
--- a/internal/front/http2/limits.go
+++ b/internal/front/http2/limits.go
@@ -2,46 +2,46 @@
 
 import "cobaltflow/internal/core"
 
-// Reasons of this front, as they stand in the log line of an ended connection, in the figures and on the operator's
-// page.
+// The reasons for which this front closes a connection. The log line of a closed connection, the stats and the
+// operator's page show them.
 const (
-	ReasonHeaderFlood  = "header-flood"  // a block of headers without an end
-	ReasonResetFlood   = "reset-flood"   // streams opened and reset faster than they are worth
-	ReasonControlFlood = "control-flood" // SETTINGS, PING, PRIORITY and WINDOW_UPDATE beyond use
-	ReasonEmptyFlood   = "empty-flood"   // DATA without data
+	ReasonHeaderFlood  = "header-flood"  // a field block without an end
+	ReasonResetFlood   = "reset-flood"   // streams opened and reset at a higher rate than resets_per_s
+	ReasonControlFlood = "control-flood" // SETTINGS, PING, PRIORITY and useless WINDOW_UPDATE at a higher rate than control_per_s
+	ReasonEmptyFlood   = "empty-flood"   // DATA without data at a higher rate than empty_per_s
 	ReasonWindowFull   = "window-full"   // the client left its window full
-	ReasonNoSettings   = "no-settings"   // it never sent, or never acknowledged, SETTINGS
-	ReasonStreamFlood  = "stream-flood"  // streams beyond the bound, again and again
+	ReasonNoSettings   = "no-settings"   // the client did not send or acknowledge SETTINGS in time
+	ReasonStreamFlood  = "stream-flood"  // too many streams beyond the limit
 )
 
-// Limits of the front. Rates are of one connection.
+// Limits of the front. Rates are per connection, in events per second.
 type Limits struct {
 	MaxConnections     int
-	MaxStreams         int // at once, of a connection
-	MaxHeaderListBytes int // bytes of a decoded list (RFC 9113, section 6.5.2)
-	HeaderTableBytes   int // bytes of the HPACK table
-	MaxHeaderFrames    int // frames of one block
-	MaxUnsentBytes     int // bytes of answers that a connection's windows may hold back
-	MaxBodyBytes       int // of requests that are not whole, of a connection
-	StallTimeout       core.Time
-	SettingsTimeout    core.Time // within which SETTINGS, and their acknowledgement, have to come
-	IdleTimeout        core.Time
+	MaxStreams         int       // open at once, of a connection
+	MaxHeaderListBytes int       // bytes of a decoded field section (RFC 9113, section 6.5.2)
+	HeaderTableBytes   int       // bytes of the HPACK dynamic table
+	MaxHeaderFrames    int       // frames of one field block
+	MaxUnsentBytes     int       // bytes of answers that a connection's windows may hold back
+	MaxBodyBytes       int       // bytes of incomplete request bodies, of a connection
+	StallTimeout       core.Time // how long a window may hold back data without progress
+	SettingsTimeout    core.Time // for the client's SETTINGS and its acknowledgement of ours
+	IdleTimeout        core.Time // of a connection without streams
 	FinalGoAwayDelay   core.Time // between the first and the second GOAWAY
 	ResetsPerS         float64
 	ControlPerS        float64
 	EmptyPerS          float64
 }
 
-// budget is a bucket that fills by a rate and holds a few seconds of it.
+// tokenBucket is a rate limit: it fills at a rate and holds burstSeconds of it. It starts full.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt core.Time
 }
 
-// burst is how many seconds' worth a budget holds.
+// burstSeconds is the size of a bucket, in seconds of its rate.
 const burstSeconds = 4
 
-// spend takes one out; false: there is none left.
+// take takes one token; false: there is none left.
 func (b *tokenBucket) take(now core.Time, rate float64) bool {
 	if b.updatedAt == 0 {
 		b.tokens = burstSeconds * rate
--- a/internal/front/http2/reader.go
+++ b/internal/front/http2/reader.go
@@ -7,20 +7,20 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// frame is one frame, or one whole block of headers, for the loop. Its slices are copies.
+// frame is one frame or one whole field block. Its slices are copies, since it is handed to the loop.
 type frame struct {
 	kind     byte
 	flags    byte
 	streamID uint32
-	data     []byte        // of DATA without its padding; the payload of others
+	data     []byte        // of DATA, without its padding; else the payload
 	length   int           // of the payload with its padding, which flow control counts
 	header   *fieldSection // of HEADERS
-	size     int           // bytes that it took
+	size     int           // bytes on the wire
 	err      *connError
 }
 
-// reader cuts a connection's bytes into frames and decodes blocks of headers, which have to be decoded in order. It
-// belongs to netpoll's goroutine and holds no more than one block of headers.
+// reader splits a connection's bytes into frames and decodes field blocks, which HPACK requires to be in order. It
+// belongs to netpoll's goroutine and holds at most one field block.
 type reader struct {
 	limits         *Limits
 	decoder        *hpack.Decoder
@@ -28,18 +28,18 @@
 	listSize       int
 	tooLarge       bool
 	prefaceRead    bool
-	firstFrameRead bool // the first frame, which has to be SETTINGS, has come
+	firstFrameRead bool // the first frame, which must be SETTINGS, was read
 	fieldBlock     []byte
 	blockStream    uint32
-	blockEndStream byte // flagEndStream of its HEADERS
-	blockFrames    int  // frames of the block
+	blockEndStream byte // flagEndStream of the block's HEADERS
+	blockFrames    int  // frames of the block so far
 	blockSize      int
 }
 
 func newReader(l *Limits) *reader {
 	r := &reader{limits: l}
 	r.decoder = hpack.NewDecoder(uint32(l.HeaderTableBytes), func(f hpack.HeaderField) {
-		// What is beyond the bound is decoded, since the table has to be kept, but not held.
+		// Fields beyond the limit must be decoded to keep the HPACK table in step, but are not stored.
 		if r.listSize += int(f.Size()); r.listSize > l.MaxHeaderListBytes {
 			r.tooLarge = true
 			return
@@ -50,8 +50,8 @@
 	return r
 }
 
-// take cuts one frame off buf. used 0 tells that need bytes have to be there; a frame without a kind to handle has
-// no frame.
+// readFrame takes one frame from buf. used 0 says that need bytes must be there. f is nil for a frame that the loop
+// need not handle; an error is in f.err.
 func (r *reader) readFrame(buf []byte) (f *frame, used, need int) {
 	if !r.prefaceRead {
 		n := min(len(buf), len(clientPreface))
@@ -101,19 +101,19 @@
 		return fail(ProtocolError, "PUSH_PROMISE from a client (RFC 9113, section 8.4)")
 	case frameWindowUpdate:
 	default:
-		return nil, used, 0 // unknown types are let pass (RFC 9113, section 5.5)
+		return nil, used, 0 // unknown types are ignored (RFC 9113, section 5.5)
 	}
 	f = &frame{kind: kind, flags: flags, streamID: stream, length: length, size: used}
 	if bad := r.parsePayload(f, payload); bad != nil {
 		return &frame{err: bad}, len(buf), 0
 	}
 	if (kind == frameHeaders || kind == frameContinuation) && f.header == nil {
-		return nil, used, 0 // of a block that goes on
+		return nil, used, 0 // the field block goes on
 	}
 	return f, used, 0
 }
 
-// content checks a frame's payload by its type, and copies what the loop is to have.
+// parsePayload checks a frame's payload by its type, and copies what the loop needs.
 func (r *reader) parsePayload(f *frame, payload []byte) *connError {
 	switch f.kind {
 	case frameData, frameHeaders:
@@ -145,7 +145,7 @@
 		return r.addFragment(f, payload)
 	case framePriority:
 		if len(payload) != 5 {
-			// A stream error by the RFC; the stream need not exist, so it is the connection's here.
+			// A stream error by the RFC; but the stream need not exist, so it is treated as a connection error here.
 			return connErrorf(FrameSizeError, "PRIORITY of %d bytes (RFC 9113, section 6.3)", len(payload))
 		}
 		return nil
@@ -171,11 +171,12 @@
 	return nil
 }
 
-// piece takes a part of a block of headers, and decodes the block at its end.
+// addFragment adds a fragment of a field block, and decodes the block at its end.
 func (r *reader) addFragment(f *frame, payload []byte) *connError {
 	r.blockFrames++
 	r.blockSize += f.size
-	// Bounded by bytes and by frames: empty CONTINUATIONs have no bytes (the flood of 2024, CVE-2023-44487's kin).
+	// Bounded by bytes and by frames, since empty CONTINUATION frames have no bytes (the CONTINUATION flood of 2024,
+	// related to CVE-2023-44487).
 	if len(r.fieldBlock)+len(payload) > 2*r.limits.MaxHeaderListBytes || r.blockFrames > r.limits.MaxHeaderFrames {
 		return &connError{code: EnhanceYourCalm, reason: ReasonHeaderFlood, text: "a block of headers without an end"}
 	}
--- a/internal/front/http2/stream.go
+++ b/internal/front/http2/stream.go
@@ -13,38 +13,38 @@
 	"cobaltflow/rules"
 )
 
-// stream is one request and its answer. A stream that is gone may still wait for its job: whether it ran has to
-// stand in the ledger.
+// stream is one request and its answer. A closed stream may still wait for the outcome of its request, which the ledger
+// records.
 type stream struct {
 	conn         *conn
 	id           uint32
 	header       *fieldSection
 	body         []byte
-	requestEnded bool  // the request is whole
-	sendWindow   int64 // that the client gives us
-	recvWindow   int64 // that it has left of what we gave
+	requestEnded bool  // the request is complete
+	sendWindow   int64 // what we may send on the stream, in bytes
+	recvWindow   int64 // what the client may still send on it, in bytes
 
-	request  *core.Request // nil: none, or released
-	answered bool          // HEADERS have been written
-	unsent   []byte        // of the answer, not sent yet
-	closed   bool
+	request  *core.Request // nil: not accepted, or released
+	answered bool          // the answer's HEADERS have been written
+	unsent   []byte        // data of the answer that is not sent yet
+	closed   bool          // the stream is closed or its client has disconnected
 }
 
-// PathJobs is where a client learns how a job ended.
+// PathJobs is the path prefix under which a client looks up the state of a job by its id.
 const PathJobs = "/jobs/"
 
-// early looks at a request whose body is still to come: what can't be served is told at once.
+// checkContentLength rejects a request whose declared body is too large before the body comes.
 func (s *stream) checkContentLength() {
 	if s.header.contentLength > admission.MaxBody {
 		s.rejectEarly(413, "the body is over 64 KiB")
 	}
 }
 
-// take takes a part of the body.
+// addBody adds a part of the body.
 func (s *stream) addBody(data []byte, end bool) {
 	c := s.conn
 	if s.answered {
-		return // it was refused already; what comes is on its way
+		return // the request was rejected already; the client sent this before it knew
 	}
 	s.body = append(s.body, data...)
 	c.bodyBytes += len(data)
@@ -54,7 +54,7 @@
 	case len(s.body) > admission.MaxBody:
 		s.rejectEarly(413, "the body is over 64 KiB")
 	case c.bodyBytes > c.front.limits.MaxBodyBytes:
-		// It was not taken, so it may be sent again.
+		// The request was not accepted, so it may be sent again.
 		c.reset(s.id, RefusedStream)
 	case end:
 		s.serve()
@@ -64,7 +64,7 @@
 	}
 }
 
-// whole has the request whole: it becomes a request of the core, or is answered here.
+// serve handles a complete request: it is admitted to the core, or answered here.
 func (s *stream) serve() {
 	s.requestEnded = true
 	if s.answered {
@@ -84,49 +84,50 @@
 		s.serveLocal("GET", func() { s.respondJobState(strings.TrimPrefix(path, PathJobs)) })
 		return
 	}
-	t, fault := f.admission.Admit(&admission.Request{Method: h.method, Target: h.path, Path: path, Body: s.body, Header: h.get,
+	req, rejection := f.admission.Admit(&admission.Request{Method: h.method, Target: h.path, Path: path, Body: s.body, Header: h.get,
 		HeaderFields: func(b []byte) []byte {
 			for _, field := range h.fields {
 				b = admission.AppendField(b, field.Name, field.Value, "")
 			}
 			return b
 		}}, s)
-	if fault != nil {
-		if fault.Allow != "" {
-			s.respond(fault.Status, []byte(fault.Text+"\n"), "allow", fault.Allow)
+	if rejection != nil {
+		if rejection.Allow != "" {
+			s.respond(rejection.Status, []byte(rejection.Text+"\n"), "allow", rejection.Allow)
 		} else {
-			s.respond(fault.Status, []byte(fault.Text+"\n"))
+			s.respond(rejection.Status, []byte(rejection.Text+"\n"))
 		}
 		return
 	}
-	s.request = t
-	f.ledger.Begin(t.ID)
+	s.request = req
+	f.ledger.Begin(req.ID)
 }
 
-func (s *stream) serveLocal(method string, answer func()) {
+// serveLocal answers a request of this front's own paths, if it has the method or is a HEAD.
+func (s *stream) serveLocal(method string, respond func()) {
 	if s.header.method != method && s.header.method != "HEAD" {
 		s.respond(405, []byte(method+"\n"), "allow", method)
 		return
 	}
-	answer()
+	respond()
 }
 
-// tell gives the state of a job to whoever knows its id.
+// respondJobState answers with the state of the job with this id, from the ledger.
 func (s *stream) respondJobState(id string) {
-	e := s.conn.front.ledger.Find(id)
-	if e == nil {
+	entry := s.conn.front.ledger.Find(id)
+	if entry == nil {
 		s.respond(404, []byte("no such job is known, or no more\n"))
 		return
 	}
-	out := map[string]string{"id": e.ID, "state": string(e.State)}
-	if e.State == admission.Served {
-		out["result"] = string(e.Result)
+	out := map[string]string{"id": entry.ID, "state": string(entry.State)}
+	if entry.State == admission.Served {
+		out["result"] = string(entry.Result)
 	}
 	text, _ := json.Marshal(out)
 	s.respond(200, text, "content-type", "application/json")
 }
 
-// refuse answers a request that is not read to its end. The client need not send the rest (RFC 9113, section 8.1).
+// rejectEarly answers a request before it is complete. The client need not send the rest (RFC 9113, section 8.1).
 func (s *stream) rejectEarly(status int, text string) {
 	whole := s.requestEnded
 	s.respond(status, []byte(text+"\n"))
@@ -135,50 +136,50 @@
 	}
 }
 
-// Answer implements core.UserAgent. The ledger has it whether the stream is still there or not.
-func (s *stream) Answer(t *core.Request, a core.Answer) {
+// Answer implements core.Client. The ledger records the outcome even if the stream is closed.
+func (s *stream) Answer(req *core.Request, answer core.Answer) {
 	f := s.conn.front
-	state := map[core.AnswerKind]admission.State{core.Served: admission.Served, core.Refused: admission.Refused}[a.Kind]
+	state := map[core.AnswerKind]admission.State{core.Served: admission.Served, core.Refused: admission.Refused}[answer.Kind]
 	if state == "" {
 		state = admission.Failed
 	}
-	f.ledger.End(f.loop.Now(), t.ID, state, a.Result)
+	f.ledger.End(f.loop.Now(), req.ID, state, answer.Result)
 	if s.closed {
 		return
 	}
 	f.Stats.Answered++
-	r := f.admission.ReplyTo(a)
-	if r.RetryAfter != "" {
-		s.respond(r.Status, r.Body, "retry-after", r.RetryAfter)
+	reply := f.admission.ReplyTo(answer)
+	if reply.RetryAfter != "" {
+		s.respond(reply.Status, reply.Body, "retry-after", reply.RetryAfter)
 		return
 	}
-	s.respond(r.Status, r.Body)
+	s.respond(reply.Status, reply.Body)
 }
 
-// Released implements core.UserAgent.
-func (s *stream) Released(t *core.Request) {
-	s.conn.front.admission.RememberID(t)
+// Released implements core.Client.
+func (s *stream) Released(req *core.Request) {
+	s.conn.front.admission.RememberID(req)
 	s.request, s.body = nil, nil
 }
 
-// abandon has the client gone from the stream. A job that must not run twice and that a worker may have begun goes on
-// there, since a withdrawal would leave open whether it ran; any other is withdrawn, and asking for it again is harmless.
-// No further attempt begins either way.
+// disconnect handles that the client has left the stream or its connection. If the request's class forbids a second
+// run, an attempt that a worker may have begun goes on, since cancelling it would leave open whether it ran. Any other
+// request is cancelled, as it is safe to repeat. No further attempt is sent either way.
 func (s *stream) disconnect() {
 	s.closed = true
-	t, f := s.request, s.conn.front
-	if t == nil || s.answered {
+	req, f := s.request, s.conn.front
+	if req == nil || s.answered {
 		return
 	}
-	if f.core.Settings().Classes[t.Job.Class].Effect != rules.Repeatable {
-		f.core.DetachClient(t)
+	if f.core.Settings().Classes[req.Job.Class].Effect != rules.Repeatable {
+		f.core.DetachClient(req)
 		return
 	}
-	f.ledger.End(f.loop.Now(), t.ID, admission.Refused, nil)
-	f.core.ClientDisconnected(t)
+	f.ledger.End(f.loop.Now(), req.ID, admission.Refused, nil)
+	f.core.ClientDisconnected(req)
 }
 
-// respond writes an answer: HEADERS now, DATA as far as the windows let it.
+// respond writes an answer: HEADERS now, DATA as far as the windows allow. extra are pairs of field names and values.
 func (s *stream) respond(status int, body []byte, extra ...string) {
 	c := s.conn
 	if s.closed || s.answered || c.CloseReason != "" {
@@ -206,20 +207,20 @@
 		return
 	}
 	if c.unsentBytes+len(body) > c.front.limits.MaxUnsentBytes {
-		// The client has asked for more than it reads: this answer it can only look up.
+		// The client has requested more than it reads. It can look this answer up under PathJobs.
 		c.reset(s.id, EnhanceYourCalm)
 		return
 	}
 	if c.unsentBytes == 0 {
 		c.lastProgress = c.front.loop.Now()
 	}
-	s.unsent = slices.Clone(body) // the result is a slice of a buffer that is given back
+	s.unsent = slices.Clone(body) // body belongs to a buffer that is returned after this call
 	c.unsentBytes += len(body)
 	c.blockedStreams = append(c.blockedStreams, s)
 	c.sendBlockedData()
 }
 
-// close ends the answer's side. A request that is not whole by then is not waited for.
+// finish closes the stream after its answer. If the request is not complete, the rest is not waited for.
 func (s *stream) finish() {
 	if !s.requestEnded {
 		s.conn.reset(s.id, NoError)
@@ -228,17 +229,17 @@
 	s.conn.removeStream(s)
 }
 
-// push sends what the windows let go, a frame of each stream in turn. It tells whether anything left.
-func (c *conn) sendBlockedData() (moved bool) {
+// sendBlockedData sends what the windows allow, a frame of each stream in turn. It reports whether any data was sent.
+func (c *conn) sendBlockedData() (sentData bool) {
 	for len(c.blockedStreams) > 0 && c.sendWindow > 0 {
-		kept, sent := c.blockedStreams[:0], false
+		kept, sentInRound := c.blockedStreams[:0], false
 		for _, s := range c.blockedStreams {
 			if s.closed || len(s.unsent) == 0 {
 				continue
 			}
 			if n := min(int64(len(s.unsent)), s.sendWindow, c.sendWindow, int64(c.maxSendFrame)); n > 0 {
 				c.sendData(s, int(n))
-				sent = true
+				sentInRound = true
 			}
 			if !s.closed && len(s.unsent) > 0 {
 				kept = append(kept, s)
@@ -246,17 +247,18 @@
 		}
 		clear(c.blockedStreams[len(kept):])
 		c.blockedStreams = kept
-		if !sent {
+		if !sentInRound {
 			break
 		}
-		moved = true
+		sentData = true
 	}
-	if moved {
+	if sentData {
 		c.lastProgress = c.front.loop.Now()
 	}
-	return moved
+	return sentData
 }
 
+// sendData sends n bytes of a stream's data and finishes the stream after the last.
 func (c *conn) sendData(s *stream, n int) {
 	flags := byte(0)
 	if n == len(s.unsent) {
--- a/internal/front/http2/wire.go
+++ b/internal/front/http2/wire.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// Frame types, flags, settings and error codes of RFC 9113, sections 6, 6.5.2 and 7.
+// Frame types, flags and settings of RFC 9113, sections 6 and 6.5.2, and sizes and limits of its sections 3.4, 4.1, 4.2,
+// 5.1.1 and 6.9.1.
 const (
 	frameData         = 0x0
 	frameHeaders      = 0x1
@@ -43,7 +44,7 @@
 // Code is an error code of RFC 9113, section 7.
 type Code uint32
 
-// The codes.
+// The error codes.
 const (
 	NoError            Code = 0x0
 	ProtocolError      Code = 0x1
@@ -61,10 +62,10 @@
 	HTTP11Required     Code = 0xd
 )
 
-// connError ends a connection (RFC 9113, section 5.4.1).
+// connError is an error that closes the connection (RFC 9113, section 5.4.1).
 type connError struct {
 	code   Code
-	reason string // of the log; empty: bad-input
+	reason string // for the log; empty: bad-input
 	text   string
 }
 
@@ -74,7 +75,7 @@
 	return &connError{code: code, text: fmt.Sprintf(format, args...)}
 }
 
-// appendFrame adds the head of a frame.
+// appendFrameHeader appends a frame header (RFC 9113, section 4.1).
 func appendFrameHeader(b []byte, length int, kind, flags byte, stream uint32) []byte {
 	b = append(b, byte(length>>16), byte(length>>8), byte(length), kind, flags)
 	return binary.BigEndian.AppendUint32(b, stream)
