--- a/internal/faktory/front.go
+++ b/internal/faktory/front.go
@@ -49,29 +49,31 @@
 	log  *slog.Logger
 
 	listener        netpoll.Listener
-	server          netpoll.EventLoop
+	server          netpoll.EventLoop // serves the listener's connections
 	sessions        core.SlotMap[*session]
 	sessionsToFlush []*session         // have replies from this turn
 	newFetches      []*session         // their FETCH came in this turn
 	workers         map[string]*worker // by wid
 	queuePools      map[string]*core.Pool
+	// jobs is the state machine of all pushed jobs.
 	jobs            *jobs.Machine
-	requests        map[*jobs.Job]*jobRequest
-	jobsTimer       *core.Timer // for the next call of jobs.ProcessDue
-	jobsTimerAt     core.Time
-	mutationWaiters map[uint64]*session // sessions whose MUTATE is in progress, by its token
+	requests        map[*jobs.Job]*jobRequest // the jobs with a request in the core
+	jobsTimer       *core.Timer               // for the next call of jobs.ProcessDue
+	jobsTimerAt     core.Time                 // when jobsTimer fires
+	mutationWaiters map[uint64]*session       // sessions whose MUTATE is in progress, by its token
 	// flushWaiters are the sessions whose FLUSH is in progress.
 	flushWaiters []*session
-	lastToken    uint64
+	lastToken    uint64 // of the last MUTATE
 
+	// The input of all sessions, in bytes.
 	inputBytes      atomic.Int64 // bytes of commands that are not handled yet, of all sessions
-	maxInputBytes   int64
-	maxCommandBytes int // limit for one command
+	maxInputBytes   int64        // limit of inputBytes
+	maxCommandBytes int          // limit for one command
 
 	closed         bool
-	draining       bool // the process shuts down: new jobs are rejected
-	requestedState string
-	startedAt      time.Duration
+	draining       bool          // the process shuts down: new jobs are rejected
+	requestedState string        // of the workers, in replies to BEAT: empty, quiet or terminate
+	startedAt      time.Duration // on the monotonic clock
 	commandCount   uint64
 	rejected       map[string]uint64 // rejected commands and connections, by the limit
 }
--- a/internal/faktory/intake.go
+++ b/internal/faktory/intake.go
@@ -64,10 +64,10 @@
 // read takes all input, splits it into commands, parses their payloads and posts them to the loop. It blocks while the
 // loop is behind; sweep bounds what netpoll reads meanwhile.
 func (s *session) read() error {
-	f, in := s.front, &s.input
+	f, input := s.front, &s.input
 	r := s.Conn.Reader()
 	n := r.Len()
-	if in.stopped {
+	if input.stopped {
 		r.Skip(n)
 		return r.Release()
 	}
@@ -76,27 +76,27 @@
 		return nil
 	}
 	s.addInputBytes(int64(n))
-	in.buffer = append(in.buffer, data...)
+	input.buffer = append(input.buffer, data...)
 	if err := r.Release(); err != nil {
 		return err
 	}
-	for !in.stopped {
+	for !input.stopped {
 		batch, cost := s.splitCommands()
 		if len(batch) == 0 {
 			break
 		}
-		in.backlog.Add(cost)
+		input.backlog.Add(cost)
 		f.loop.Post(func() { f.handle(s, batch) })
-		if !in.backlog.Wait() {
-			in.stopped = true
+		if !input.backlog.Wait() {
+			input.stopped = true
 			return nil
 		}
 	}
-	if f.inputBytes.Load() > f.maxInputBytes && len(in.buffer) > 0 && !in.stopped {
+	if f.inputBytes.Load() > f.maxInputBytes && len(input.buffer) > 0 && !input.stopped {
 		// An incomplete command exceeds max_input_mb, the limit of all sessions together: its session is closed.
-		in.stopped = true
-		s.addInputBytes(-int64(len(in.buffer)))
-		in.buffer = nil
+		input.stopped = true
+		s.addInputBytes(-int64(len(input.buffer)))
+		input.buffer = nil
 		f.loop.Post(func() {
 			f.rejected["max_input_mb"]++
 			s.replyAndClose(errorReplyf("refused, max_input_mb is reached, return in 1.000 s"), link.OverBudget)
@@ -108,43 +108,43 @@
 // splitCommands takes complete commands from the buffer. The batch keeps the buffer's bytes; the rest is copied to a
 // new buffer, so that it does not keep the batch in memory.
 func (s *session) splitCommands() (batch []parsedCommand, cost int) {
-	f, in := s.front, &s.input
-	at := 0
-	for at < len(in.buffer) && len(batch) < maxBatchCommands {
-		rest := in.buffer[at:]
-		if at == 0 && in.scanned > 0 && rest[0] != '*' && bytes.IndexByte(rest[in.scanned:], '\n') < 0 && len(rest) <= f.maxCommandBytes {
+	f, input := s.front, &s.input
+	used := 0
+	for used < len(input.buffer) && len(batch) < maxBatchCommands {
+		rest := input.buffer[used:]
+		if used == 0 && input.scanned > 0 && rest[0] != '*' && bytes.IndexByte(rest[input.scanned:], '\n') < 0 && len(rest) <= f.maxCommandBytes {
 			break
 		}
-		var c Command
-		need, err := ParseCommand(rest, &c, f.maxCommandBytes)
+		var parsed Command
+		need, err := ParseCommand(rest, &parsed, f.maxCommandBytes)
 		if err != nil {
 			batch = append(batch, parsedCommand{err: err, isFatal: true, size: len(rest)})
-			in.stopped = true
-			at = len(in.buffer)
+			input.stopped = true
+			used = len(input.buffer)
 			break
 		}
 		if need > 0 {
 			break
 		}
-		q := parsedCommand{verb: verbString(c.Verb), arg: c.Arg, size: c.Size, cost: max(c.Size, link.MinMessageCost)}
-		if expensiveVerbs[q.verb] {
-			q.cost = max(c.Size, expensiveCommandCost)
+		cmd := parsedCommand{verb: verbString(parsed.Verb), arg: parsed.Arg, size: parsed.Size, cost: max(parsed.Size, link.MinMessageCost)}
+		if expensiveVerbs[cmd.verb] {
+			cmd.cost = max(parsed.Size, expensiveCommandCost)
 		}
-		cost += q.cost
-		if in.greeted.Load() {
-			s.front.parsePayload(s, &q)
+		cost += cmd.cost
+		if input.greeted.Load() {
+			s.front.parsePayload(s, &cmd)
 		}
-		batch = append(batch, q)
-		at += c.Size
+		batch = append(batch, cmd)
+		used += parsed.Size
 	}
-	left := in.buffer[at:]
-	if at > 0 {
-		left = append([]byte(nil), left...)
-		if len(left) == 0 {
-			left = nil
+	rest := input.buffer[used:]
+	if used > 0 {
+		rest = append([]byte(nil), rest...)
+		if len(rest) == 0 {
+			rest = nil
 		}
 	}
-	in.buffer, in.scanned = left, len(left)
+	input.buffer, input.scanned = rest, len(rest)
 	return batch, cost
 }
 
@@ -160,27 +160,27 @@
 }
 
 // parsePayload parses the job payloads of PUSH and PUSHB, so that the loop need not.
-func (f *Front) parsePayload(s *session, q *parsedCommand) {
-	switch q.verb {
+func (f *Front) parsePayload(s *session, cmd *parsedCommand) {
+	switch cmd.verb {
 	case "PUSH":
-		q.job, q.err = f.parseJob(q.arg, s.client)
+		cmd.job, cmd.err = f.parseJob(cmd.arg, s.client)
 	case "PUSHB":
-		if !gjson.ValidBytes(q.arg) || q.arg[0] != '[' {
-			q.err = errors.New("malformed PUSHB: a list of jobs is needed")
+		if !gjson.ValidBytes(cmd.arg) || cmd.arg[0] != '[' {
+			cmd.err = errors.New("malformed PUSHB: a list of jobs is needed")
 			return
 		}
-		q.bulk = []bulkJob{}
-		gjson.ParseBytes(q.arg).ForEach(func(_, v gjson.Result) bool {
-			p := bulkJob{}
-			if p.job, p.err = f.parseJob([]byte(v.Raw), s.client); p.err == nil {
-				p.jid = p.job.ID
-			} else if p.jid = v.Get("jid").String(); p.jid == "" {
-				p.jid = fmt.Sprintf("#%d", len(q.bulk))
+		cmd.bulk = []bulkJob{}
+		gjson.ParseBytes(cmd.arg).ForEach(func(_, v gjson.Result) bool {
+			item := bulkJob{}
+			if item.job, item.err = f.parseJob([]byte(v.Raw), s.client); item.err == nil {
+				item.jid = item.job.ID
+			} else if item.jid = v.Get("jid").String(); item.jid == "" {
+				item.jid = fmt.Sprintf("#%d", len(cmd.bulk))
 			}
-			q.bulk = append(q.bulk, p)
+			cmd.bulk = append(cmd.bulk, item)
 			return true
 		})
-		q.arg = nil
+		cmd.arg = nil
 	}
 }
 
--- a/internal/faktory/operate.go
+++ b/internal/faktory/operate.go
@@ -42,26 +42,26 @@
 
 // trackSet stores the progress that a worker reports with TRACK SET, and extends its reservation by reserve_until.
 func (f *Front) trackSet(s *session, arg string) {
-	var t struct {
+	var update struct {
 		JID     string `json:"jid"`
 		Percent *int   `json:"percent"`
 		Desc    string `json:"desc"`
 		Until   string `json:"reserve_until"`
 	}
-	if err := json.Unmarshal([]byte(arg), &t); err != nil || t.JID == "" {
+	if err := json.Unmarshal([]byte(arg), &update); err != nil || update.JID == "" {
 		s.reply(errorReply("malformed TRACK SET: an object with a jid is needed"))
 		return
 	}
-	j := f.jobs.Find(t.JID)
+	j := f.jobs.Find(update.JID)
 	switch {
 	case j == nil:
-		s.reply(errorReplyf("job %.128s is not known", t.JID))
+		s.reply(errorReplyf("job %.128s is not known", update.JID))
 	case j.State.IsFinal():
 		s.reply(errorReplyf("job %s has ended: %s", j.ID, j.State))
-	case t.Percent != nil && (*t.Percent < 0 || *t.Percent > 100):
+	case update.Percent != nil && (*update.Percent < 0 || *update.Percent > 100):
 		s.reply(errorReply("percent: 0 to 100 are possible"))
-	case t.Until != "":
-		until, err := time.Parse(time.RFC3339Nano, t.Until)
+	case update.Until != "":
+		until, err := time.Parse(time.RFC3339Nano, update.Until)
 		if err != nil {
 			s.reply(errorReply("reserve_until: not a time of RFC 3339"))
 			return
@@ -72,29 +72,29 @@
 		if j.Progress == nil {
 			j.Progress = &jobs.Progress{}
 		}
-		if t.Percent != nil {
-			j.Progress.Percent = *t.Percent
+		if update.Percent != nil {
+			j.Progress.Percent = *update.Percent
 		}
-		if t.Desc != "" {
-			j.Progress.Desc = t.Desc[:min(len(t.Desc), maxDescBytes)]
+		if update.Desc != "" {
+			j.Progress.Desc = update.Desc[:min(len(update.Desc), maxDescBytes)]
 		}
 		s.reply(replyOK)
 	}
 }
 
 // queue handles QUEUE PAUSE|RESUME|REMOVE|LATENCY with queue names, or * for all queues.
-func (f *Front) queue(s *session, q *parsedCommand) {
-	words := strings.Fields(string(q.arg))
+func (f *Front) queue(s *session, cmd *parsedCommand) {
+	words := strings.Fields(string(cmd.arg))
 	if len(words) < 2 {
 		s.reply(errorReply("QUEUE takes PAUSE, RESUME, REMOVE or LATENCY, and names or *"))
 		return
 	}
 	verb, names, now := strings.ToUpper(words[0]), words[1:], f.loop.Now()
-	figures := f.jobs.QueueStats(now)
+	allStats := f.jobs.QueueStats(now)
 	if slices.Equal(names, []string{"*"}) {
 		names = nil
-		for _, one := range figures {
-			names = append(names, one.Name)
+		for _, stats := range allStats {
+			names = append(names, stats.Name)
 		}
 	}
 	for _, name := range names {
@@ -121,9 +121,9 @@
 		}
 	case "LATENCY":
 		out := map[string]float64{}
-		for _, one := range figures {
-			if slices.Contains(names, one.Name) {
-				out[one.Name] = float64(one.Latency) / float64(core.Second)
+		for _, stats := range allStats {
+			if slices.Contains(names, stats.Name) {
+				out[stats.Name] = float64(stats.Latency) / float64(core.Second)
 			}
 		}
 		text, _ := json.Marshal(out)
@@ -138,8 +138,8 @@
 
 // mutate changes the jobs of a set that match a filter ("Mutate API" of the Faktory wiki). The reply comes when all are
 // done.
-func (f *Front) mutate(s *session, q *parsedCommand) {
-	var m struct {
+func (f *Front) mutate(s *session, cmd *parsedCommand) {
+	var args struct {
 		Cmd    string `json:"cmd"`
 		Target string `json:"target"`
 		Filter *struct {
@@ -148,32 +148,32 @@
 			Jobtype string   `json:"jobtype"`
 		} `json:"filter"`
 	}
-	if err := json.Unmarshal(q.arg, &m); err != nil {
+	if err := json.Unmarshal(cmd.arg, &args); err != nil {
 		s.reply(errorReply("malformed MUTATE: " + err.Error()))
 		return
 	}
-	mu := jobs.Mutation{Command: jobs.Command(m.Cmd), Set: jobs.Set(m.Target)}
+	mutation := jobs.Mutation{Command: jobs.Command(args.Cmd), Set: jobs.Set(args.Target)}
 	switch {
-	case !slices.Contains([]jobs.Command{jobs.Kill, jobs.Discard, jobs.Requeue, jobs.Clear}, mu.Command):
-		s.reply(errorReplyf("MUTATE: cmd: %.32q is none of clear, kill, discard, requeue", m.Cmd))
+	case !slices.Contains([]jobs.Command{jobs.Kill, jobs.Discard, jobs.Requeue, jobs.Clear}, mutation.Command):
+		s.reply(errorReplyf("MUTATE: cmd: %.32q is none of clear, kill, discard, requeue", args.Cmd))
 		return
-	case !slices.Contains([]jobs.Set{jobs.SetScheduled, jobs.SetRetries, jobs.SetDead}, mu.Set):
-		s.reply(errorReplyf("MUTATE: target: %.32q is none of scheduled, retries, dead", m.Target))
+	case !slices.Contains([]jobs.Set{jobs.SetScheduled, jobs.SetRetries, jobs.SetDead}, mutation.Set):
+		s.reply(errorReplyf("MUTATE: target: %.32q is none of scheduled, retries, dead", args.Target))
 		return
 	}
-	if m.Filter != nil && mu.Command != jobs.Clear {
-		match, err := compileGlob(m.Filter.Regexp)
+	if args.Filter != nil && mutation.Command != jobs.Clear {
+		pattern, err := compileGlob(args.Filter.Regexp)
 		if err != nil {
 			s.reply(errorReplyf("MUTATE: filter.regexp: %v", err))
 			return
 		}
-		mu.IDs = m.Filter.JIDs
-		mu.Matches = func(j *jobs.Job) bool {
-			return (m.Filter.Jobtype == "" || j.Type == m.Filter.Jobtype) && (match == nil || match.MatchString(j.Payload))
+		mutation.IDs = args.Filter.JIDs
+		mutation.Matches = func(j *jobs.Job) bool {
+			return (args.Filter.Jobtype == "" || j.Type == args.Filter.Jobtype) && (pattern == nil || pattern.MatchString(j.Payload))
 		}
 	}
 	f.lastToken++
-	if !f.jobs.Mutate(mu, f.lastToken) {
+	if !f.jobs.Mutate(mutation, f.lastToken) {
 		s.reply(errorReplyf("refused, %d mutations are under way, return in 1.000 s", jobs.MaxMutations))
 		return
 	}
@@ -259,7 +259,7 @@
 
 // info is the reply to INFO, in the shape of the public Faktory server's, with cobaltflow's own figures beside it.
 func (f *Front) info() []byte {
-	n, now := f.jobs.Stats(), f.loop.Now()
+	stats, now := f.jobs.Stats(), f.loop.Now()
 	queues, paused, latency := map[string]int{}, []string{}, map[string]float64{}
 	for _, q := range f.jobs.QueueStats(now) {
 		queues[q.Name], latency[q.Name] = q.Enqueued, float64(q.Latency)/float64(core.Second)
@@ -271,34 +271,34 @@
 	for _, w := range f.workers {
 		workers = append(workers, map[string]any{"wid": w.wid, "working": len(w.fetched), "connections": w.sessionCount, "state": w.state, "rss_kb": w.rssKB})
 	}
-	size := func(k int) map[string]any { return map[string]any{"size": k} }
-	t := &n.Totals
-	turned := map[string]uint64{"not_unique": t.NotUnique}
-	for why, k := range f.rejected {
-		turned[why] += k
+	size := func(n int) map[string]any { return map[string]any{"size": n} }
+	totals := &stats.Totals
+	rejected := map[string]uint64{"not_unique": totals.NotUnique}
+	for reason, count := range f.rejected {
+		rejected[reason] += count
 	}
-	for why, k := range t.RejectedByReason {
-		turned[string(why)] += k
+	for reason, count := range totals.RejectedByReason {
+		rejected[string(reason)] += count
 	}
-	k := &f.conf.Faktory
+	cfg := &f.conf.Faktory
 	text, _ := json.Marshal(map[string]any{
 		"now":             clock.Wall().UTC().Format(time.RFC3339Nano),
 		"server_utc_time": clock.Wall().UTC().Format("15:04:05 UTC"),
 		"faktory": map[string]any{
-			"total_enqueued": n.Enqueued, "total_processed": t.Served + t.FailedRuns, "total_failures": t.FailedRuns,
-			"total_queues": n.Queues, "queues": queues, "default_size": queues[k.Queue],
-			"tasks": map[string]any{"Scheduled": size(n.Scheduled), "Retries": size(n.Retries), "Dead": size(n.Dead),
-				"Working": size(n.Working), "Enqueued": size(n.Enqueued)},
+			"total_enqueued": stats.Enqueued, "total_processed": totals.Served + totals.FailedRuns, "total_failures": totals.FailedRuns,
+			"total_queues": stats.Queues, "queues": queues, "default_size": queues[cfg.Queue],
+			"tasks": map[string]any{"Scheduled": size(stats.Scheduled), "Retries": size(stats.Retries), "Dead": size(stats.Dead),
+				"Working": size(stats.Working), "Enqueued": size(stats.Enqueued)},
 		},
 		"server": map[string]any{"description": "cobaltflow", "faktory_version": "1.9.0",
 			"uptime": int((clock.Monotonic() - f.startedAt).Seconds()), "connections": f.sessions.Len(), "command_count": f.commandCount},
 		"cobaltflow": map[string]any{
-			"held": n.Held, "max_held_jobs": k.MaxHeldJobs, "held_bytes": n.HeldBytes, "max_held_bytes": k.MaxHeldMB << 20,
-			"scheduled": n.Scheduled, "max_scheduled": k.MaxScheduled, "retries": n.Retries, "max_retries": k.MaxRetries,
-			"dead": n.Dead, "max_dead": k.MaxDead, "dead_forgotten": t.DeadEvicted, "ended": n.Ended, "kept_jobs": k.MaxEndedJobs,
-			"ended_forgotten": t.EndedEvicted, "locks": n.Locks, "clients": n.Clients, "input_bytes": f.inputBytes.Load(),
-			"max_input_bytes": f.maxInputBytes, "served": t.Served, "refused": t.Refused, "failed": t.Failed, "died": t.Dead,
-			"retried": t.Retried, "turned_away": turned, "paused": paused, "latency_s": latency, "workers": workers,
+			"held": stats.Held, "max_held_jobs": cfg.MaxHeldJobs, "held_bytes": stats.HeldBytes, "max_held_bytes": cfg.MaxHeldMB << 20,
+			"scheduled": stats.Scheduled, "max_scheduled": cfg.MaxScheduled, "retries": stats.Retries, "max_retries": cfg.MaxRetries,
+			"dead": stats.Dead, "max_dead": cfg.MaxDead, "dead_forgotten": totals.DeadEvicted, "ended": stats.Ended, "kept_jobs": cfg.MaxEndedJobs,
+			"ended_forgotten": totals.EndedEvicted, "locks": stats.Locks, "clients": stats.Clients, "input_bytes": f.inputBytes.Load(),
+			"max_input_bytes": f.maxInputBytes, "served": totals.Served, "refused": totals.Refused, "failed": totals.Failed, "died": totals.Dead,
+			"retried": totals.Retried, "turned_away": rejected, "paused": paused, "latency_s": latency, "workers": workers,
 			"in_core": f.core.OpenRequests(), "draining": f.draining,
 		},
 	})
--- a/internal/faktory/transport.go
+++ b/internal/faktory/transport.go
@@ -162,9 +162,9 @@
 // deliverPending answers a FETCH with a pending attempt of its worker, if any: by the order of the FETCH's queues, then
 // by the order in which the attempts were sent.
 func (f *Front) deliverPending(w *worker, s *session) bool {
-	for _, q := range s.queues {
+	for _, queue := range s.queues {
 		for i, waiting := range w.pending {
-			if waiting.queue == q {
+			if waiting.queue == queue {
 				w.pending = append(w.pending[:i], w.pending[i+1:]...)
 				f.deliver(w, s, waiting.attempt)
 				return true
--- a/internal/front/http2/stream.go
+++ b/internal/front/http2/stream.go
@@ -129,9 +129,9 @@
 
 // rejectEarly answers a request before it is complete. The client need not send the rest (RFC 9113, section 8.1).
 func (s *stream) rejectEarly(status int, text string) {
-	whole := s.requestEnded
+	isComplete := s.requestEnded
 	s.respond(status, []byte(text+"\n"))
-	if c := s.conn; !whole && !s.closed && len(s.unsent) == 0 {
+	if c := s.conn; !isComplete && !s.closed && len(s.unsent) == 0 {
 		c.reset(s.id, NoError)
 	}
 }
--- a/internal/jobs/machine.go
+++ b/internal/jobs/machine.go
@@ -82,22 +82,22 @@
 // Push accepts or rejects a job. An accepted job reaches exactly one final state, unless an operator requeues it when
 // it is dead.
 func (m *Machine) Push(now Time, j *Job) PushResult {
-	if old := m.jobs[j.ID]; old != nil {
-		return PushResult{Existing: old}
+	if existing := m.jobs[j.ID]; existing != nil {
+		return PushResult{Existing: existing}
 	}
 	if j.Options == nil {
 		j.Options = &noOptions
 	}
 	if j.UniqueFor > 0 {
-		if l := m.locks[j.Fingerprint]; l != nil && l.timer.at > now {
+		if held := m.locks[j.Fingerprint]; held != nil && held.timer.at > now {
 			m.totals.NotUnique++
 			return PushResult{NotUnique: true}
 		}
 	}
-	q, full := m.checkLimits(now, j)
-	if full != "" {
-		m.totals.RejectedByReason[full]++
-		return PushResult{Rejected: full, RetryAfter: m.retryAfter()}
+	q, rejected := m.checkLimits(now, j)
+	if rejected != "" {
+		m.totals.RejectedByReason[rejected]++
+		return PushResult{Rejected: rejected, RetryAfter: m.retryAfter()}
 	}
 	m.totals.Pushed++
 	j.Priority = min(max(j.Priority, MinPriority), MaxPriority)
@@ -343,13 +343,13 @@
 			m.releaseLock(j)
 		}
 	}
-	mine := j.fetch
+	previous := j.fetch
 	j.fetch = nil
-	reserve := j.Reservation
-	if reserve == 0 {
-		reserve = m.settings.DefaultReservation
+	reservation := j.Reservation
+	if reservation == 0 {
+		reservation = m.settings.DefaultReservation
 	}
-	m.setNextStep(j, now+reserve)
+	m.setNextStep(j, now+reservation)
 	if fetch != nil {
 		other := fetch.job
 		fetch.isWaiting, fetch.job = false, nil
@@ -358,9 +358,9 @@
 			m.unbind(other)
 		}
 	}
-	if mine != nil && mine != fetch {
-		mine.job = nil
-		m.matchFetch(now, mine)
+	if previous != nil && previous != fetch {
+		previous.job = nil
+		m.matchFetch(now, previous)
 	}
 }
 
--- a/internal/jobs/mutate.go
+++ b/internal/jobs/mutate.go
@@ -128,9 +128,9 @@
 		if j.ExpiresAt > 0 && now >= j.ExpiresAt {
 			return Expired
 		}
-		q, full := m.checkLimits(now, j)
-		if full != "" {
-			return full
+		q, rejected := m.checkLimits(now, j)
+		if rejected != "" {
+			return rejected
 		}
 		j.unlink()
 		j.NotBefore, j.Failures, j.Reason = 0, 0, ""
