--- a/internal/faktory/payload.go
+++ b/internal/faktory/payload.go
@@ -211,12 +211,15 @@
 	return j, nil
 }
 
+// isValidID reports whether a jid has minIDBytes to maxIDBytes bytes of visible ASCII, without those that separate fields
+// and URLs.
 func isValidID(id string) bool {
 	return len(id) >= minIDBytes && len(id) <= maxIDBytes && !strings.ContainsFunc(id, func(r rune) bool {
 		return r <= ' ' || r >= 0x7f || strings.ContainsRune(`,"/?#%`, r)
 	})
 }
 
+// isValidQueueName reports whether a queue name has 1 to maxIDBytes bytes, all of them letters, digits or one of .-_
 func isValidQueueName(name string) bool {
 	return name != "" && len(name) <= maxIDBytes && !strings.ContainsFunc(name, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune(".-_", r))
@@ -233,6 +236,7 @@
 	Backtrace  []string `json:"backtrace,omitempty"`
 }
 
+// failureJSONOf returns the failure object of a job; nil: no run of it has failed.
 func (f *Front) failureJSONOf(j *jobs.Job) *failureJSON {
 	if j.Failure == nil {
 		return nil
--- a/internal/faktory/transport.go
+++ b/internal/faktory/transport.go
@@ -60,6 +60,7 @@
 	}
 }
 
+// updatePool reports a worker's state to one pool, as a worker list update.
 func (f *Front) updatePool(w *worker, pool *core.Pool, state rules.WorkerState) {
 	pool.UpdateWorkerList(f, rules.ListDelta, []core.ListedWorker{{Name: w.name, Zone: f.core.Settings().Zone, Kind: -1,
 		State: state, Weight: 1, StartedAt: w.joinedAt}})
@@ -218,6 +219,7 @@
 	}
 }
 
+// queueOf is the queue of a request: the pushed job's, or the default queue for a request of the HTTP fronts.
 func (f *Front) queueOf(req *core.Request) string {
 	if r, ok := req.Client.(*jobRequest); ok {
 		return r.job.Queue
--- a/internal/faktory/verbs.go
+++ b/internal/faktory/verbs.go
@@ -13,7 +13,7 @@
 	"cobaltflow/rules"
 )
 
-// The commands of clients and workers; operate.go has those of operators.
+// The commands of clients and workers; operators.go has those of operators.
 
 // pushJob pushes a job into the machine; a rejection becomes the error text of the reply.
 func (f *Front) pushJob(j *jobs.Job) error {
--- a/internal/jobs/api.go
+++ b/internal/jobs/api.go
@@ -149,7 +149,7 @@
 	Reservation      Time // how long a worker may hold it; 0: Settings.DefaultReservation
 	ExpiresAt        Time // latest start; 0: no limit
 	UniqueFor        Time // 0: the job is not unique
-	UniqueUntilStart bool // the lock is released at the start, else when the job was served
+	UniqueUntilStart bool // the lock is released at the start, else when the job was served or refused
 	Fingerprint      [32]byte
 }
 
--- a/internal/jobs/machine.go
+++ b/internal/jobs/machine.go
@@ -35,8 +35,11 @@
 	totals            Totals
 }
 
+// clientUsage counts the held jobs of one client, and their bytes.
 type clientUsage struct{ jobs, bytes int }
 
+// lock is the lock of a unique job's fingerprint. It is removed when its timer fires, when the job starts if it is
+// UniqueUntilStart, or when the job was served or refused.
 type lock struct {
 	job   *Job
 	key   [32]byte
@@ -299,7 +302,8 @@
 	j.fetch, fetch.job = fetch, j
 }
 
-// unbind removes a job's FETCH and assigns another one that waits at its queue, if any.
+// unbind removes a job's FETCH. It assigns another one that waits at the queue, unless table workers also run the
+// queue's jobs.
 func (m *Machine) unbind(j *Job) {
 	j.fetch = nil
 	q := m.queues[j.Queue]
--- a/internal/jobs/mutate.go
+++ b/internal/jobs/mutate.go
@@ -32,6 +32,7 @@
 	RejectedExample map[Reason]string // one id for each reason
 }
 
+// runningMutation is a mutation that is queued or in progress.
 type runningMutation struct {
 	Mutation
 	token      uint64
--- a/internal/jobs/queue.go
+++ b/internal/jobs/queue.go
@@ -69,6 +69,7 @@
 	return false
 }
 
+// weightedQueue is a queue of a FETCH and how often the FETCH lists it.
 type weightedQueue struct {
 	q      *queue
 	weight int
@@ -172,6 +173,7 @@
 	return q
 }
 
+// removeQueue removes a queue without jobs and its timer.
 func (m *Machine) removeQueue(q *queue) {
 	q.removed = true
 	m.timers.set(&q.resumeTimer, 0)
--- a/internal/jobs/timers.go
+++ b/internal/jobs/timers.go
@@ -79,7 +79,7 @@
 		l.first = j
 	}
 	l.last = j
-	l.linked(j)
+	l.countAdded(j)
 }
 
 // addFirst puts a job at the front.
@@ -91,10 +91,11 @@
 		l.last = j
 	}
 	l.first = j
-	l.linked(j)
+	l.countAdded(j)
 }
 
-func (l *list) linked(j *Job) {
+// countAdded counts a job that was added.
+func (l *list) countAdded(j *Job) {
 	j.list = l
 	l.count++
 	l.bytes += int(j.Size)
