--- a/cmd/cobaltflow/fleet.go
+++ b/cmd/cobaltflow/fleet.go
@@ -29,10 +29,10 @@
 		},
 	}
 	run.Flags().StringVar(&o.Binary, "binary", "", "the `program` to run; default: this one")
-	run.Flags().StringVar(&o.Old, "old", "", "an earlier `program` to run with the same seeds for comparison")
+	run.Flags().StringVar(&o.OldBinary, "old", "", "an earlier `program` to run with the same seeds for comparison")
 	run.Flags().StringArrayVar(&o.Arms, "arm", nil, "`NAME=FILE`: run also with FILE merged over the project's own configuration")
 	run.Flags().Uint64Var(&o.Seed, "seed", 0, "first `seed`; default: the scenario's")
-	run.Flags().IntVar(&o.Seeds, "seeds", 1, "`number` of seeds to run")
+	run.Flags().IntVar(&o.SeedCount, "seeds", 1, "`number` of seeds to run")
 	run.Flags().StringVar(&o.Dir, "out", "", "`directory` for records and logs; default: none are kept")
 	run.Flags().BoolVar(&o.Quiet, "quiet", false, "print no progress lines")
 	check := &cobra.Command{
@@ -43,7 +43,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: good, %d schedulers, %.0f jobs a second\n", path, len(s.Schedulers()), s.RatePerS())
+				fmt.Fprintf(c.OutOrStdout(), "%s: good, %d schedulers, %.0f jobs a second\n", path, len(s.SchedulerSites()), s.RatePerS())
 			}
 			return nil
 		},
@@ -51,7 +51,7 @@
 	report := &cobra.Command{
 		Use: "report DIR", Short: "Generate an HTML report from the records in a directory", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			path, err := experiment.Report(args[0])
+			path, err := experiment.WriteReport(args[0])
 			if err == nil {
 				_, err = fmt.Fprintln(c.OutOrStdout(), path)
 			}
--- a/cmd/cobaltflow/soak.go
+++ b/cmd/cobaltflow/soak.go
@@ -26,15 +26,15 @@
 				}
 				o.Binary = own
 			}
-			o.Out = c.OutOrStdout()
+			o.Output = c.OutOrStdout()
 			outcomes, err := soak.Run(ctx, o)
 			broken := 0
 			for _, outcome := range outcomes {
-				if len(outcome.Broken) > 0 {
+				if len(outcome.FailedChecks) > 0 {
 					broken++
 				}
 			}
-			fmt.Fprintf(o.Out, "%d seeds played, %d broken\n", len(outcomes), broken)
+			fmt.Fprintf(o.Output, "%d seeds played, %d broken\n", len(outcomes), broken)
 			if err == nil && broken > 0 {
 				err = fmt.Errorf("%d of %d seeds broke a rule", broken, len(outcomes))
 			}
@@ -42,9 +42,9 @@
 		},
 	}
 	c.Flags().StringVar(&o.Binary, "binary", "", "the `program` to run; default: this one")
-	c.Flags().Uint64Var(&o.From, "from", 1, "first `seed`")
-	c.Flags().IntVar(&o.Seeds, "seeds", 50, "`number` of seeds to run")
-	c.Flags().IntVar(&o.AtOnce, "at-once", 1, "`number` of concurrent runs")
+	c.Flags().Uint64Var(&o.FirstSeed, "from", 1, "first `seed`")
+	c.Flags().IntVar(&o.SeedCount, "seeds", 50, "`number` of seeds to run")
+	c.Flags().IntVar(&o.Parallel, "at-once", 1, "`number` of concurrent runs")
 	c.Flags().StringVar(&o.Dir, "out", "", "`directory` for records and logs of runs that break a rule; default: none are kept")
 	c.Flags().BoolVar(&o.Reduce, "reduce", false, "reduce the schedule of a seed that breaks a rule to a minimal one that still breaks it")
 	return c
--- a/internal/fleet/endpoints/discovery_test.go
+++ b/internal/fleet/endpoints/discovery_test.go
@@ -13,7 +13,7 @@
 )
 
 // Two outages of discovery may cross: it answers again when both are over.
-func TestOutagesOfDiscoveryMayCross(t *testing.T) {
+func TestDiscoveryAnswersAfterOverlappingOutages(t *testing.T) {
 	s, err := scenario.Parse([]byte(`{"name":"outages","seconds":1,"sites":[{"name":"a","schedulers":1,"workers":1}],
 		"classes":[{"name":"view","share":1,"run_ms":20,"effect":"repeatable","aim_ms":200,"deadline_s":0.5,"worth":1,"late_worth":0.5}],
 		"clients":{"load":0.1}}`))
@@ -29,10 +29,10 @@
 		return err == nil
 	}
 	const patience, silence = 10 * time.Second, 50 * time.Millisecond
-	d.Down(true)
-	d.Down(true)
-	d.Down(false)
+	d.SetOutage(true)
+	d.SetOutage(true)
+	d.SetOutage(false)
 	assert.False(t, answers(silence), "one of them is still on")
-	d.Down(false)
+	d.SetOutage(false)
 	assert.True(t, answers(patience))
 }
--- a/internal/fleet/endpoints/port.go
+++ b/internal/fleet/endpoints/port.go
@@ -9,8 +9,8 @@
 // reservedPort is a port that stays its owner's while nothing listens there: the kernel gives it to nobody who asks for any,
 // and refuses connections to it. Its owner listens there with SO_REUSEADDR.
 type reservedPort struct {
-	at netip.AddrPort
-	fd int
+	address netip.AddrPort
+	fd      int
 }
 
 // reserve has the kernel choose a port of an IPv4 address.
@@ -24,7 +24,7 @@
 		unix.Close(fd)
 		return nil, err
 	}
-	return &reservedPort{at: bound, fd: fd}, nil
+	return &reservedPort{address: bound, fd: fd}, nil
 }
 
 func bind(fd int, host netip.Addr) (netip.AddrPort, error) {
--- a/internal/fleet/endpoints/port_test.go
+++ b/internal/fleet/endpoints/port_test.go
@@ -14,24 +14,24 @@
 )
 
 // A port stays its owner's while nothing listens there, is refused meanwhile, and can be listened at again.
-func TestAReservedPortIsNobodyElses(t *testing.T) {
+func TestReservedPortStaysReserved(t *testing.T) {
 	port, err := reserve(netip.MustParseAddr("127.0.0.1"))
 	require.NoError(t, err)
 	network := relay.New(1, [2]time.Duration{}, [2]time.Duration{}, 1)
 	for range 3 {
-		ln, err := network.Listen(relay.Path{Kind: relay.Job}, port.at)
+		ln, err := network.Listen(relay.Path{Kind: relay.Job}, port.address)
 		require.NoError(t, err)
 		require.NoError(t, ln.Close())
-		_, err = net.Dial("tcp", port.at.String())
+		_, err = net.Dial("tcp", port.address.String())
 		assert.ErrorIs(t, err, syscall.ECONNREFUSED)
-		assert.ErrorIs(t, bindAlone(t, port.at), syscall.EADDRINUSE)
+		assert.ErrorIs(t, bindWithoutReuse(t, port.address), syscall.EADDRINUSE)
 	}
 	port.release()
-	assert.NoError(t, bindAlone(t, port.at))
+	assert.NoError(t, bindWithoutReuse(t, port.address))
 }
 
 // bindAlone binds a port as whoever is given any does: not one that somebody else has bound.
-func bindAlone(t *testing.T, at netip.AddrPort) error {
+func bindWithoutReuse(t *testing.T, at netip.AddrPort) error {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	defer syscall.Close(fd)
--- a/internal/fleet/endpoints/recorder.go
+++ b/internal/fleet/endpoints/recorder.go
@@ -11,81 +11,81 @@
 
 // Recorder collects the records of a run. It may be used from any goroutine.
 type Recorder struct {
-	began time.Time
+	start time.Time
 	mu    sync.Mutex
 	rec   record.Records
-	open  map[string]record.Try // tries that a worker may meet, by id
+	tries map[string]record.Try // tries that a worker may meet, by id
 }
 
 // NewRecorder makes a recorder; Begin sets its clock.
-func NewRecorder() *Recorder { return &Recorder{began: time.Now(), open: map[string]record.Try{}} }
+func NewRecorder() *Recorder { return &Recorder{start: time.Now(), tries: map[string]record.Try{}} }
 
 // Begin sets the moment from which times count.
-func (r *Recorder) Begin(at time.Time) {
+func (r *Recorder) SetStart(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.began = at
+	r.start = at
 }
 
 // Now is the time since the beginning, in microseconds.
-func (r *Recorder) Now() int64 {
+func (r *Recorder) ElapsedUS() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Since(r.began).Microseconds()
+	return time.Since(r.start).Microseconds()
 }
 
 // At gives the time of a moment of the run.
-func (r *Recorder) At(us int64) time.Time {
+func (r *Recorder) TimeAt(us int64) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.began.Add(time.Duration(us) * time.Microsecond)
+	return r.start.Add(time.Duration(us) * time.Microsecond)
 }
 
 // Sent notes that a client sends a try; workers know it from now on.
-func (r *Recorder) Sent(t record.Try) {
+func (r *Recorder) TrySent(t record.Try) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.open[t.ID] = t
+	r.tries[t.ID] = t
 }
 
 // Ended notes how a try ended. Late attempts of it may still come to a worker.
-func (r *Recorder) Ended(t record.Try) {
+func (r *Recorder) TryEnded(t record.Try) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rec.Tries = append(r.rec.Tries, t)
 }
 
 // Find gives the try of an id.
-func (r *Recorder) Find(id string) (record.Try, bool) {
+func (r *Recorder) FindTry(id string) (record.Try, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t, ok := r.open[id]
+	t, ok := r.tries[id]
 	return t, ok
 }
 
 // Ran notes an attempt at a worker, when it is over.
-func (r *Recorder) Ran(run record.Run) {
+func (r *Recorder) AttemptEnded(run record.Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rec.Runs = append(r.rec.Runs, run)
+	r.rec.Attempts = append(r.rec.Attempts, run)
 }
 
 // Sample notes how full workers are.
-func (r *Recorder) Sample(s []record.Sample) {
+func (r *Recorder) AddSamples(s []record.Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rec.Samples = append(r.rec.Samples, s...)
 }
 
 // Told notes what a scheduler was told of a worker.
-func (r *Recorder) Told(t record.Told) {
+func (r *Recorder) AddListUpdate(t record.ListUpdate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rec.Told = append(r.rec.Told, t)
+	r.rec.ListUpdates = append(r.rec.ListUpdates, t)
 }
 
 // Event notes a fault or what a process did.
-func (r *Recorder) Event(e record.Event) {
+func (r *Recorder) AddEvent(e record.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rec.Events = append(r.rec.Events, e)
@@ -100,7 +100,7 @@
 }
 
 // Totals gives the answers so far, for a live line.
-func (r *Recorder) Totals() (served, refused, other int) {
+func (r *Recorder) AnswerCounts() (served, refused, other int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range r.rec.Tries {
--- a/internal/fleet/endpoints/worker.go
+++ b/internal/fleet/endpoints/worker.go
@@ -16,64 +16,64 @@
 // Worker is a table worker: slots, a queue served in the order of arrival, kept keys, and reports that are late. It
 // listens once for each site, so that the relay of each pair of sites stands before it.
 type Worker struct {
-	Number   int
-	Name     string
-	Site     int
-	Kind     int
-	set      *scenario.Workers
-	speed    float64
-	recorder *Recorder
-	net      *relay.Net
-	back     *Backs
-	ports    []*reservedPort // by site, from the first start on
-
-	mu      sync.Mutex
-	rng     *rand.Rand
-	gates   []*gate // by site; nil: it does not run
-	life    int     // grows with each start
-	up      bool
-	silent  bool
-	fallen  bool
-	started time.Time // zero: long ago
-	slow    float64   // running times are multiplied by it
-	failing bool
-	lying   bool
-	stuck   bool
-	running []*job
-	queue   []*job
-	keys    []int32 // kept, the last used last
-	pushed  []push  // work that came within the last while, for the cold budget
-	reports []report
-	nextAt  time.Time
-	Probes  atomic.Int64
-	conns   atomic.Int64
-	meanRun time.Duration
+	Number    int
+	Name      string
+	Site      int
+	Kind      int
+	cfg       *scenario.Workers
+	speed     float64
+	recorder  *Recorder
+	network   *relay.Network
+	callbacks *Callbacks
+	ports     []*reservedPort // by site, from the first start on
+
+	mu             sync.Mutex
+	rng            *rand.Rand
+	servers        []*workerServer // by site; nil: it does not run
+	generation     int             // grows with each start
+	isUp           bool
+	isSilent       bool
+	hasCollapsed   bool
+	started        time.Time // zero: long ago
+	slowdown       float64   // running times are multiplied by it
+	isFailing      bool
+	reportsIdle    bool
+	freezesReports bool
+	running        []*job
+	queue          []*job
+	cachedKeys     []int32   // kept, the last used last
+	recentWork     []arrival // work that came within the last while, for the cold budget
+	reports        []loadReport
+	nextReportAt   time.Time
+	ProbeCount     atomic.Int64
+	conns          atomic.Int64
+	meanRun        time.Duration
 }
 
 type job struct {
-	run     record.Run
-	try     record.Try
-	life    int
-	timer   *time.Timer
-	begun   chan struct{} // closed when the call that tells of the start is over
-	opening time.Duration // what its connection's opening cost
+	attempt       record.Attempt
+	try           record.Try
+	generation    int
+	timer         *time.Timer
+	startReported chan struct{} // closed when the call that tells of the start is over
+	connectTime   time.Duration // what its connection's opening cost
 }
 
-type push struct {
+type arrival struct {
 	at   time.Time
 	work time.Duration
 }
 
-type report struct {
-	at                    time.Time
+type loadReport struct {
+	visibleAt             time.Time
 	queue, inFlight, free int
 	latency               float64
 }
 
 // NewWorker makes a table worker; Start runs it.
-func NewWorker(number, site, kind int, s *scenario.Scenario, recorder *Recorder, net *relay.Net, back *Backs, seed uint64) *Worker {
-	return &Worker{Number: number, Name: fmt.Sprintf("t%03d", number), Site: site, Kind: kind, set: &s.Workers, speed: s.Workers.Kinds[kind].Speed,
-		recorder: recorder, net: net, back: back, slow: 1, rng: rand.New(rand.NewPCG(seed, uint64(number)+1)),
+func NewWorker(number, site, kind int, s *scenario.Scenario, recorder *Recorder, net *relay.Network, back *Callbacks, seed uint64) *Worker {
+	return &Worker{Number: number, Name: fmt.Sprintf("t%03d", number), Site: site, Kind: kind, cfg: &s.Workers, speed: s.Workers.Kinds[kind].Speed,
+		recorder: recorder, network: net, callbacks: back, slowdown: 1, rng: rand.New(rand.NewPCG(seed, uint64(number)+1)),
 		ports: make([]*reservedPort, len(s.Sites)), meanRun: time.Duration(s.MeanRunS() * float64(time.Second))}
 }
 
@@ -81,30 +81,30 @@
 func (w *Worker) Start(cold bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.gates = make([]*gate, len(w.ports))
+	w.servers = make([]*workerServer, len(w.ports))
 	for site := range w.ports {
-		g, err := w.open(site)
+		g, err := w.listen(site)
 		if err != nil {
 			return err
 		}
-		w.gates[site] = g
+		w.servers[site] = g
 	}
-	w.life++
-	w.up, w.silent, w.fallen = true, false, false
+	w.generation++
+	w.isUp, w.isSilent, w.hasCollapsed = true, false, false
 	w.started = time.Time{}
 	if cold {
 		w.started = time.Now()
 	}
-	w.keys, w.pushed, w.reports, w.nextAt = nil, nil, nil, time.Time{}
-	w.report(time.Now())
+	w.cachedKeys, w.recentWork, w.reports, w.nextReportAt = nil, nil, nil, time.Time{}
+	w.currentReport(time.Now())
 	return nil
 }
 
 // Address is where schedulers of a site find it.
-func (w *Worker) Address(site int) string { return w.ports[site].at.String() }
+func (w *Worker) Address(site int) string { return w.ports[site].address.String() }
 
 // Since is its last start as Unix time in milliseconds; 0: long ago.
-func (w *Worker) Since() int64 {
+func (w *Worker) StartedMS() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.started.IsZero() {
@@ -117,27 +117,27 @@
 // jobs that were lost.
 func (w *Worker) Stop(agent bool) {
 	w.mu.Lock()
-	if !w.up {
+	if !w.isUp {
 		w.mu.Unlock()
 		return
 	}
-	w.up = false
-	gates := w.gates
-	w.gates = nil
-	lost := w.drop(record.HowLost)
+	w.isUp = false
+	gates := w.servers
+	w.servers = nil
+	lost := w.dropAll(record.OutcomeLost)
 	w.mu.Unlock()
 	for _, g := range gates {
 		g.close()
 	}
 	if agent {
 		for _, j := range lost {
-			w.back.tell(w, j, "lost", "")
+			w.callbacks.send(w, j, "lost", "")
 		}
 	}
 }
 
 // Release gives the worker's ports back, when it is not started again.
-func (w *Worker) Release() {
+func (w *Worker) ReleasePorts() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, port := range w.ports {
@@ -151,80 +151,80 @@
 // come up.
 func (w *Worker) Silence(hung bool) {
 	w.mu.Lock()
-	gates := w.gates
-	w.silent = true
-	w.drop(record.HowLost)
+	gates := w.servers
+	w.isSilent = true
+	w.dropAll(record.OutcomeLost)
 	w.mu.Unlock()
 	for _, g := range gates {
-		g.listener.Silence(true, hung)
+		g.listener.SetSilent(true, hung)
 	}
 }
 
 // drop forgets all jobs.
-func (w *Worker) drop(how string) []*job {
+func (w *Worker) dropAll(how string) []*job {
 	all := append(append([]*job(nil), w.running...), w.queue...)
 	w.running, w.queue = nil, nil
 	for _, j := range all {
 		if j.timer != nil {
 			j.timer.Stop()
 		}
-		w.over(j, how)
+		w.recordEnd(j, how)
 	}
 	return all
 }
 
-func (w *Worker) over(j *job, how string) {
-	j.run.EndedUS, j.run.How = w.recorder.Now(), how
-	w.recorder.Ran(j.run)
+func (w *Worker) recordEnd(j *job, how string) {
+	j.attempt.EndedUS, j.attempt.Outcome = w.recorder.ElapsedUS(), how
+	w.recorder.AttemptEnded(j.attempt)
 }
 
 // Set changes how the worker behaves.
-func (w *Worker) Set(f func(*Behaviour)) {
+func (w *Worker) UpdateBehaviour(f func(*Behaviour)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	b := Behaviour{w.slow, w.failing, w.lying, w.stuck}
+	b := Behaviour{w.slowdown, w.isFailing, w.reportsIdle, w.freezesReports}
 	f(&b)
-	w.slow, w.failing, w.lying, w.stuck = b.Slow, b.Failing, b.Lying, b.Stuck
+	w.slowdown, w.isFailing, w.reportsIdle, w.freezesReports = b.Slowdown, b.IsFailing, b.ReportsIdle, b.FreezesReports
 }
 
 // Behaviour is what faults change at a worker that runs.
 type Behaviour struct {
-	Slow                  float64 // running times are multiplied by it
-	Failing, Lying, Stuck bool
+	Slowdown                               float64 // running times are multiplied by it
+	IsFailing, ReportsIdle, FreezesReports bool
 }
 
 // warmth is the part of its capacity that it has now.
-func (w *Worker) warmth(now time.Time) float64 {
-	if w.started.IsZero() || w.set.WarmS <= 0 {
+func (w *Worker) warmFraction(now time.Time) float64 {
+	if w.started.IsZero() || w.cfg.WarmS <= 0 {
 		return 1
 	}
-	return min(1, w.set.ColdFrom+(1-w.set.ColdFrom)*now.Sub(w.started).Seconds()/w.set.WarmS)
+	return min(1, w.cfg.ColdFrom+(1-w.cfg.ColdFrom)*now.Sub(w.started).Seconds()/w.cfg.WarmS)
 }
 
 // tips counts the work that comes to a cold worker, and tells whether it falls over: sent more than a multiple of what
 // it can do for a while, and what the operators' terms let pass for chance.
-func (w *Worker) tips(now time.Time, work time.Duration) bool {
-	warmth := w.warmth(now)
+func (w *Worker) isOverloadedBy(now time.Time, work time.Duration) bool {
+	warmth := w.warmFraction(now)
 	if warmth >= 1 {
-		w.pushed = w.pushed[:0]
+		w.recentWork = w.recentWork[:0]
 		return false
 	}
-	window := time.Duration(w.set.TipAfterS * float64(time.Second))
-	for len(w.pushed) > 0 && now.Sub(w.pushed[0].at) > window {
-		w.pushed = w.pushed[1:]
+	window := time.Duration(w.cfg.TipAfterS * float64(time.Second))
+	for len(w.recentWork) > 0 && now.Sub(w.recentWork[0].at) > window {
+		w.recentWork = w.recentWork[1:]
 	}
-	w.pushed = append(w.pushed, push{now, work})
+	w.recentWork = append(w.recentWork, arrival{now, work})
 	sum := time.Duration(0)
-	for _, p := range w.pushed {
+	for _, p := range w.recentWork {
 		sum += p.work
 	}
-	allowed := w.set.OverloadFactor * float64(w.set.Slots) * warmth * float64(window) / float64(w.meanRun)
-	return float64(sum)/float64(w.meanRun) > bearable(allowed)
+	allowed := w.cfg.OverloadFactor * float64(w.cfg.Slots) * warmth * float64(window) / float64(w.meanRun)
+	return float64(sum)/float64(w.meanRun) > maxColdRequests(allowed)
 }
 
 // bearable is how many requests of mean work a cold worker bears in its window where the settings allow so many: by the
 // operators' terms N + 2 x root of N + 2, and under 30 N + 3 x root of N + 3.
-func bearable(allowed float64) float64 {
+func maxColdRequests(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
 	}
@@ -232,87 +232,87 @@
 }
 
 // taken is what became of a job that came.
-type taken uint8
+type acceptResult uint8
 
 const (
-	took taken = iota
-	turnedAway
-	failedAtOnce
-	fell
+	accepted acceptResult = iota
+	queueFull
+	failed
+	collapsed
 )
 
 // take has a job join the queue.
-func (w *Worker) take(t record.Try, opening time.Duration, leftMS int64) taken {
+func (w *Worker) accept(t record.Try, opening time.Duration, leftMS int64) acceptResult {
 	now := time.Now()
-	run := record.Run{ID: t.ID, Worker: int32(w.Number), Scheduler: t.Scheduler, ArrivedUS: w.recorder.Now(), LeftMS: leftMS}
+	run := record.Attempt{ID: t.ID, Worker: int32(w.Number), Scheduler: t.Scheduler, ArrivedUS: w.recorder.ElapsedUS(), TimeLeftMS: leftMS}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	run.WaitingAt = int32(len(w.queue))
-	j := &job{run: run, try: t, life: w.life, begun: make(chan struct{}), opening: opening}
+	run.QueueLength = int32(len(w.queue))
+	j := &job{attempt: run, try: t, generation: w.generation, startReported: make(chan struct{}), connectTime: opening}
 	work := time.Duration(float64(t.RunUS) * 1000 / w.speed)
 	switch {
-	case !w.up || w.silent:
-		w.over(j, record.HowLost)
-		return fell
-	case w.tips(now, work):
-		w.fallen = true
-		w.over(j, record.HowLost)
-		w.recorder.Event(record.Event{AtUS: run.ArrivedUS, What: "fell", Text: w.Name, Scheduler: -1, Worker: int32(w.Number)})
+	case !w.isUp || w.isSilent:
+		w.recordEnd(j, record.OutcomeLost)
+		return collapsed
+	case w.isOverloadedBy(now, work):
+		w.hasCollapsed = true
+		w.recordEnd(j, record.OutcomeLost)
+		w.recorder.AddEvent(record.Event{AtUS: run.ArrivedUS, Kind: "fell", Text: w.Name, Scheduler: -1, Worker: int32(w.Number)})
 		go w.Stop(true)
-		return fell
-	case w.failing:
-		w.over(j, record.HowFailed)
-		return failedAtOnce
-	case len(w.queue) >= w.set.Queue:
-		w.over(j, record.HowFull)
-		return turnedAway
+		return collapsed
+	case w.isFailing:
+		w.recordEnd(j, record.OutcomeFailed)
+		return failed
+	case len(w.queue) >= w.cfg.Queue:
+		w.recordEnd(j, record.OutcomeQueueFull)
+		return queueFull
 	}
 	w.queue = append(w.queue, j)
-	w.next(now)
-	return took
+	w.startWaiting(now)
+	return accepted
 }
 
 // next starts what fits.
-func (w *Worker) next(now time.Time) {
-	for len(w.queue) > 0 && len(w.running) < w.set.Slots {
+func (w *Worker) startWaiting(now time.Time) {
+	for len(w.queue) > 0 && len(w.running) < w.cfg.Slots {
 		j := w.queue[0]
 		w.queue = w.queue[1:]
 		w.running = append(w.running, j)
-		takes := time.Duration(float64(j.try.RunUS) * 1000 * w.slow / w.speed / w.warmth(now))
-		if w.fetch(j.try.Key) {
-			j.run.Fetched = true
-			takes += time.Duration(w.set.FetchMS * float64(time.Millisecond))
+		takes := time.Duration(float64(j.try.RunUS) * 1000 * w.slowdown / w.speed / w.warmFraction(now))
+		if w.fetchKey(j.try.Key) {
+			j.attempt.FetchedKey = true
+			takes += time.Duration(w.cfg.FetchMS * float64(time.Millisecond))
 		}
-		takes += j.opening
-		j.run.StartedUS = w.recorder.Now()
+		takes += j.connectTime
+		j.attempt.StartedUS = w.recorder.ElapsedUS()
 		j.timer = time.AfterFunc(takes, func() { w.finish(j) })
 		go func() {
-			w.back.tell(w, j, "started", "")
-			close(j.begun)
+			w.callbacks.send(w, j, "started", "")
+			close(j.startReported)
 		}()
 	}
 }
 
 // fetch tells whether a key has to be brought, and keeps it.
-func (w *Worker) fetch(key int32) bool {
-	if w.set.KeptKeys == 0 {
+func (w *Worker) fetchKey(key int32) bool {
+	if w.cfg.KeptKeys == 0 {
 		return false
 	}
-	for i, k := range w.keys {
+	for i, k := range w.cachedKeys {
 		if k == key {
-			w.keys = append(append(w.keys[:i:i], w.keys[i+1:]...), key)
+			w.cachedKeys = append(append(w.cachedKeys[:i:i], w.cachedKeys[i+1:]...), key)
 			return false
 		}
 	}
-	if w.keys = append(w.keys, key); len(w.keys) > w.set.KeptKeys {
-		w.keys = w.keys[1:]
+	if w.cachedKeys = append(w.cachedKeys, key); len(w.cachedKeys) > w.cfg.KeptKeys {
+		w.cachedKeys = w.cachedKeys[1:]
 	}
 	return true
 }
 
 func (w *Worker) finish(j *job) {
 	w.mu.Lock()
-	if j.life != w.life || !w.up || w.silent {
+	if j.generation != w.generation || !w.isUp || w.isSilent {
 		w.mu.Unlock()
 		return
 	}
@@ -322,47 +322,47 @@
 			break
 		}
 	}
-	w.over(j, record.HowDone)
-	w.next(time.Now())
+	w.recordEnd(j, record.OutcomeDone)
+	w.startWaiting(time.Now())
 	w.mu.Unlock()
-	<-j.begun
-	w.back.tell(w, j, "done", Result(j.try.ID, w.Name))
+	<-j.startReported
+	w.callbacks.send(w, j, "done", Result(j.try.ID, w.Name))
 }
 
 // Result is the answer that a worker gives for a job.
 func Result(id, worker string) string { return id + " by " + worker }
 
 // withdraw gives a waiting job up; one that runs goes on.
-func (w *Worker) withdraw(id string) {
+func (w *Worker) cancelWaiting(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, j := range w.queue {
-		if j.run.ID == id {
+		if j.attempt.ID == id {
 			w.queue = append(w.queue[:i], w.queue[i+1:]...)
-			w.over(j, record.HowWithdrawn)
+			w.recordEnd(j, record.OutcomeCancelled)
 			return
 		}
 	}
 }
 
 // report makes new figures when it is time, and gives those that can be seen now.
-func (w *Worker) report(now time.Time) report {
-	if now.After(w.nextAt) && !(w.stuck && len(w.reports) > 0) {
+func (w *Worker) currentReport(now time.Time) loadReport {
+	if now.After(w.nextReportAt) && !(w.freezesReports && len(w.reports) > 0) {
 		noisy := func(n int) int {
-			return max(0, int(float64(n)*(1+w.set.Noise*(2*w.rng.Float64()-1))+0.5))
+			return max(0, int(float64(n)*(1+w.cfg.Noise*(2*w.rng.Float64()-1))+0.5))
 		}
-		r := report{at: now.Add(time.Duration(w.set.ReportDelayS.Draw(w.rng) * float64(time.Second))), queue: noisy(len(w.queue)),
-			inFlight: noisy(len(w.queue) + len(w.running)), free: w.set.Slots - len(w.running), latency: w.meanRun.Seconds() * 1000 * w.slow / w.speed}
-		if w.lying {
-			r.queue, r.inFlight, r.free, r.latency = 0, 0, w.set.Slots, 1
+		r := loadReport{visibleAt: now.Add(time.Duration(w.cfg.ReportDelayS.Draw(w.rng) * float64(time.Second))), queue: noisy(len(w.queue)),
+			inFlight: noisy(len(w.queue) + len(w.running)), free: w.cfg.Slots - len(w.running), latency: w.meanRun.Seconds() * 1000 * w.slowdown / w.speed}
+		if w.reportsIdle {
+			r.queue, r.inFlight, r.free, r.latency = 0, 0, w.cfg.Slots, 1
 		}
 		if len(w.reports) == 0 {
-			r.at = now // the first one is seen at once: there is no older
+			r.visibleAt = now // the first one is seen at once: there is no older
 		}
 		w.reports = append(w.reports, r)
-		w.nextAt = now.Add(time.Duration(w.set.ReportS.Draw(w.rng) * float64(time.Second)))
+		w.nextReportAt = now.Add(time.Duration(w.cfg.ReportS.Draw(w.rng) * float64(time.Second)))
 	}
-	for len(w.reports) > 1 && !w.reports[1].at.After(now) {
+	for len(w.reports) > 1 && !w.reports[1].visibleAt.After(now) {
 		w.reports = w.reports[1:]
 	}
 	return w.reports[0]
@@ -374,23 +374,23 @@
 	defer w.mu.Unlock()
 	now := time.Now()
 	s := record.Sample{AtUS: atUS, Worker: int32(w.Number), Running: float32(len(w.running)), Waiting: int32(len(w.queue))}
-	if w.up && !w.silent {
-		w.report(now)
-		s.Room = float32(float64(w.set.Slots) * w.warmth(now))
+	if w.isUp && !w.isSilent {
+		w.currentReport(now)
+		s.UsableSlots = float32(float64(w.cfg.Slots) * w.warmFraction(now))
 	}
 	return s
 }
 
 // Fallen tells whether it was pushed over.
-func (w *Worker) Fallen() bool {
+func (w *Worker) HasCollapsed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.fallen
+	return w.hasCollapsed
 }
 
 // End notes the jobs that are still there when the run ends.
-func (w *Worker) End() {
+func (w *Worker) RecordOpenJobs() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.drop(record.HowOpen)
+	w.dropAll(record.OutcomeOpen)
 }
--- a/internal/fleet/endpoints/worker_test.go
+++ b/internal/fleet/endpoints/worker_test.go
@@ -7,8 +7,8 @@
 )
 
 // The operators' terms, at some budgets.
-func TestWhatAColdWorkerBears(t *testing.T) {
+func TestMaxColdRequests(t *testing.T) {
 	for allowed, most := range map[float64]float64{4: 13, 16: 31, 25: 43, 36: 50, 100: 122} {
-		assert.InDelta(t, most, bearable(allowed), 1e-9, "%v allowed", allowed)
+		assert.InDelta(t, most, maxColdRequests(allowed), 1e-9, "%v allowed", allowed)
 	}
 }
--- a/internal/fleet/experiment/experiment.go
+++ b/internal/fleet/experiment/experiment.go
@@ -20,17 +20,17 @@
 
 // Options of a run.
 type Options struct {
-	Binary string
-	Old    string
-	Arms   []string // NAME=FILE
-	Seed   uint64
-	Seeds  int
-	Dir    string
-	Quiet  bool
+	Binary    string
+	OldBinary string
+	Arms      []string // NAME=FILE
+	Seed      uint64
+	SeedCount int
+	Dir       string
+	Quiet     bool
 }
 
 // played is what one build made of one seed.
-type played struct {
+type playedRun struct {
 	build    string
 	seed     uint64
 	analysis *judge.Analysis
@@ -44,7 +44,7 @@
 	if err != nil {
 		return 0, err
 	}
-	builds, err := builds(o)
+	builds, err := listBuilds(o)
 	if err != nil {
 		return 0, err
 	}
@@ -59,7 +59,7 @@
 		return 0, err
 	}
 	if o.Dir != "" {
-		if _, err := Report(o.Dir); err != nil {
+		if _, err := WriteReport(o.Dir); err != nil {
 			return 0, err
 		}
 	}
@@ -67,13 +67,13 @@
 	for _, b := range builds {
 		names = append(names, b.Name)
 	}
-	Table(out, s, names, all)
-	return reportChecks(out, all), nil
+	WriteTable(out, s, names, all)
+	return writeChecks(out, all), nil
 }
 
 // playAll plays a scenario with each seed and build, and judges each run.
-func playAll(ctx context.Context, s *scenario.Scenario, builds []fleet.Build, o Options, live io.Writer) (all []played, err error) {
-	for i := range max(1, o.Seeds) {
+func playAll(ctx context.Context, s *scenario.Scenario, builds []fleet.Build, o Options, live io.Writer) (all []playedRun, err error) {
+	for i := range max(1, o.SeedCount) {
 		for _, b := range builds {
 			p, err := playOne(ctx, s, b, o, o.Seed+uint64(i), live)
 			if err != nil {
@@ -86,12 +86,12 @@
 }
 
 // playOne plays a scenario with one seed and build, keeps its records where o.Dir names a folder, and judges it.
-func playOne(ctx context.Context, s *scenario.Scenario, b fleet.Build, o Options, seed uint64, live io.Writer) (p played, err error) {
+func playOne(ctx context.Context, s *scenario.Scenario, b fleet.Build, o Options, seed uint64, live io.Writer) (p playedRun, err error) {
 	dir := ""
 	if o.Dir != "" {
 		dir = filepath.Join(o.Dir, fmt.Sprintf("%s-%s-%d", s.Name, b.Name, seed))
 	}
-	rec, err := fleet.Play(ctx, s, b, fleet.Options{Seed: seed, Live: live, Dir: dir})
+	rec, err := fleet.Play(ctx, s, b, fleet.Options{Seed: seed, Progress: live, LogDir: dir})
 	if err != nil {
 		return p, fmt.Errorf("%s, seed %d: %w", b.Name, seed, err)
 	}
@@ -100,25 +100,25 @@
 			return p, err
 		}
 	}
-	checks, analysis, err := judge.Judge(rec)
+	checks, analysis, err := judge.Evaluate(rec)
 	if err != nil {
 		return p, err
 	}
-	return played{build: b.Name, seed: seed, analysis: analysis, rec: rec, checks: checks}, nil
+	return playedRun{build: b.Name, seed: seed, analysis: analysis, rec: rec, checks: checks}, nil
 }
 
 // reportChecks writes the checks that failed and a total. It gives how many failed, of builds that are not the old one.
-func reportChecks(out io.Writer, all []played) (failed int) {
+func writeChecks(out io.Writer, all []playedRun) (failed int) {
 	passed := 0
 	for _, p := range all {
 		for _, c := range p.checks {
 			switch {
 			case c.Passed:
-				if p.build != oldName {
+				if p.build != oldBuildName {
 					passed++
 				}
 				continue
-			case p.build != oldName:
+			case p.build != oldBuildName:
 				failed++
 			}
 			fmt.Fprintf(out, "failed: %s, seed %d: %s: %s\n", p.build, p.seed, c.Name, c.Text)
@@ -128,16 +128,16 @@
 	return failed
 }
 
-const oldName = "old"
+const oldBuildName = "old"
 
 // builds gives what is played on each seed.
-func builds(o Options) (list []fleet.Build, err error) {
+func listBuilds(o Options) (list []fleet.Build, err error) {
 	if o.Binary == "" {
 		if o.Binary, err = os.Executable(); err != nil {
 			return nil, err
 		}
 	}
-	for _, path := range []*string{&o.Binary, &o.Old} {
+	for _, path := range []*string{&o.Binary, &o.OldBinary} {
 		if *path == "" {
 			continue
 		}
@@ -149,8 +149,8 @@
 		}
 	}
 	list = append(list, fleet.Build{Name: "new", Binary: o.Binary})
-	if o.Old != "" {
-		list = append(list, fleet.Build{Name: oldName, Binary: o.Old, Plain: true})
+	if o.OldBinary != "" {
+		list = append(list, fleet.Build{Name: oldBuildName, Binary: o.OldBinary, SkipsOverrides: true})
 	}
 	for _, arm := range o.Arms {
 		name, path, ok := strings.Cut(arm, "=")
@@ -162,7 +162,7 @@
 			return nil, err
 		}
 		b := fleet.Build{Name: name, Binary: o.Binary, Arm: name}
-		if err := json.Unmarshal(text, &b.Own); err != nil {
+		if err := json.Unmarshal(text, &b.ConfigOverrides); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 		list = append(list, b)
@@ -171,7 +171,7 @@
 }
 
 // Table writes the figures of each window, medians over the seeds, a build a row.
-func Table(out io.Writer, s *scenario.Scenario, builds []string, all []played) {
+func WriteTable(out io.Writer, s *scenario.Scenario, builds []string, all []playedRun) {
 	windows := append(slices.Clone(s.Windows), scenario.Window{Name: "all", FromS: 0, ToS: s.Seconds})
 	fmt.Fprintf(out, "\n%s: %s\n", s.Name, s.About)
 	fmt.Fprintf(out, "\n| window | build | requests | worth | of bound | served | refused | failed | attempts | idle beside waiting | wait mean, p99 (s) | longest queue | herd | left out | inverted |")
@@ -185,9 +185,9 @@
 			classes := make([][]float64, len(s.Classes))
 			for _, p := range all {
 				if p.build == b {
-					list = append(list, p.analysis.Window(w, -1, -1))
+					list = append(list, p.analysis.WindowFigures(w, -1, -1))
 					for i := range s.Classes {
-						classes[i] = append(classes[i], p.analysis.Answers(w, i, -1).Worth)
+						classes[i] = append(classes[i], p.analysis.ClientFigures(w, i, -1).Worth)
 					}
 				}
 			}
@@ -205,7 +205,7 @@
 				m(func(f judge.Figures) float64 { return f.Attempts }), m(func(f judge.Figures) float64 { return f.IdleBesideWaiting }),
 				m(func(f judge.Figures) float64 { return f.WaitMeanS }), m(func(f judge.Figures) float64 { return f.WaitP99S }),
 				m(func(f judge.Figures) float64 { return f.QueueLong }), m(func(f judge.Figures) float64 { return f.Herd }),
-				m(func(f judge.Figures) float64 { return float64(f.LeftOut) }), m(func(f judge.Figures) float64 { return f.Inverted }))
+				m(func(f judge.Figures) float64 { return float64(f.StarvedWorkers) }), m(func(f judge.Figures) float64 { return f.InvertedShare }))
 			for i := range classes {
 				fmt.Fprintf(out, " %.3f |", median(classes[i]))
 			}
@@ -217,7 +217,7 @@
 		for _, p := range all {
 			if p.build == b {
 				a := p.rec.About
-				fmt.Fprintf(out, "%s, seed %d: jobs sent %d on %d new connections, probes %d, messages %d\n", b, p.seed, len(p.rec.Runs), a.Passed["job"].Opened, a.Probes, a.Messages)
+				fmt.Fprintf(out, "%s, seed %d: jobs sent %d on %d new connections, probes %d, messages %d\n", b, p.seed, len(p.rec.Attempts), a.Paths["job"].Opened, a.Probes, a.Messages)
 			}
 		}
 	}
--- a/internal/fleet/experiment/report.go
+++ b/internal/fleet/experiment/report.go
@@ -10,7 +10,7 @@
 )
 
 // Report makes report.html of the records in a directory, or in the directories below it, and gives its path.
-func Report(dir string) (string, error) {
+func WriteReport(dir string) (string, error) {
 	dirs, err := filepath.Glob(filepath.Join(dir, "*", "about.json"))
 	if err != nil {
 		return "", err
--- a/internal/fleet/faults.go
+++ b/internal/fleet/faults.go
@@ -15,20 +15,20 @@
 )
 
 // turn is a fault's begin or end, at a time.
-type turn struct {
-	at   float64
-	what string
-	ends bool
-	run  func()
+type faultEvent struct {
+	atS   float64
+	kind  string
+	isEnd bool
+	run   func()
 }
 
 // faults gives the turns of a scenario's faults, drawn from its seed, in the order written.
-func (r *rig) faults(ctx context.Context) (turns []turn) {
+func (r *harness) faultEvents(ctx context.Context) (turns []faultEvent) {
 	rng := rand.New(rand.NewPCG(r.seed, 0x6661756c74))
-	for i := range r.set.Faults {
-		f := &r.set.Faults[i]
+	for i := range r.scenario.Faults {
+		f := &r.scenario.Faults[i]
 		for at := f.AtS; ; at += f.Every {
-			turns = append(turns, r.fault(ctx, f, at, rng)...)
+			turns = append(turns, r.faultEventsAt(ctx, f, at, rng)...)
 			if f.Every <= 0 || at+f.Every >= f.Until {
 				break
 			}
@@ -39,169 +39,169 @@
 
 // injection collects the turns of one fault.
 type injection struct {
-	rig      *rig
+	harness  *harness
 	fault    *scenario.Fault
-	at       float64 // seconds
+	atS      float64 // seconds
 	rng      *rand.Rand
 	site, to int // -1: all
 	kinds    []relay.Kind
-	turns    []turn
+	events   []faultEvent
 }
 
 // fault gives the turns of a fault that begins at a second of the run.
-func (r *rig) fault(ctx context.Context, f *scenario.Fault, at float64, rng *rand.Rand) []turn {
-	in := &injection{rig: r, fault: f, at: at, rng: rng, site: r.set.Site(f.Site), to: r.set.Site(f.To)}
+func (r *harness) faultEventsAt(ctx context.Context, f *scenario.Fault, at float64, rng *rand.Rand) []faultEvent {
+	in := &injection{harness: r, fault: f, atS: at, rng: rng, site: r.scenario.SiteIndex(f.Site), to: r.scenario.SiteIndex(f.To)}
 	for _, p := range f.Paths {
-		in.kinds = append(in.kinds, relay.KindOf(p))
+		in.kinds = append(in.kinds, relay.ParseKind(p))
 	}
-	in.onWorkers()
-	in.onSchedulers(ctx)
-	in.onProcesses(ctx)
-	in.onOperators(ctx)
-	in.onPaths()
-	in.onDiscovery()
-	return in.turns
+	in.addWorkerFaults()
+	in.addSchedulerFaults(ctx)
+	in.addProcessFaults(ctx)
+	in.addOperatorCalls(ctx)
+	in.addNetworkFaults()
+	in.addDiscoveryFaults()
+	return in.events
 }
 
 // begin has something happen some seconds after the fault's beginning.
-func (in *injection) begin(later float64, run func()) {
-	in.turns = append(in.turns, turn{in.at + later, in.fault.What, false, run})
+func (in *injection) atStart(later float64, run func()) {
+	in.events = append(in.events, faultEvent{in.atS + later, in.fault.What, false, run})
 }
 
 // end has something happen some seconds after the fault's end, if it has one.
-func (in *injection) end(later float64, run func()) {
+func (in *injection) atEnd(later float64, run func()) {
 	if in.fault.ForS > 0 {
-		in.turns = append(in.turns, turn{in.at + in.fault.ForS + later, in.fault.What, true, run})
+		in.events = append(in.events, faultEvent{in.atS + in.fault.ForS + later, in.fault.What, true, run})
 	}
 }
 
 // workers draws the workers that the fault meets.
-func (in *injection) workers() []*endpoints.Worker {
-	return share(in.rig.workers, in.fault, in.rng, func(w *endpoints.Worker) bool { return in.site < 0 || w.Site == in.site })
+func (in *injection) drawWorkers() []*endpoints.Worker {
+	return drawTargets(in.harness.workers, in.fault, in.rng, func(w *endpoints.Worker) bool { return in.site < 0 || w.Site == in.site })
 }
 
 // schedulers draws the schedulers that the fault meets.
-func (in *injection) schedulers() []*scheduler {
-	return share(in.rig.schedulers, in.fault, in.rng, func(s *scheduler) bool { return in.site < 0 || s.site == in.site })
+func (in *injection) drawSchedulers() []*scheduler {
+	return drawTargets(in.harness.schedulers, in.fault, in.rng, func(s *scheduler) bool { return in.site < 0 || s.site == in.site })
 }
 
 // set changes the behaviour of the workers that the fault meets, and changes it back.
-func (in *injection) set(on, off func(*endpoints.Behaviour)) {
-	some := in.workers()
-	in.begin(0, func() { each(some, func(w *endpoints.Worker) { w.Set(on) }) })
-	in.end(0, func() { each(some, func(w *endpoints.Worker) { w.Set(off) }) })
+func (in *injection) changeWorkers(on, off func(*endpoints.Behaviour)) {
+	some := in.drawWorkers()
+	in.atStart(0, func() { each(some, func(w *endpoints.Worker) { w.UpdateBehaviour(on) }) })
+	in.atEnd(0, func() { each(some, func(w *endpoints.Worker) { w.UpdateBehaviour(off) }) })
 }
 
 // path changes the paths that the fault meets, and changes them back.
-func (in *injection) path(on, off func(*relay.Trouble)) {
-	in.begin(0, func() { in.rig.net.Change(in.kinds, in.site, in.to, !in.fault.OneWay, on) })
-	in.end(0, func() { in.rig.net.Change(in.kinds, in.site, in.to, !in.fault.OneWay, off) })
+func (in *injection) changePaths(on, off func(*relay.Impairment)) {
+	in.atStart(0, func() { in.harness.network.UpdateImpairments(in.kinds, in.site, in.to, !in.fault.OneWay, on) })
+	in.atEnd(0, func() { in.harness.network.UpdateImpairments(in.kinds, in.site, in.to, !in.fault.OneWay, off) })
 }
 
 // onWorkers adds the faults of workers alone.
-func (in *injection) onWorkers() {
-	f, r := in.fault, in.rig
+func (in *injection) addWorkerFaults() {
+	f, r := in.fault, in.harness
 	switch f.What {
 	case "silence-workers", "crash-workers":
-		ws := in.workers()
-		in.begin(0, func() { r.loseWorkers(ws, f.What == "silence-workers", f.Hung) })
-		in.end(0, func() { r.returnWorkers(ws, f.Back) })
+		ws := in.drawWorkers()
+		in.atStart(0, func() { r.loseWorkers(ws, f.What == "silence-workers", f.Hung) })
+		in.atEnd(0, func() { r.returnWorkers(ws, f.Back) })
 	case "drain-workers":
-		ws := in.workers()
-		in.begin(0, func() {
-			each(ws, func(w *endpoints.Worker) { r.discovery.Change(w, "draining", r.set.Discovery.AddS) })
+		ws := in.drawWorkers()
+		in.atStart(0, func() {
+			each(ws, func(w *endpoints.Worker) { r.discovery.Announce(w, "draining", r.scenario.Discovery.AddS) })
 		})
-		in.end(0, func() {
+		in.atEnd(0, func() {
 			each(ws, func(w *endpoints.Worker) { w.Stop(true) })
 			r.returnWorkers(ws, f.Back)
 		})
 	case "slow-workers":
-		in.set(func(b *endpoints.Behaviour) { b.Slow = f.Factor }, func(b *endpoints.Behaviour) { b.Slow = 1 })
+		in.changeWorkers(func(b *endpoints.Behaviour) { b.Slowdown = f.Factor }, func(b *endpoints.Behaviour) { b.Slowdown = 1 })
 	case "failing-workers":
-		in.set(func(b *endpoints.Behaviour) { b.Failing = true }, func(b *endpoints.Behaviour) { b.Failing = false })
+		in.changeWorkers(func(b *endpoints.Behaviour) { b.IsFailing = true }, func(b *endpoints.Behaviour) { b.IsFailing = false })
 	case "lying-workers":
-		in.set(func(b *endpoints.Behaviour) { b.Lying = true }, func(b *endpoints.Behaviour) { b.Lying = false })
+		in.changeWorkers(func(b *endpoints.Behaviour) { b.ReportsIdle = true }, func(b *endpoints.Behaviour) { b.ReportsIdle = false })
 	case "stuck-reports":
-		in.set(func(b *endpoints.Behaviour) { b.Stuck = true }, func(b *endpoints.Behaviour) { b.Stuck = false })
+		in.changeWorkers(func(b *endpoints.Behaviour) { b.FreezesReports = true }, func(b *endpoints.Behaviour) { b.FreezesReports = false })
 	}
 }
 
 // onSchedulers adds the faults of schedulers, and those of a whole site.
-func (in *injection) onSchedulers(ctx context.Context) {
-	f, r := in.fault, in.rig
+func (in *injection) addSchedulerFaults(ctx context.Context) {
+	f, r := in.fault, in.harness
 	switch f.What {
 	case "lose-site":
-		ws, ss := in.workers(), in.schedulers()
-		in.begin(0, func() { r.loseWorkers(ws, true, f.Hung); r.kill(ss, syscall.SIGKILL) })
-		in.end(max(0, -f.LaterS), func() { r.returnWorkers(ws, f.Back) })
-		in.end(max(0, f.LaterS), func() { r.restart(ctx, ss) })
+		ws, ss := in.drawWorkers(), in.drawSchedulers()
+		in.atStart(0, func() { r.loseWorkers(ws, true, f.Hung); r.signalSchedulers(ss, syscall.SIGKILL) })
+		in.atEnd(max(0, -f.LaterS), func() { r.returnWorkers(ws, f.Back) })
+		in.atEnd(max(0, f.LaterS), func() { r.restartSchedulers(ctx, ss) })
 	case "kill-schedulers":
-		ss := in.schedulers()
-		in.begin(0, func() { r.kill(ss, syscall.SIGKILL) })
-		in.end(0, func() { r.restart(ctx, ss) })
+		ss := in.drawSchedulers()
+		in.atStart(0, func() { r.signalSchedulers(ss, syscall.SIGKILL) })
+		in.atEnd(0, func() { r.restartSchedulers(ctx, ss) })
 	case "term-schedulers":
-		ss := in.schedulers()
-		in.begin(0, func() { r.kill(ss, syscall.SIGTERM) })
-		in.end(0, func() { r.restart(ctx, ss) })
+		ss := in.drawSchedulers()
+		in.atStart(0, func() { r.signalSchedulers(ss, syscall.SIGTERM) })
+		in.atEnd(0, func() { r.restartSchedulers(ctx, ss) })
 	case "release-schedulers":
-		for i, s := range in.schedulers() {
-			in.begin(float64(i)*f.StepS, func() {
+		for i, s := range in.drawSchedulers() {
+			in.atStart(float64(i)*f.StepS, func() {
 				p := s.latest()
-				r.kill([]*scheduler{s}, syscall.SIGTERM)
+				r.signalSchedulers([]*scheduler{s}, syscall.SIGTERM)
 				if p != nil {
-					<-p.ended
+					<-p.exited
 				}
-				r.restart(ctx, []*scheduler{s})
+				r.restartSchedulers(ctx, []*scheduler{s})
 			})
 		}
 	case "stop-schedulers":
-		ss := in.schedulers()
-		in.begin(0, func() {
+		ss := in.drawSchedulers()
+		in.atStart(0, func() {
 			each(ss, func(s *scheduler) {
 				s.signal(syscall.SIGSTOP)
-				r.note(record.Event{What: "stopped", Text: s.name(), Scheduler: int32(s.number), Worker: -1})
-				r.gone(s)
+				r.addEvent(record.Event{Kind: "stopped", Text: s.name(), Scheduler: int32(s.index), Worker: -1})
+				r.markDownLater(s)
 			})
 		})
-		in.end(0, func() {
+		in.atEnd(0, func() {
 			each(ss, func(s *scheduler) {
 				s.signal(syscall.SIGCONT)
-				r.note(record.Event{What: "continued", Text: s.name(), Scheduler: int32(s.number), Worker: -1})
-				r.front.set(s.number, s.live())
+				r.addEvent(record.Event{Kind: "continued", Text: s.name(), Scheduler: int32(s.index), Worker: -1})
+				r.balancer.setUp(s.index, s.isLive())
 			})
 		})
 	}
 }
 
 // onPaths adds the faults of the network.
-func (in *injection) onPaths() {
-	f, r := in.fault, in.rig
+func (in *injection) addNetworkFaults() {
+	f, r := in.fault, in.harness
 	switch f.What {
 	case "cut":
-		in.path(func(t *relay.Trouble) { t.Cut++ }, func(t *relay.Trouble) { t.Cut-- })
+		in.changePaths(func(t *relay.Impairment) { t.Cuts++ }, func(t *relay.Impairment) { t.Cuts-- })
 	case "delay":
 		by := time.Duration(f.MS * float64(time.Millisecond))
-		in.path(func(t *relay.Trouble) { t.Delay += by }, func(t *relay.Trouble) { t.Delay -= by })
+		in.changePaths(func(t *relay.Impairment) { t.Delay += by }, func(t *relay.Impairment) { t.Delay -= by })
 	case "lossy":
-		in.path(func(t *relay.Trouble) { t.Lost += f.Share }, func(t *relay.Trouble) { t.Lost -= f.Share })
+		in.changePaths(func(t *relay.Impairment) { t.LossRate += f.Share }, func(t *relay.Impairment) { t.LossRate -= f.Share })
 	case "trickle":
-		in.path(func(t *relay.Trouble) { t.Trickle++ }, func(t *relay.Trouble) { t.Trickle-- })
+		in.changePaths(func(t *relay.Impairment) { t.Throttles++ }, func(t *relay.Impairment) { t.Throttles-- })
 	case "reset":
-		in.begin(0, func() { r.net.Reset(in.kinds, in.site, in.to, f.Share) })
+		in.atStart(0, func() { r.network.ResetConns(in.kinds, in.site, in.to, f.Share) })
 	}
 }
 
 // onDiscovery adds the faults of discovery.
-func (in *injection) onDiscovery() {
-	r := in.rig
+func (in *injection) addDiscoveryFaults() {
+	r := in.harness
 	switch in.fault.What {
 	case "freeze-list":
-		ss := in.schedulers()
-		in.begin(0, func() { each(ss, func(s *scheduler) { r.discovery.Freeze(s.number, true) }) })
-		in.end(0, func() { each(ss, func(s *scheduler) { r.discovery.Freeze(s.number, false) }) })
+		ss := in.drawSchedulers()
+		in.atStart(0, func() { each(ss, func(s *scheduler) { r.discovery.SetFrozen(s.index, true) }) })
+		in.atEnd(0, func() { each(ss, func(s *scheduler) { r.discovery.SetFrozen(s.index, false) }) })
 	case "silence-discovery":
-		in.begin(0, func() { r.discovery.Down(true) })
-		in.end(0, func() { r.discovery.Down(false) })
+		in.atStart(0, func() { r.discovery.SetOutage(true) })
+		in.atEnd(0, func() { r.discovery.SetOutage(false) })
 	}
 }
 
@@ -212,7 +212,7 @@
 }
 
 // share draws those that a fault meets.
-func share[T any](all []T, f *scenario.Fault, rng *rand.Rand, may func(T) bool) (some []T) {
+func drawTargets[T any](all []T, f *scenario.Fault, rng *rand.Rand, may func(T) bool) (some []T) {
 	for _, x := range all {
 		if may(x) {
 			some = append(some, x)
@@ -230,78 +230,78 @@
 }
 
 // loseWorkers has machines vanish, or their processes die. Of a silent one discovery tells later, or never.
-func (r *rig) loseWorkers(ws []*endpoints.Worker, silent, hung bool) {
+func (r *harness) loseWorkers(ws []*endpoints.Worker, silent, hung bool) {
 	var all sync.WaitGroup // at once: to fall silent takes some milliseconds
 	for _, w := range ws {
 		if silent {
 			all.Go(func() { w.Silence(hung) })
-			r.discovery.Change(w, "removed", r.set.Discovery.SilentS)
+			r.discovery.Announce(w, "removed", r.scenario.Discovery.SilentS)
 		} else {
 			w.Stop(true)
-			r.discovery.Change(w, "removed", r.set.Discovery.NoticeS)
+			r.discovery.Announce(w, "removed", r.scenario.Discovery.NoticeS)
 		}
 	}
 	all.Wait()
 }
 
-func (r *rig) returnWorkers(ws []*endpoints.Worker, back string) {
+func (r *harness) returnWorkers(ws []*endpoints.Worker, back string) {
 	if back == "never" {
 		return
 	}
 	for _, w := range ws {
-		if w.Fallen() {
+		if w.HasCollapsed() {
 			continue // it stays down
 		}
 		w.Stop(false)
 		if err := w.Start(back != "warm"); err != nil {
-			r.note(record.Event{What: "rig", Text: err.Error(), Scheduler: -1, Worker: int32(w.Number)})
+			r.addEvent(record.Event{Kind: "rig", Text: err.Error(), Scheduler: -1, Worker: int32(w.Number)})
 			continue
 		}
-		r.discovery.Change(w, "up", r.set.Discovery.AddS)
+		r.discovery.Announce(w, "up", r.scenario.Discovery.AddS)
 	}
 }
 
-func (r *rig) kill(ss []*scheduler, sig syscall.Signal) {
+func (r *harness) signalSchedulers(ss []*scheduler, sig syscall.Signal) {
 	for _, s := range ss {
 		// Noted first: a client may see the end before the signal has returned.
 		what := "killed"
 		if sig == syscall.SIGTERM {
 			what = "terminated"
 		}
-		r.note(record.Event{What: what, Text: fmt.Sprint(s.name(), " ", sig), Scheduler: int32(s.number), Worker: -1})
+		r.addEvent(record.Event{Kind: what, Text: fmt.Sprint(s.name(), " ", sig), Scheduler: int32(s.index), Worker: -1})
 		s.signal(sig)
-		r.gone(s)
+		r.markDownLater(s)
 	}
 }
 
 // gone has the front notice after a while that a scheduler is not there, if it still is not then.
-func (r *rig) gone(s *scheduler) {
+func (r *harness) markDownLater(s *scheduler) {
 	r.mu.Lock()
-	wait := r.set.Front.NoticeS.Draw(r.rng)
+	wait := r.scenario.Front.NoticeS.Draw(r.rng)
 	r.mu.Unlock()
 	time.AfterFunc(time.Duration(wait*float64(time.Second)), func() {
-		if !s.live() {
-			r.front.set(s.number, false)
+		if !s.isLive() {
+			r.balancer.setUp(s.index, false)
 		}
 	})
 }
 
 // restart starts schedulers that have ended, all at once as far as the machine bears it.
-func (r *rig) restart(ctx context.Context, ss []*scheduler) {
+func (r *harness) restartSchedulers(ctx context.Context, ss []*scheduler) {
 	for _, s := range ss {
 		go func() {
 			if s.latest() != nil {
-				r.note(record.Event{What: "killed", Text: s.name(), Scheduler: int32(s.number), Worker: -1})
+				r.addEvent(record.Event{Kind: "killed", Text: s.name(), Scheduler: int32(s.index), Worker: -1})
 			}
-			s.end()
+			s.killAll()
 			if ctx.Err() != nil {
 				return
 			}
-			if err := r.startOne(ctx, s); err != nil && ctx.Err() == nil {
-				r.note(record.Event{What: "crashed", Text: err.Error(), Scheduler: int32(s.number), Worker: -1})
+			if err := r.startScheduler(ctx, s); err != nil && ctx.Err() == nil {
+				r.addEvent(record.Event{Kind: "crashed", Text: err.Error(), Scheduler: int32(s.index), Worker: -1})
 				return
 			}
-			r.note(record.Event{What: "ready", Text: s.name(), Scheduler: int32(s.number), Worker: -1})
+			r.addEvent(record.Event{Kind: "ready", Text: s.name(), Scheduler: int32(s.index), Worker: -1})
 		}()
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -32,7 +32,7 @@
 }
 
 // small is a scenario of a few processes; more is put behind its keys.
-func small(t *testing.T, more string) *scenario.Scenario {
+func newScenario(t *testing.T, more string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse([]byte(`{"name":"small","seconds":5,
 		"sites":[{"name":"a","schedulers":4,"workers":4},{"name":"b","schedulers":4,"workers":4}],
@@ -44,11 +44,11 @@
 	return s
 }
 
-func play(t *testing.T, s *scenario.Scenario) *record.Records {
+func playAndJudge(t *testing.T, s *scenario.Scenario) *record.Records {
 	t.Helper()
 	rec, err := Play(context.Background(), s, Build{Name: "test", Binary: binary}, Options{Seed: s.Seed})
 	require.NoError(t, err)
-	checks, _, err := judge.Judge(rec)
+	checks, _, err := judge.Evaluate(rec)
 	require.NoError(t, err)
 	for _, c := range checks {
 		require.True(t, c.Passed, "%s: %s", c.Name, c.Text)
@@ -67,9 +67,9 @@
 }
 
 // The rules hold through each fault, and the fault was there: what it must have left in the records is looked for.
-func TestRulesThroughFaults(t *testing.T) {
+func TestChecksPassUnderFaults(t *testing.T) {
 	event := func(what string) func(*record.Event) bool {
-		return func(e *record.Event) bool { return e.What == what }
+		return func(e *record.Event) bool { return e.Kind == what }
 	}
 	for _, c := range []struct {
 		name, faults string
@@ -78,18 +78,20 @@
 		{"a site is lost and returns", `{"at_s":1,"for_s":2,"what":"lose-site","site":"b"}`, func(t *testing.T, rec *record.Records) {
 			require.Equal(t, 4, count(rec.Events, event("killed")))
 			require.Equal(t, 4, count(rec.Events, event("ready")))
-			require.Positive(t, count(rec.Runs, func(r *record.Run) bool { return r.How == record.HowLost }))
-			require.Positive(t, count(rec.Runs, func(r *record.Run) bool { return r.Worker >= 4 && r.ArrivedUS > 3e6 && r.How == record.HowDone }), "it works again")
-			require.Zero(t, count(rec.Runs, func(r *record.Run) bool { return r.Worker >= 4 && r.StartedUS > 1.1e6 && r.StartedUS < 3e6 }), "it was lost")
+			require.Positive(t, count(rec.Attempts, func(r *record.Attempt) bool { return r.Outcome == record.OutcomeLost }))
+			require.Positive(t, count(rec.Attempts, func(r *record.Attempt) bool {
+				return r.Worker >= 4 && r.ArrivedUS > 3e6 && r.Outcome == record.OutcomeDone
+			}), "it works again")
+			require.Zero(t, count(rec.Attempts, func(r *record.Attempt) bool { return r.Worker >= 4 && r.StartedUS > 1.1e6 && r.StartedUS < 3e6 }), "it was lost")
 		}},
 		{"its workers hang while the list names them", `{"at_s":1,"for_s":2,"what":"silence-workers","site":"b","hung":true}`, func(t *testing.T, rec *record.Records) {
-			require.Zero(t, count(rec.Runs, func(r *record.Run) bool { return r.Worker >= 4 && r.StartedUS > 1.1e6 && r.StartedUS < 3e6 }))
+			require.Zero(t, count(rec.Attempts, func(r *record.Attempt) bool { return r.Worker >= 4 && r.StartedUS > 1.1e6 && r.StartedUS < 3e6 }))
 		}},
 		{"the sites are cut off from one another", `{"at_s":1,"for_s":2,"what":"cut","site":"a","to":"b","paths":["job","back","peer"]}`, func(t *testing.T, rec *record.Records) {
-			require.Zero(t, count(rec.Runs, func(r *record.Run) bool {
+			require.Zero(t, count(rec.Attempts, func(r *record.Attempt) bool {
 				return r.Worker/4 != r.Scheduler/4 && r.ArrivedUS > 1.2e6 && r.ArrivedUS < 3e6
 			}))
-			require.Positive(t, count(rec.Runs, func(r *record.Run) bool { return r.Worker/4 != r.Scheduler/4 }))
+			require.Positive(t, count(rec.Attempts, func(r *record.Attempt) bool { return r.Worker/4 != r.Scheduler/4 }))
 		}},
 		{"a scheduler is stopped and wakes", `{"at_s":1,"for_s":1,"what":"stop-schedulers","count":2}`, func(t *testing.T, rec *record.Records) {
 			require.Equal(t, 2, count(rec.Events, event("stopped")))
@@ -98,11 +100,11 @@
 		{"workers drain and schedulers are released", `{"at_s":0.5,"for_s":3,"what":"drain-workers","share":0.25},{"at_s":1,"what":"release-schedulers","count":2,"step_s":1}`,
 			func(t *testing.T, rec *record.Records) {
 				require.Equal(t, 2, count(rec.Events, event("terminated")))
-				require.Positive(t, count(rec.Told, func(x *record.Told) bool { return x.Status == "draining" }))
+				require.Positive(t, count(rec.ListUpdates, func(x *record.ListUpdate) bool { return x.Status == "draining" }))
 			}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			rec := play(t, small(t, `,"faults":[`+c.faults+`]`))
+			rec := playAndJudge(t, newScenario(t, `,"faults":[`+c.faults+`]`))
 			require.Positive(t, count(rec.Tries, func(x *record.Try) bool { return x.Status == 200 }))
 			c.left(t, rec)
 		})
@@ -110,29 +112,29 @@
 }
 
 // With peers the schedulers hear one another through the relay.
-func TestPeersAreHeard(t *testing.T) {
-	rec := play(t, small(t, `,"peers":{"on":true,"lost":0.1,"twice":0.1}`))
+func TestPeerMessagesAreRelayed(t *testing.T) {
+	rec := playAndJudge(t, newScenario(t, `,"peers":{"on":true,"lost":0.1,"twice":0.1}`))
 	require.Positive(t, rec.About.Messages)
 }
 
 // The clients ask for the same, whatever is played.
 func TestRequestsAreDrawnFromTheSeed(t *testing.T) {
-	s := small(t, "")
-	require.Equal(t, Requests(s, 7), Requests(s, 7))
-	require.NotEqual(t, Requests(s, 7), Requests(s, 8))
-	n := len(Requests(s, 7))
+	s := newScenario(t, "")
+	require.Equal(t, DrawRequests(s, 7), DrawRequests(s, 7))
+	require.NotEqual(t, DrawRequests(s, 7), DrawRequests(s, 8))
+	n := len(DrawRequests(s, 7))
 	want := s.RatePerS() * s.Seconds
 	require.InDelta(t, want, n, 6*want/10)
 }
 
 // What the rig has started ends with it, also when it is interrupted.
-func TestNothingIsLeftBehind(t *testing.T) {
+func TestCancelledRunLeavesNoProcess(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := small(t, "")
+	s := newScenario(t, "")
 	done := make(chan error, 1)
-	seen := &watched{cancel: cancel}
+	seen := &cancelOnWrite{cancel: cancel}
 	go func() {
-		_, err := Play(ctx, s, Build{Name: "test", Binary: binary}, Options{Seed: 1, Live: seen})
+		_, err := Play(ctx, s, Build{Name: "test", Binary: binary}, Options{Seed: 1, Progress: seen})
 		done <- err
 	}()
 	require.ErrorIs(t, <-done, context.Canceled)
@@ -145,9 +147,9 @@
 }
 
 // watched interrupts a run at its first live line.
-type watched struct{ cancel func() }
+type cancelOnWrite struct{ cancel func() }
 
-func (w *watched) Write(line []byte) (int, error) {
+func (w *cancelOnWrite) Write(line []byte) (int, error) {
 	w.cancel()
 	return len(line), nil
 }
--- a/internal/fleet/judge/figures.go
+++ b/internal/fleet/judge/figures.go
@@ -8,36 +8,36 @@
 )
 
 // Asked is what became of one request, over all its tries.
-type Asked struct {
+type RequestOutcome struct {
 	Class, Site int
 	DueUS       int64
 	RunUS       int64
-	ReachedUS   int64 // when a scheduler first took it; below 0: never
-	Served      bool
-	Refused     bool // in the end
-	Inverted    bool // a try was refused while a job of a lesser class was served
+	AcceptedUS  int64 // when a scheduler first took it; below 0: never
+	IsServed    bool
+	IsRefused   bool // in the end
+	IsInverted  bool // a try was refused while a job of a lesser class was served
 	Attempts    int
-	Earned      float64
-	Worth       float64 // at most
-	Bound       float64 // what a planner that sees all earns with it
+	EarnedValue float64
+	MaxValue    float64 // at most
+	BoundValue  float64 // what a planner that sees all earns with it
 }
 
 // Analysis is what the figures are worked out from.
 type Analysis struct {
-	set     *scenario.Scenario
-	Asked   []Asked
-	runs    []record.Run
-	samples []record.Sample
-	fallen  int
-	site    []int // of each worker
+	scenario   *scenario.Scenario
+	Requests   []RequestOutcome
+	attempts   []record.Attempt
+	samples    []record.Sample
+	collapsed  int
+	workerSite []int // of each worker
 }
 
 // Analyze sums the records up by request.
 func Analyze(s *scenario.Scenario, rec *record.Records) *Analysis {
-	b := &Analysis{set: s, runs: rec.Runs, samples: rec.Samples, fallen: len(rec.About.Fallen)}
+	b := &Analysis{scenario: s, attempts: rec.Attempts, samples: rec.Samples, collapsed: len(rec.About.CollapsedWorkers)}
 	for i, x := range s.Sites {
 		for range x.Workers {
-			b.site = append(b.site, i)
+			b.workerSite = append(b.workerSite, i)
 		}
 	}
 	tries := slices.Clone(rec.Tries)
@@ -47,7 +47,7 @@
 		}
 		return int(a.Number - b.Number)
 	})
-	bad := inverted(s, tries)
+	bad := invertedRequests(s, tries)
 	ids := make(map[string]int, len(tries))
 	last := int32(-1)
 	for i := range tries {
@@ -55,36 +55,36 @@
 		c := &s.Classes[t.Class]
 		if t.Request != last {
 			last = t.Request
-			b.Asked = append(b.Asked, Asked{Class: int(t.Class), Site: int(t.Site), DueUS: t.DueUS, RunUS: t.RunUS, ReachedUS: -1, Worth: c.Worth,
-				Inverted: bad[t.Request]})
+			b.Requests = append(b.Requests, RequestOutcome{Class: int(t.Class), Site: int(t.Site), DueUS: t.DueUS, RunUS: t.RunUS, AcceptedUS: -1, MaxValue: c.Worth,
+				IsInverted: bad[t.Request]})
 		}
-		a := &b.Asked[len(b.Asked)-1]
-		ids[t.ID] = len(b.Asked) - 1
-		if t.End != record.EndUnreachable && a.ReachedUS < 0 {
-			a.ReachedUS = t.SentUS
+		a := &b.Requests[len(b.Requests)-1]
+		ids[t.ID] = len(b.Requests) - 1
+		if t.End != record.EndUnreachable && a.AcceptedUS < 0 {
+			a.AcceptedUS = t.SentUS
 		}
-		a.Refused = t.Status == 429 || t.Status == 503
+		a.IsRefused = t.Status == 429 || t.Status == 503
 		if t.Status == 200 {
-			a.Served = true
+			a.IsServed = true
 			switch took := t.EndedUS - t.DueUS; {
-			case took <= aim(c, t.RunUS):
-				a.Earned = c.Worth
+			case took <= latencyTargetUS(c, t.RunUS):
+				a.EarnedValue = c.Worth
 			case took <= int64(c.DeadlineS*1e6):
-				a.Earned = c.Worth * c.LateWorth
+				a.EarnedValue = c.Worth * c.LateWorth
 			}
 		}
 	}
-	for i := range rec.Runs {
-		if at, known := ids[rec.Runs[i].ID]; known {
-			b.Asked[at].Attempts++
+	for i := range rec.Attempts {
+		if at, known := ids[rec.Attempts[i].ID]; known {
+			b.Requests[at].Attempts++
 		}
 	}
-	b.plan()
+	b.computeBound()
 	return b
 }
 
 // aim is the time within which an answer earns all, from when the request was due.
-func aim(c *scenario.Class, runUS int64) int64 {
+func latencyTargetUS(c *scenario.Class, runUS int64) int64 {
 	return min(int64(c.AimMS*1000+c.Stretch*float64(runUS)), int64(c.DeadlineS*1e6))
 }
 
@@ -98,68 +98,68 @@
 	IdleBesideWaiting              float64
 	WaitMeanS, WaitP99S, QueueLong float64
 	Herd                           float64 // most arrivals at one worker within a report's age, over its fair part
-	LeftOut                        int     // workers with room that had no job for 5 s while jobs waited elsewhere
-	Inverted                       float64 // part of the requests that were refused while one of a lesser class was served
-	Fallen                         int
+	StarvedWorkers                 int     // workers with room that had no job for 5 s while jobs waited elsewhere
+	InvertedShare                  float64 // part of the requests that were refused while one of a lesser class was served
+	CollapsedWorkers               int
 }
 
 // Get gives a figure by its name in scenario files.
-func (f Figures) Get(name string) float64 {
+func (f Figures) ByName(name string) float64 {
 	return map[string]float64{"worth": f.Worth, "of_bound": f.OfBound, "served": f.Served, "refused": f.Refused, "failed": f.Failed, "attempts": f.Attempts,
 		"idle_beside_waiting": f.IdleBesideWaiting, "wait_mean_s": f.WaitMeanS, "wait_p99_s": f.WaitP99S, "queue_longest": f.QueueLong,
-		"herd": f.Herd, "left_out": float64(f.LeftOut), "inverted": f.Inverted,
-		"fallen": float64(f.Fallen)}[name]
+		"herd": f.Herd, "left_out": float64(f.StarvedWorkers), "inverted": f.InvertedShare,
+		"fallen": float64(f.CollapsedWorkers)}[name]
 }
 
 // Window gives the figures of a part of the run, of a class and of the clients of a site; below 0: of all.
-func (b *Analysis) Window(w scenario.Window, class, site int) Figures {
-	f := b.Answers(w, class, site)
-	from, to := span(w)
-	b.evenness(&f, from, to, site)
-	b.crowding(&f, from, to, site)
-	f.Fallen = b.fallen
+func (b *Analysis) WindowFigures(w scenario.Window, class, site int) Figures {
+	f := b.ClientFigures(w, class, site)
+	from, to := windowUS(w)
+	b.addWorkerFigures(&f, from, to, site)
+	b.addHerdFigures(&f, from, to, site)
+	f.CollapsedWorkers = b.collapsed
 	return f
 }
 
 // span is a window in microseconds.
-func span(w scenario.Window) (from, to int64) { return int64(w.FromS * 1e6), int64(w.ToS * 1e6) }
+func windowUS(w scenario.Window) (from, to int64) { return int64(w.FromS * 1e6), int64(w.ToS * 1e6) }
 
 // Answers gives those figures of Window that clients' records tell; it does not walk the workers' samples.
-func (b *Analysis) Answers(w scenario.Window, class, site int) (f Figures) {
-	from, to := span(w)
+func (b *Analysis) ClientFigures(w scenario.Window, class, site int) (f Figures) {
+	from, to := windowUS(w)
 	worth, earned, bound, taken, attempts := 0.0, 0.0, 0.0, 0, 0
-	for i := range b.Asked {
-		a := &b.Asked[i]
+	for i := range b.Requests {
+		a := &b.Requests[i]
 		if a.DueUS < from || a.DueUS >= to || class >= 0 && a.Class != class || site >= 0 && a.Site != site {
 			continue
 		}
 		f.Requests++
-		worth, earned, bound = worth+a.Worth, earned+a.Earned, bound+a.Bound
-		if a.ReachedUS >= 0 {
+		worth, earned, bound = worth+a.MaxValue, earned+a.EarnedValue, bound+a.BoundValue
+		if a.AcceptedUS >= 0 {
 			taken++
 			attempts += a.Attempts
 		}
-		if a.Inverted {
-			f.Inverted++
+		if a.IsInverted {
+			f.InvertedShare++
 		}
 		switch {
-		case a.Served:
+		case a.IsServed:
 			f.Served++
-		case a.Refused:
+		case a.IsRefused:
 			f.Refused++
 		default:
 			f.Failed++
 		}
 	}
 	n := max(1, float64(f.Requests))
-	f.Served, f.Refused, f.Failed, f.Inverted = f.Served/n, f.Refused/n, f.Failed/n, f.Inverted/n
+	f.Served, f.Refused, f.Failed, f.InvertedShare = f.Served/n, f.Refused/n, f.Failed/n, f.InvertedShare/n
 	f.Worth, f.Bound, f.Attempts = earned/max(1e-9, worth), bound/max(1e-9, worth), float64(attempts)/max(1, float64(taken))
 	f.OfBound = earned / max(1e-9, bound)
 	return f
 }
 
 // evenness takes the figures from the workers.
-func (b *Analysis) evenness(f *Figures, from, to int64, site int) {
+func (b *Analysis) addWorkerFigures(f *Figures, from, to int64, site int) {
 	var at int64 = -1
 	free, waiting, longest := 0.0, 0.0, 0.0
 	wasted, room, long, moments := 0.0, 0.0, 0.0, 0.0
@@ -173,25 +173,25 @@
 	}
 	for i := range b.samples {
 		s := &b.samples[i]
-		if s.AtUS < from || s.AtUS >= to || site >= 0 && b.site[s.Worker] != site {
+		if s.AtUS < from || s.AtUS >= to || site >= 0 && b.workerSite[s.Worker] != site {
 			continue
 		}
 		if s.AtUS != at {
 			end()
 			at = s.AtUS
 		}
-		free += float64(max(0, s.Room-s.Running))
+		free += float64(max(0, s.UsableSlots-s.Running))
 		waiting += float64(s.Waiting)
 		longest = max(longest, float64(s.Waiting))
-		room += float64(s.Room)
+		room += float64(s.UsableSlots)
 	}
 	end()
 	f.IdleBesideWaiting, f.QueueLong = wasted/max(1e-9, room), long/max(1, moments)
 	var waits []float64
 	sum := 0.0
-	for i := range b.runs {
-		r := &b.runs[i]
-		if r.StartedUS > 0 && r.ArrivedUS >= from && r.ArrivedUS < to && (site < 0 || b.site[r.Worker] == site) {
+	for i := range b.attempts {
+		r := &b.attempts[i]
+		if r.StartedUS > 0 && r.ArrivedUS >= from && r.ArrivedUS < to && (site < 0 || b.workerSite[r.Worker] == site) {
 			w := float64(r.StartedUS-r.ArrivedUS) / 1e6
 			waits = append(waits, w)
 			sum += w
--- a/internal/fleet/judge/judge.go
+++ b/internal/fleet/judge/judge.go
@@ -23,20 +23,20 @@
 const slackUS = 150_000
 
 // Judge checks the records of a run, and gives the analysis that its figures come from.
-func Judge(rec *record.Records) ([]Check, *Analysis, error) {
+func Evaluate(rec *record.Records) ([]Check, *Analysis, error) {
 	s := &scenario.Scenario{}
 	if err := json.Unmarshal(rec.About.Scenario, s); err != nil {
 		return nil, nil, err
 	}
 	analysis := Analyze(s, rec)
-	checks := []Check{answered(s, rec), right(rec), onceOnly(s, rec), drained(s, rec),
-		outOfHand(s, rec), sentAway(rec), afterTheClient(s, rec), timeLeft(s, rec), oneAtATime(rec),
-		pushedOver(s, rec), crashes(rec), check("messages within 256 bytes", int(rec.About.TooLong), nil)}
-	return append(checks, limits(s, analysis)...), analysis, nil
+	checks := []Check{checkAnswered(s, rec), checkResults(rec), checkSingleStart(s, rec), checkDrained(s, rec),
+		checkDisabled(s, rec), checkClientDrain(rec), checkCancelled(s, rec), checkTimeLeft(s, rec), checkOneAttemptAtATime(rec),
+		checkColdWorkers(s, rec), checkCrashes(rec), newCheck("messages within 256 bytes", int(rec.About.OversizeMessages), nil)}
+	return append(checks, checkLimits(s, analysis)...), analysis, nil
 }
 
 // check makes a check of a number of faults; what tells of one of them.
-func check(name string, faults int, what func(int) string) Check {
+func newCheck(name string, faults int, what func(int) string) Check {
 	c := Check{Name: name, Passed: faults == 0, Text: fmt.Sprintf("%d faults", faults)}
 	if faults > 0 && what != nil {
 		c.Text += ", the first: " + what(0)
@@ -45,14 +45,14 @@
 }
 
 // away gives the times at which a scheduler could not answer: killed until it was ready again, or stopped.
-type away map[int32][][2]int64
+type absenceTimes map[int32][][2]int64
 
-func absences(rec *record.Records) away {
-	a := away{}
+func absences(rec *record.Records) absenceTimes {
+	a := absenceTimes{}
 	end := int64(1) << 62
 	for _, e := range rec.Events {
 		list := a[e.Scheduler]
-		switch e.What {
+		switch e.Kind {
 		case "killed", "stopped", "crashed", "ended":
 			if n := len(list); n > 0 && list[n-1][1] == end {
 				continue // it is away already
@@ -69,17 +69,17 @@
 	return a
 }
 
-func (a away) between(scheduler int32, from, to int64) bool {
+func (a absenceTimes) overlaps(scheduler int32, from, to int64) bool {
 	return slices.ContainsFunc(a[scheduler], func(x [2]int64) bool { return x[0] <= to && x[1] >= from })
 }
 
 // cutOff tells whether the way of clients to schedulers was in trouble then: what they did not hear, nobody lost.
-func cutOff(s *scenario.Scenario, t *record.Try) bool {
-	return troubled(s, "client", t.SentUS, t.EndedUS)
+func clientPathImpaired(s *scenario.Scenario, t *record.Try) bool {
+	return pathImpaired(s, "client", t.SentUS, t.EndedUS)
 }
 
 // troubled tells whether a kind of path was in trouble at some time from one to another.
-func troubled(s *scenario.Scenario, path string, fromUS, toUS int64) bool {
+func pathImpaired(s *scenario.Scenario, path string, fromUS, toUS int64) bool {
 	for _, f := range s.Faults {
 		if !slices.Contains([]string{"cut", "lossy", "reset", "trickle", "delay"}, f.What) || len(f.Paths) > 0 && !slices.Contains(f.Paths, path) {
 			continue
@@ -98,50 +98,50 @@
 
 // leftAsDrawn tells of a client that left when it was drawn to, before its time was over, as far as its machine's timers
 // go: with some milliseconds left they may ring after it.
-func leftAsDrawn(t *record.Try) bool {
-	return t.LeavesUS > 0 && t.LeavesUS <= t.SentUS+t.LeftMS*1000 && t.EndedUS <= t.LeavesUS+slackUS
+func cancelledAsDrawn(t *record.Try) bool {
+	return t.CancelUS > 0 && t.CancelUS <= t.SentUS+t.TimeLeftMS*1000 && t.EndedUS <= t.CancelUS+slackUS
 }
 
-func answered(s *scenario.Scenario, rec *record.Records) Check {
+func checkAnswered(s *scenario.Scenario, rec *record.Records) Check {
 	gone := absences(rec)
-	sentOn := make(map[string]bool, len(rec.Runs))
-	for i := range rec.Runs {
-		sentOn[rec.Runs[i].ID] = true
+	sentOn := make(map[string]bool, len(rec.Attempts))
+	for i := range rec.Attempts {
+		sentOn[rec.Attempts[i].ID] = true
 	}
 	var bad []string
 	for i := range rec.Tries {
 		t := &rec.Tries[i]
-		if t.Scheduler < 0 || t.End == record.EndUnreachable || gone.between(t.Scheduler, t.SentUS, t.EndedUS) || cutOff(s, t) {
+		if t.Scheduler < 0 || t.End == record.EndUnreachable || gone.overlaps(t.Scheduler, t.SentUS, t.EndedUS) || clientPathImpaired(s, t) {
 			continue
 		}
-		late := t.EndedUS > t.SentUS+t.LeftMS*1000+slackUS+s.HeldUS(t.SentUS, t.SentUS+t.LeftMS*1000)
-		left := t.End == record.EndLeft && (t.EndedUS < t.SentUS+t.LeftMS*1000 || leftAsDrawn(t))
+		late := t.EndedUS > t.SentUS+t.TimeLeftMS*1000+slackUS+s.PausedUS(t.SentUS, t.SentUS+t.TimeLeftMS*1000)
+		left := t.End == record.EndCancelled && (t.EndedUS < t.SentUS+t.TimeLeftMS*1000 || cancelledAsDrawn(t))
 		// The end of a connection that is in use again may cross a request that was not read; it was read if it was sent on.
-		crossed := t.End == record.EndBroken && t.Reused && !sentOn[t.ID]
+		crossed := t.End == record.EndBroken && t.ReusedConn && !sentOn[t.ID]
 		if left || crossed {
 			continue
 		}
 		if t.End != record.EndAnswered || late {
 			bad = append(bad, fmt.Sprintf("%s of class %d at scheduler %d: %s after %.3f s of %.3f s", t.ID, t.Class, t.Scheduler, t.End,
-				float64(t.EndedUS-t.SentUS)/1e6, float64(t.LeftMS)/1e3))
+				float64(t.EndedUS-t.SentUS)/1e6, float64(t.TimeLeftMS)/1e3))
 		}
 	}
-	return check("one final answer, in time, for all that was taken", len(bad), func(i int) string { return bad[i] })
+	return newCheck("one final answer, in time, for all that was taken", len(bad), func(i int) string { return bad[i] })
 }
 
-func right(rec *record.Records) Check {
+func checkResults(rec *record.Records) Check {
 	var bad []string
 	for i := range rec.Tries {
-		if t := &rec.Tries[i]; t.Status == 200 && !t.Right {
+		if t := &rec.Tries[i]; t.Status == 200 && !t.IsCorrect {
 			bad = append(bad, t.ID)
 		}
 	}
-	return check("what is served is what a table worker made", len(bad), func(i int) string { return bad[i] })
+	return newCheck("what is served is what a table worker made", len(bad), func(i int) string { return bad[i] })
 }
 
 // onceOnly counts the starts of a request over all its tries: a client that was told that asking again is harmless asks
 // again.
-func onceOnly(s *scenario.Scenario, rec *record.Records) Check {
+func checkSingleStart(s *scenario.Scenario, rec *record.Records) Check {
 	request := make(map[string]int32, len(rec.Tries))
 	class := map[int32]int32{}
 	for i := range rec.Tries {
@@ -149,8 +149,8 @@
 	}
 	starts, first := map[int32]int{}, map[int32]int64{}
 	var bad []string
-	for i := range rec.Runs {
-		r := &rec.Runs[i]
+	for i := range rec.Attempts {
+		r := &rec.Attempts[i]
 		q, known := request[r.ID]
 		if !known || r.StartedUS == 0 || s.Classes[class[q]].Effect == "repeatable" {
 			continue
@@ -159,48 +159,48 @@
 			first[q] = r.ArrivedUS
 		}
 		// A repeat of a by_key class is dropped by its group of workers, as long as they remember the first.
-		if s.Classes[class[q]].Effect == "by_key" && r.ArrivedUS <= first[q]+scenario.WindowS*1e6+slackUS {
+		if s.Classes[class[q]].Effect == "by_key" && r.ArrivedUS <= first[q]+scenario.DedupWindowS*1e6+slackUS {
 			continue
 		}
 		if starts[q] >= 2 {
 			bad = append(bad, fmt.Sprintf("%s, a %s, at table worker %d", r.ID, s.Classes[class[q]].Name, r.Worker))
 		}
 	}
-	return check("no effect twice", len(bad), func(i int) string { return bad[i] })
+	return newCheck("no effect twice", len(bad), func(i int) string { return bad[i] })
 }
 
 // drained looks at what schedulers sent to workers of which they had been told that they drain or are gone.
-func drained(s *scenario.Scenario, rec *record.Records) Check {
+func checkDrained(s *scenario.Scenario, rec *record.Records) Check {
 	type pair struct{ scheduler, worker int32 }
-	told := map[pair][]record.Told{}
-	for _, t := range rec.Told {
+	told := map[pair][]record.ListUpdate{}
+	for _, t := range rec.ListUpdates {
 		told[pair{t.Scheduler, t.Worker}] = append(told[pair{t.Scheduler, t.Worker}], t)
 	}
 	tries := triesByID(rec)
 	var bad []string
-	for i := range rec.Runs {
-		r := &rec.Runs[i]
-		var last record.Told
+	for i := range rec.Attempts {
+		r := &rec.Attempts[i]
+		var last record.ListUpdate
 		for _, t := range told[pair{r.Scheduler, r.Worker}] {
 			if t.AtUS <= r.ArrivedUS {
 				last = t
 			}
 		}
 		leaves, ends := last.Status == "draining" || last.Status == "removed", last.AtUS+graceUS(s)
-		if leaves && r.ArrivedUS > ends+slackUS && !heldByACut(s, tries[r.ID], r, ends) {
+		if leaves && r.ArrivedUS > ends+slackUS && !delayedByCut(s, tries[r.ID], r, ends) {
 			bad = append(bad, fmt.Sprintf("%s from scheduler %d to table worker %d, %.3f s after %q", r.ID, r.Scheduler, r.Worker,
 				float64(r.ArrivedUS-last.AtUS)/1e6, last.Status))
 		}
 	}
-	return check("nothing new to a draining or gone table worker after the grace", len(bad), func(i int) string { return bad[i] })
+	return newCheck("nothing new to a draining or gone table worker after the grace", len(bad), func(i int) string { return bad[i] })
 }
 
 // pushedOver looks at the table workers that fell. It is the schedulers' doing where two thirds of the work that came
 // within the last while had been sent by those that were told of its start; others could not know that it was cold.
-func pushedOver(s *scenario.Scenario, rec *record.Records) Check {
+func checkColdWorkers(s *scenario.Scenario, rec *record.Records) Check {
 	type pair struct{ scheduler, worker int32 }
 	up := map[pair][]int64{}
-	for _, t := range rec.Told {
+	for _, t := range rec.ListUpdates {
 		if t.Status == "up" {
 			up[pair{t.Scheduler, t.Worker}] = append(up[pair{t.Scheduler, t.Worker}], t.AtUS)
 		}
@@ -211,12 +211,12 @@
 	}
 	var bad []string
 	for _, e := range rec.Events {
-		if e.What != "fell" {
+		if e.Kind != "fell" {
 			continue
 		}
 		all, told := 0.0, 0.0
-		for i := range rec.Runs {
-			r := &rec.Runs[i]
+		for i := range rec.Attempts {
+			r := &rec.Attempts[i]
 			if r.Worker != e.Worker || r.ArrivedUS > e.AtUS || r.ArrivedUS < e.AtUS-int64(s.Workers.TipAfterS*1e6) {
 				continue
 			}
@@ -229,20 +229,20 @@
 			bad = append(bad, fmt.Sprintf("table worker %d at %.1f s, %.0f %% of it by schedulers that were told", e.Worker, float64(e.AtUS)/1e6, 100*told/max(1, all)))
 		}
 	}
-	return check("no cold table worker pushed over", len(bad), func(i int) string { return bad[i] })
+	return newCheck("no cold table worker pushed over", len(bad), func(i int) string { return bad[i] })
 }
 
-func crashes(rec *record.Records) Check {
+func checkCrashes(rec *record.Records) Check {
 	var bad []string
 	for _, e := range rec.Events {
-		if e.What == "crashed" || e.What == "rig" {
+		if e.Kind == "crashed" || e.Kind == "rig" {
 			bad = append(bad, e.Text)
 		}
 	}
-	return check("no process crashed", len(bad), func(i int) string { return bad[i] })
+	return newCheck("no process crashed", len(bad), func(i int) string { return bad[i] })
 }
 
-func limits(s *scenario.Scenario, analysis *Analysis) (checks []Check) {
+func checkLimits(s *scenario.Scenario, analysis *Analysis) (checks []Check) {
 	for _, l := range s.Limits {
 		w := scenario.Window{Name: "the run", FromS: 0, ToS: s.Seconds}
 		for _, x := range s.Windows {
@@ -251,7 +251,7 @@
 			}
 		}
 		class := slices.IndexFunc(s.Classes, func(c scenario.Class) bool { return c.Name == l.Class })
-		v := analysis.Window(w, class, -1).Get(l.Figure)
+		v := analysis.WindowFigures(w, class, -1).ByName(l.Figure)
 		name := fmt.Sprintf("%s, %s", l.Figure, w.Name)
 		if class >= 0 {
 			name += ", " + l.Class
--- a/internal/fleet/judge/judge_test.go
+++ b/internal/fleet/judge/judge_test.go
@@ -10,13 +10,13 @@
 	"cobaltflow/internal/fleet/scenario"
 )
 
-const plain = `{"name":"double","seconds":10,"sites":[{"name":"a","schedulers":2,"workers":2}],
+const scenarioText = `{"name":"double","seconds":10,"sites":[{"name":"a","schedulers":2,"workers":2}],
  "classes":[{"name":"view","share":0.5,"run_ms":100,"effect":"repeatable","aim_ms":500,"deadline_s":2,"worth":1,"late_worth":0.5},
             {"name":"settle","share":0.5,"run_ms":100,"effect":"once","aim_ms":500,"deadline_s":2,"worth":10}]}`
 
 // sound are the records of a run in which all holds.
-func sound(t *testing.T) *record.Records {
-	s, err := scenario.Parse([]byte(plain))
+func faultlessRecords(t *testing.T) *record.Records {
+	s, err := scenario.Parse([]byte(scenarioText))
 	require.NoError(t, err)
 	rec := &record.Records{}
 	rec.About.Scenario, err = json.Marshal(s)
@@ -25,20 +25,20 @@
 		id := string(rune('a' + i))
 		at := int64(1+i) * 1e6
 		rec.Tries = append(rec.Tries, record.Try{Request: int32(i), ID: id, Class: class, Scheduler: int32(i % 2), RunUS: 100_000, DueUS: at, SentUS: at,
-			EndedUS: at + 150_000, LeftMS: 2000, Status: 200, End: record.EndAnswered, Right: true})
-		rec.Runs = append(rec.Runs, record.Run{ID: id, Worker: int32(i % 2), Scheduler: int32(i % 2), ArrivedUS: at + 10_000, StartedUS: at + 20_000,
-			EndedUS: at + 120_000, How: record.HowDone})
+			EndedUS: at + 150_000, TimeLeftMS: 2000, Status: 200, End: record.EndAnswered, IsCorrect: true})
+		rec.Attempts = append(rec.Attempts, record.Attempt{ID: id, Worker: int32(i % 2), Scheduler: int32(i % 2), ArrivedUS: at + 10_000, StartedUS: at + 20_000,
+			EndedUS: at + 120_000, Outcome: record.OutcomeDone})
 	}
 	for at := int64(0); at < 10e6; at += 50_000 {
 		for w := range int32(2) {
-			rec.Samples = append(rec.Samples, record.Sample{AtUS: at, Worker: w, Room: 4})
+			rec.Samples = append(rec.Samples, record.Sample{AtUS: at, Worker: w, UsableSlots: 4})
 		}
 	}
 	return rec
 }
 
 // hold has all schedulers held up for 0.15 s at a second of the run.
-func hold(t *testing.T, rec *record.Records, at float64) {
+func addPause(t *testing.T, rec *record.Records, at float64) {
 	s := &scenario.Scenario{}
 	require.NoError(t, json.Unmarshal(rec.About.Scenario, s))
 	s.Faults = append(s.Faults, scenario.Fault{AtS: at, ForS: 0.15, What: "hold-schedulers"})
@@ -49,7 +49,7 @@
 
 // heldRun has the first request's attempt come 1.7 s later, told that so much time is left, to a worker that is out by hand
 // since 1.2 s and for a grace of 0.2 s; a cut begins at a second of the run.
-func heldRun(t *testing.T, rec *record.Records, leftMS int64, cutAtS float64) {
+func delayAttempt(t *testing.T, rec *record.Records, leftMS int64, cutAtS float64) {
 	s := &scenario.Scenario{}
 	require.NoError(t, json.Unmarshal(rec.About.Scenario, s))
 	s.DrainGraceS = 0.2
@@ -57,14 +57,14 @@
 	var err error
 	rec.About.Scenario, err = json.Marshal(s)
 	require.NoError(t, err)
-	run, try := &rec.Runs[0], &rec.Tries[0]
-	run.LeftMS, run.ArrivedUS, run.StartedUS, run.EndedUS = leftMS, 2.7e6, 2.7e6, 2.8e6
+	run, try := &rec.Attempts[0], &rec.Tries[0]
+	run.TimeLeftMS, run.ArrivedUS, run.StartedUS, run.EndedUS = leftMS, 2.7e6, 2.7e6, 2.8e6
 	try.EndedUS = 2.9e6
-	rec.Events = []record.Event{{AtUS: 1.2e6, What: "out", Scheduler: 0, Worker: 0}, {AtUS: 2.95e6, What: "back", Scheduler: 0, Worker: 0}}
+	rec.Events = []record.Event{{AtUS: 1.2e6, Kind: "out", Scheduler: 0, Worker: 0}, {AtUS: 2.95e6, Kind: "back", Scheduler: 0, Worker: 0}}
 }
 
 // Each rule is broken once, in a double of the records, and the check of that rule alone finds it.
-func TestEachCheckCatchesItsFault(t *testing.T) {
+func TestEachCheckDetectsItsViolation(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		spoil func(*record.Records)
@@ -74,153 +74,153 @@
 		{"no answer", func(r *record.Records) { r.Tries[0].Status, r.Tries[0].End = 0, record.EndBroken }, "one final answer, in time, for all that was taken"},
 		{"a late answer", func(r *record.Records) { r.Tries[0].EndedUS += 3e6 }, "one final answer, in time, for all that was taken"},
 		{"an answer as late as a hold that is over by then", func(r *record.Records) {
-			hold(t, r, 5)
-			r.Tries[0].EndedUS = r.Tries[0].SentUS + r.Tries[0].LeftMS*1000 + 250_000
+			addPause(t, r, 5)
+			r.Tries[0].EndedUS = r.Tries[0].SentUS + r.Tries[0].TimeLeftMS*1000 + 250_000
 		}, "one final answer, in time, for all that was taken"},
 		{"an answer as late as its scheduler was held up", func(r *record.Records) {
-			hold(t, r, 1.1)
-			r.Tries[0].EndedUS = r.Tries[0].SentUS + r.Tries[0].LeftMS*1000 + 250_000
+			addPause(t, r, 1.1)
+			r.Tries[0].EndedUS = r.Tries[0].SentUS + r.Tries[0].TimeLeftMS*1000 + 250_000
 		}, ""},
 		{"an answer later than that", func(r *record.Records) {
-			hold(t, r, 1.1)
-			r.Tries[0].EndedUS = r.Tries[0].SentUS + r.Tries[0].LeftMS*1000 + 350_000
+			addPause(t, r, 1.1)
+			r.Tries[0].EndedUS = r.Tries[0].SentUS + r.Tries[0].TimeLeftMS*1000 + 350_000
 		}, "one final answer, in time, for all that was taken"},
 		{"no answer of a scheduler that was killed", func(r *record.Records) {
 			r.Tries[0].Status, r.Tries[0].End = 0, record.EndBroken
-			r.Events = []record.Event{{AtUS: 1.1e6, What: "killed", Text: "n0", Scheduler: 0, Worker: -1}}
+			r.Events = []record.Event{{AtUS: 1.1e6, Kind: "killed", Text: "n0", Scheduler: 0, Worker: -1}}
 		}, ""},
 		{"no answer of one that was back by then", func(r *record.Records) {
 			r.Tries[2].Status, r.Tries[2].End = 0, record.EndBroken
-			r.Events = []record.Event{{AtUS: 1e6, What: "killed", Text: "n0", Scheduler: 0, Worker: -1}, {AtUS: 2e6, What: "ready", Scheduler: 0, Worker: -1}}
+			r.Events = []record.Event{{AtUS: 1e6, Kind: "killed", Text: "n0", Scheduler: 0, Worker: -1}, {AtUS: 2e6, Kind: "ready", Scheduler: 0, Worker: -1}}
 		}, "one final answer, in time, for all that was taken"},
-		{"an answer that no worker gave", func(r *record.Records) { r.Tries[1].Right = false }, "what is served is what a table worker made"},
+		{"an answer that no worker gave", func(r *record.Records) { r.Tries[1].IsCorrect = false }, "what is served is what a table worker made"},
 		{"a settle started twice", func(r *record.Records) {
-			twice := r.Runs[1]
+			twice := r.Attempts[1]
 			twice.Worker = 0
-			r.Runs = append(r.Runs, twice)
+			r.Attempts = append(r.Attempts, twice)
 		}, "no effect twice"},
 		{"a settle started for a try and its repeat", func(r *record.Records) {
 			r.Tries[1].Status = 503
-			r.Tries = append(r.Tries, record.Try{Request: 1, Number: 1, ID: "z", Class: 1, SentUS: 3e6, EndedUS: 3.2e6, LeftMS: 1000, Status: 200, End: record.EndAnswered, Right: true})
-			r.Runs = append(r.Runs, record.Run{ID: "z", ArrivedUS: 3.1e6, StartedUS: 3.1e6})
+			r.Tries = append(r.Tries, record.Try{Request: 1, Number: 1, ID: "z", Class: 1, SentUS: 3e6, EndedUS: 3.2e6, TimeLeftMS: 1000, Status: 200, End: record.EndAnswered, IsCorrect: true})
+			r.Attempts = append(r.Attempts, record.Attempt{ID: "z", ArrivedUS: 3.1e6, StartedUS: 3.1e6})
 		}, "no effect twice"},
 		{"a view started twice", func(r *record.Records) {
-			again := r.Runs[0]
+			again := r.Attempts[0]
 			again.Worker = 1
-			r.Runs = append(r.Runs, again)
+			r.Attempts = append(r.Attempts, again)
 		}, ""},
-		{"a view sent to a worker that still has it", func(r *record.Records) { r.Runs = append(r.Runs, r.Runs[0]) },
+		{"a view sent to a worker that still has it", func(r *record.Records) { r.Attempts = append(r.Attempts, r.Attempts[0]) },
 			"one attempt of a request at a table worker at a time"},
 		{"a view sent to a worker that had it", func(r *record.Records) {
-			again := r.Runs[0]
+			again := r.Attempts[0]
 			again.ArrivedUS, again.EndedUS = again.EndedUS, again.EndedUS+1000
-			r.Runs = append(r.Runs, again)
+			r.Attempts = append(r.Attempts, again)
 		}, ""},
 		{"a send to a worker that is out by hand", func(r *record.Records) {
-			r.Events = []record.Event{{AtUS: 1.8e6, What: "out", Scheduler: 0, Worker: 0}}
+			r.Events = []record.Event{{AtUS: 1.8e6, Kind: "out", Scheduler: 0, Worker: 0}}
 		}, "nothing new to a table worker that an operator took out"},
 		{"a send to one that is out for another scheduler", func(r *record.Records) {
-			r.Events = []record.Event{{AtUS: 1.8e6, What: "out", Scheduler: 1, Worker: 0}}
+			r.Events = []record.Event{{AtUS: 1.8e6, Kind: "out", Scheduler: 1, Worker: 0}}
 		}, ""},
 		{"a send to one that was called back", func(r *record.Records) {
-			r.Events = []record.Event{{AtUS: 1.5e6, What: "out", Scheduler: 0, Worker: 0}, {AtUS: 2.9e6, What: "back", Scheduler: 0, Worker: 0}}
+			r.Events = []record.Event{{AtUS: 1.5e6, Kind: "out", Scheduler: 0, Worker: 0}, {AtUS: 2.9e6, Kind: "back", Scheduler: 0, Worker: 0}}
 		}, ""},
 		{"a send to one whose call back was made after the call out, and before its yes", func(r *record.Records) {
-			r.Events = []record.Event{{AtUS: 1.8e6, CalledUS: 1.4e6, What: "out", Scheduler: 0, Worker: 0}, {AtUS: 1.6e6, What: "back", Scheduler: 0, Worker: 0}}
+			r.Events = []record.Event{{AtUS: 1.8e6, CalledUS: 1.4e6, Kind: "out", Scheduler: 0, Worker: 0}, {AtUS: 1.6e6, Kind: "back", Scheduler: 0, Worker: 0}}
 		}, ""},
 		{"a send to one that was taken out after a call back", func(r *record.Records) {
-			r.Events = []record.Event{{AtUS: 1.8e6, CalledUS: 1.7e6, What: "out", Scheduler: 0, Worker: 0}, {AtUS: 1.6e6, What: "back", Scheduler: 0, Worker: 0}}
+			r.Events = []record.Event{{AtUS: 1.8e6, CalledUS: 1.7e6, Kind: "out", Scheduler: 0, Worker: 0}, {AtUS: 1.6e6, Kind: "back", Scheduler: 0, Worker: 0}}
 		}, "nothing new to a table worker that an operator took out"},
 		{"a send to one that is still out by an earlier call", func(r *record.Records) {
-			r.Events = []record.Event{{AtUS: 1.3e6, CalledUS: 1.2e6, What: "out", Scheduler: 0, Worker: 0}, {AtUS: 1.8e6, CalledUS: 1.1e6, What: "out", Scheduler: 0, Worker: 0},
-				{AtUS: 1.15e6, What: "back", Scheduler: 0, Worker: 0}}
+			r.Events = []record.Event{{AtUS: 1.3e6, CalledUS: 1.2e6, Kind: "out", Scheduler: 0, Worker: 0}, {AtUS: 1.8e6, CalledUS: 1.1e6, Kind: "out", Scheduler: 0, Worker: 0},
+				{AtUS: 1.15e6, Kind: "back", Scheduler: 0, Worker: 0}}
 		}, "nothing new to a table worker that an operator took out"},
-		{"a send to a worker out by hand that had left before, and was held by a cut", func(r *record.Records) { heldRun(t, r, 1950, 1.1) }, ""},
+		{"a send to a worker out by hand that had left before, and was held by a cut", func(r *record.Records) { delayAttempt(t, r, 1950, 1.1) }, ""},
 		{"a send to a draining worker that had left before, and was held by a cut", func(r *record.Records) {
-			heldRun(t, r, 1950, 1.1)
-			r.Events, r.Told = nil, []record.Told{{AtUS: 1.2e6, Scheduler: 0, Worker: 0, Status: "draining"}, {AtUS: 2.95e6, Scheduler: 0, Worker: 0, Status: "up"}}
+			delayAttempt(t, r, 1950, 1.1)
+			r.Events, r.ListUpdates = nil, []record.ListUpdate{{AtUS: 1.2e6, Scheduler: 0, Worker: 0, Status: "draining"}, {AtUS: 2.95e6, Scheduler: 0, Worker: 0, Status: "up"}}
 		}, ""},
 		{"one to a draining worker that left after the grace", func(r *record.Records) {
-			heldRun(t, r, 300, 1.1)
-			r.Events, r.Told = nil, []record.Told{{AtUS: 1.2e6, Scheduler: 0, Worker: 0, Status: "draining"}, {AtUS: 2.95e6, Scheduler: 0, Worker: 0, Status: "up"}}
+			delayAttempt(t, r, 300, 1.1)
+			r.Events, r.ListUpdates = nil, []record.ListUpdate{{AtUS: 1.2e6, Scheduler: 0, Worker: 0, Status: "draining"}, {AtUS: 2.95e6, Scheduler: 0, Worker: 0, Status: "up"}}
 		}, "nothing new to a draining or gone table worker after the grace"},
-		{"one that left after the yes", func(r *record.Records) { heldRun(t, r, 300, 1.1) }, "nothing new to a table worker that an operator took out"},
+		{"one that left after the yes", func(r *record.Records) { delayAttempt(t, r, 300, 1.1) }, "nothing new to a table worker that an operator took out"},
 		{"one that nobody waits for", func(r *record.Records) {
-			heldRun(t, r, 1950, 1.1)
-			r.Tries[0].EndedUS = r.Runs[0].ArrivedUS - 1000
+			delayAttempt(t, r, 1950, 1.1)
+			r.Tries[0].EndedUS = r.Attempts[0].ArrivedUS - 1000
 		}, "nothing new to a table worker that an operator took out"},
 		{"a send of a scheduler that began anew", func(r *record.Records) {
-			r.Events = []record.Event{{AtUS: 1.5e6, What: "out", Scheduler: 0, Worker: 0}, {AtUS: 2e6, What: "killed", Text: "n0", Scheduler: 0, Worker: -1},
-				{AtUS: 2.5e6, What: "ready", Scheduler: 0, Worker: -1}}
+			r.Events = []record.Event{{AtUS: 1.5e6, Kind: "out", Scheduler: 0, Worker: 0}, {AtUS: 2e6, Kind: "killed", Text: "n0", Scheduler: 0, Worker: -1},
+				{AtUS: 2.5e6, Kind: "ready", Scheduler: 0, Worker: -1}}
 		}, ""},
 		{"a scheduler that says it is ready in a drain", func(r *record.Records) {
-			r.Events = []record.Event{{AtUS: 1e6, What: "still-ready", Text: "n0", Scheduler: 0, Worker: -1}}
+			r.Events = []record.Event{{AtUS: 1e6, Kind: "still-ready", Text: "n0", Scheduler: 0, Worker: -1}}
 		}, "not ready while clients are sent away"},
 		{"an attempt for a client that has gone", func(r *record.Records) {
-			r.Tries[0].End, r.Tries[0].Status, r.Tries[0].EndedUS = record.EndLeft, 0, r.Tries[0].SentUS+100_000
-			r.Runs[0].ArrivedUS = r.Tries[0].EndedUS + 300_000
-			r.Runs[0].EndedUS = r.Runs[0].ArrivedUS + 100_000
+			r.Tries[0].End, r.Tries[0].Status, r.Tries[0].EndedUS = record.EndCancelled, 0, r.Tries[0].SentUS+100_000
+			r.Attempts[0].ArrivedUS = r.Tries[0].EndedUS + 300_000
+			r.Attempts[0].EndedUS = r.Attempts[0].ArrivedUS + 100_000
 		}, "no attempt for a client that has gone"},
 		{"a client that left before its time was over", func(r *record.Records) {
-			r.Tries[0].End, r.Tries[0].Status, r.Tries[0].EndedUS = record.EndLeft, 0, r.Tries[0].SentUS+100_000
+			r.Tries[0].End, r.Tries[0].Status, r.Tries[0].EndedUS = record.EndCancelled, 0, r.Tries[0].SentUS+100_000
 		}, ""},
 		{"a client that was to leave before its time was over, and is seen to a little after", func(r *record.Records) {
 			t := &r.Tries[0]
-			t.LeavesUS = t.SentUS + t.LeftMS*1000 - 1000
-			t.End, t.Status, t.EndedUS = record.EndLeft, 0, t.SentUS+t.LeftMS*1000+2000
+			t.CancelUS = t.SentUS + t.TimeLeftMS*1000 - 1000
+			t.End, t.Status, t.EndedUS = record.EndCancelled, 0, t.SentUS+t.TimeLeftMS*1000+2000
 		}, ""},
 		{"a client that was not to leave, and had no answer a little after its time", func(r *record.Records) {
 			t := &r.Tries[0]
-			t.End, t.Status, t.EndedUS = record.EndLeft, 0, t.SentUS+t.LeftMS*1000+2000
+			t.End, t.Status, t.EndedUS = record.EndCancelled, 0, t.SentUS+t.TimeLeftMS*1000+2000
 		}, "one final answer, in time, for all that was taken"},
 		{"a client that was to leave and stayed for long", func(r *record.Records) {
 			t := &r.Tries[0]
-			t.LeavesUS = t.SentUS + 1000
-			t.End, t.Status, t.EndedUS = record.EndLeft, 0, t.SentUS+t.LeftMS*1000+2000
+			t.CancelUS = t.SentUS + 1000
+			t.End, t.Status, t.EndedUS = record.EndCancelled, 0, t.SentUS+t.TimeLeftMS*1000+2000
 		}, "one final answer, in time, for all that was taken"},
-		{"more time told than there is", func(r *record.Records) { r.Runs[0].LeftMS = 2400 }, "no attempt is told more time than its client has"},
+		{"more time told than there is", func(r *record.Records) { r.Attempts[0].TimeLeftMS = 2400 }, "no attempt is told more time than its client has"},
 		{"a request sent on and broken off, on a kept connection", func(r *record.Records) {
-			r.Tries[0].Status, r.Tries[0].End, r.Tries[0].Reused = 0, record.EndBroken, true
+			r.Tries[0].Status, r.Tries[0].End, r.Tries[0].ReusedConn = 0, record.EndBroken, true
 		}, "one final answer, in time, for all that was taken"},
 		{"a kept connection's end that crossed a request", func(r *record.Records) {
-			r.Tries[0].Status, r.Tries[0].End, r.Tries[0].Reused = 0, record.EndBroken, true
-			r.Runs = r.Runs[1:]
+			r.Tries[0].Status, r.Tries[0].End, r.Tries[0].ReusedConn = 0, record.EndBroken, true
+			r.Attempts = r.Attempts[1:]
 		}, ""},
 		{"a request broken off after SIGTERM, while the process goes on", func(r *record.Records) {
 			r.Tries[0].Status, r.Tries[0].End = 0, record.EndBroken
-			r.Events = []record.Event{{AtUS: 1e6, What: "terminated", Text: "n0", Scheduler: 0, Worker: -1}, {AtUS: 2e6, What: "ended", Text: "n0", Scheduler: 0, Worker: -1}}
+			r.Events = []record.Event{{AtUS: 1e6, Kind: "terminated", Text: "n0", Scheduler: 0, Worker: -1}, {AtUS: 2e6, Kind: "ended", Text: "n0", Scheduler: 0, Worker: -1}}
 		}, "one final answer, in time, for all that was taken"},
 		{"a settle that came twice and started once", func(r *record.Records) {
-			again := r.Runs[1]
+			again := r.Attempts[1]
 			again.StartedUS, again.Worker = 0, 0
-			r.Runs = append(r.Runs, again)
+			r.Attempts = append(r.Attempts, again)
 		}, ""},
 		{"a send after the grace", func(r *record.Records) {
-			r.Told = []record.Told{{AtUS: 1.8e6, Scheduler: 0, Worker: 0, Status: "draining"}}
+			r.ListUpdates = []record.ListUpdate{{AtUS: 1.8e6, Scheduler: 0, Worker: 0, Status: "draining"}}
 		}, "nothing new to a draining or gone table worker after the grace"},
 		{"a send within the grace", func(r *record.Records) {
-			r.Told = []record.Told{{AtUS: 2.5e6, Scheduler: 0, Worker: 0, Status: "removed"}}
+			r.ListUpdates = []record.ListUpdate{{AtUS: 2.5e6, Scheduler: 0, Worker: 0, Status: "removed"}}
 		}, ""},
 		{"a send to one that is back", func(r *record.Records) {
-			r.Told = []record.Told{{AtUS: 1.5e6, Scheduler: 0, Worker: 0, Status: "removed"}, {AtUS: 2.5e6, Scheduler: 0, Worker: 0, Status: "up"}}
+			r.ListUpdates = []record.ListUpdate{{AtUS: 1.5e6, Scheduler: 0, Worker: 0, Status: "removed"}, {AtUS: 2.5e6, Scheduler: 0, Worker: 0, Status: "up"}}
 		}, ""},
 		{"a worker pushed over", func(r *record.Records) {
-			r.Events = []record.Event{{AtUS: 1.1e6, What: "fell", Scheduler: -1, Worker: 0}}
-			r.Told = []record.Told{{AtUS: 0.5e6, Scheduler: 0, Worker: 0, Status: "up"}}
+			r.Events = []record.Event{{AtUS: 1.1e6, Kind: "fell", Scheduler: -1, Worker: 0}}
+			r.ListUpdates = []record.ListUpdate{{AtUS: 0.5e6, Scheduler: 0, Worker: 0, Status: "up"}}
 		}, "no cold table worker pushed over"},
 		{"a worker pushed over by those that could not know", func(r *record.Records) {
-			r.Events = []record.Event{{AtUS: 1.1e6, What: "fell", Scheduler: -1, Worker: 0}}
-			r.Told = []record.Told{{AtUS: 1.05e6, Scheduler: 0, Worker: 0, Status: "up"}}
+			r.Events = []record.Event{{AtUS: 1.1e6, Kind: "fell", Scheduler: -1, Worker: 0}}
+			r.ListUpdates = []record.ListUpdate{{AtUS: 1.05e6, Scheduler: 0, Worker: 0, Status: "up"}}
 		}, ""},
 		{"a crash", func(r *record.Records) {
-			r.Events = []record.Event{{AtUS: 9e6, What: "crashed", Text: "n1", Scheduler: 1, Worker: -1}}
+			r.Events = []record.Event{{AtUS: 9e6, Kind: "crashed", Text: "n1", Scheduler: 1, Worker: -1}}
 		}, "no process crashed"},
-		{"a long message", func(r *record.Records) { r.About.TooLong = 1 }, "messages within 256 bytes"},
+		{"a long message", func(r *record.Records) { r.About.OversizeMessages = 1 }, "messages within 256 bytes"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			rec := sound(t)
+			rec := faultlessRecords(t)
 			c.spoil(rec)
-			checks, _, err := Judge(rec)
+			checks, _, err := Evaluate(rec)
 			require.NoError(t, err)
 			failed := ""
 			for _, x := range checks {
@@ -235,8 +235,8 @@
 }
 
 // Only a cut on the way to the workers, which began before the attempt came and ended as it did, brings one late.
-func TestWhatACutBringsLate(t *testing.T) {
-	try, run := &record.Try{SentUS: 1e6, LeftMS: 2000, EndedUS: 2.9e6}, &record.Run{LeftMS: 1950, ArrivedUS: 2.7e6}
+func TestDelayedByCut(t *testing.T) {
+	try, run := &record.Try{SentUS: 1e6, TimeLeftMS: 2000, EndedUS: 2.9e6}, &record.Attempt{TimeLeftMS: 1950, ArrivedUS: 2.7e6}
 	for _, c := range []struct {
 		name  string
 		fault scenario.Fault
@@ -250,12 +250,12 @@
 		{"a cut that is on as it comes", scenario.Fault{AtS: 1.1, ForS: 4, What: "cut"}, false},
 		{"another fault", scenario.Fault{AtS: 1.1, ForS: 1.55, What: "slow-workers"}, false},
 	} {
-		require.Equal(t, c.held, heldByACut(&scenario.Scenario{Faults: []scenario.Fault{c.fault}}, try, run, 1.4e6), c.name)
+		require.Equal(t, c.held, delayedByCut(&scenario.Scenario{Faults: []scenario.Fault{c.fault}}, try, run, 1.4e6), c.name)
 	}
 }
 
 func TestFigures(t *testing.T) {
-	rec := sound(t)
+	rec := faultlessRecords(t)
 	rec.Tries[0].EndedUS += 1e6 // late: half of its worth
 	rec.Tries[1].Status = 503
 	for i := range rec.Samples { // one worker idle, at the other two jobs wait, for half of the time
@@ -266,7 +266,7 @@
 	s := &scenario.Scenario{}
 	require.NoError(t, json.Unmarshal(rec.About.Scenario, s))
 	analysis := Analyze(s, rec)
-	f := analysis.Window(scenario.Window{ToS: 10}, -1, -1)
+	f := analysis.WindowFigures(scenario.Window{ToS: 10}, -1, -1)
 	require.Equal(t, 3, f.Requests)
 	require.InDelta(t, 10.5/21, f.Worth, 1e-9)
 	require.InDelta(t, 1, f.Bound, 1e-9, "a planner serves all of them")
@@ -278,41 +278,41 @@
 
 // The planner serves the dear jobs where there is no room for all, and none while there is no worker.
 func TestBound(t *testing.T) {
-	rec := sound(t)
+	rec := faultlessRecords(t)
 	for i := range rec.Samples {
-		rec.Samples[i].Room = 0
+		rec.Samples[i].UsableSlots = 0
 		if rec.Samples[i].Worker == 0 && rec.Samples[i].AtUS < 4.5e6 {
-			rec.Samples[i].Room = 1
+			rec.Samples[i].UsableSlots = 1
 		}
 	}
 	rec.Tries = nil
 	for i := range 6 { // six jobs of 0.4 s at once, within 0.5 s: there is time for one, and a late one
 		rec.Tries = append(rec.Tries, record.Try{Request: int32(i), ID: string(rune('a' + i)), Class: int32(i) / 5, RunUS: 400_000, DueUS: 4e6, SentUS: 4e6,
-			EndedUS: 4.1e6, LeftMS: 2000, Status: 503, End: record.EndAnswered, Right: true})
+			EndedUS: 4.1e6, TimeLeftMS: 2000, Status: 503, End: record.EndAnswered, IsCorrect: true})
 	}
 	s := &scenario.Scenario{}
 	require.NoError(t, json.Unmarshal(rec.About.Scenario, s))
 	analysis := Analyze(s, rec)
-	require.InDelta(t, 10.5/15, analysis.Window(scenario.Window{ToS: 10}, -1, -1).Bound, 1e-9)
+	require.InDelta(t, 10.5/15, analysis.WindowFigures(scenario.Window{ToS: 10}, -1, -1).Bound, 1e-9)
 }
 
 // Each figure of crowding and order is moved by its own fault alone.
-func TestFiguresOfCrowdingAndOrder(t *testing.T) {
+func TestHerdStarvationAndInversionFigures(t *testing.T) {
 	all := scenario.Window{FromS: 0, ToS: 10}
 	figures := func(spoil func(*record.Records)) Figures {
-		rec := sound(t)
+		rec := faultlessRecords(t)
 		spoil(rec)
-		_, analysis, err := Judge(rec)
+		_, analysis, err := Evaluate(rec)
 		require.NoError(t, err)
-		return analysis.Window(all, -1, -1)
+		return analysis.WindowFigures(all, -1, -1)
 	}
 	f := figures(func(*record.Records) {})
-	require.Zero(t, f.LeftOut)
-	require.Zero(t, f.Inverted)
+	require.Zero(t, f.StarvedWorkers)
+	require.Zero(t, f.InvertedShare)
 	require.LessOrEqual(t, f.Herd, 1.0)
 	f = figures(func(r *record.Records) {
 		for i := range 8 {
-			r.Runs = append(r.Runs, record.Run{ID: "x", Worker: 1, ArrivedUS: 5e6 + int64(i)*1000})
+			r.Attempts = append(r.Attempts, record.Attempt{ID: "x", Worker: 1, ArrivedUS: 5e6 + int64(i)*1000})
 		}
 	})
 	require.Equal(t, 8.0, f.Herd)
@@ -323,11 +323,11 @@
 			}
 		}
 	})
-	require.Equal(t, 1, f.LeftOut)
+	require.Equal(t, 1, f.StarvedWorkers)
 	f = figures(func(r *record.Records) { // a settle is refused while a view is served
 		r.Tries[1].Status, r.Tries[1].SentUS = 503, r.Tries[0].SentUS+1000
 	})
-	require.InDelta(t, 1.0/3, f.Inverted, 1e-9)
+	require.InDelta(t, 1.0/3, f.InvertedShare, 1e-9)
 	f = figures(func(r *record.Records) { r.Tries[0].Status, r.Tries[1].SentUS = 503, r.Tries[0].SentUS+1000 })
-	require.Zero(t, f.Inverted, "a view gives way to a settle")
+	require.Zero(t, f.InvertedShare, "a view gives way to a settle")
 }
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -9,14 +9,14 @@
 )
 
 // withPlan plays a scenario with the plan for sites on, and checks the rules.
-func withPlan(t *testing.T, faults string) *record.Records {
+func playWithFailoverPolicy(t *testing.T, faults string) *record.Records {
 	t.Helper()
-	return play(t, small(t, `,"discovery":{"silent_s":0},"own":{"sites":{"plan":true}},"faults":[`+faults+`]`))
+	return playAndJudge(t, newScenario(t, `,"discovery":{"silent_s":0},"own":{"sites":{"plan":true}},"faults":[`+faults+`]`))
 }
 
 // sentTo counts the jobs that schedulers of site a sent to table workers of site b in a part of the run.
-func sentTo(rec *record.Records, from, to int64) int {
-	return count(rec.Runs, func(r *record.Run) bool {
+func countCrossSiteAttempts(rec *record.Records, from, to int64) int {
+	return count(rec.Attempts, func(r *record.Attempt) bool {
 		return r.Scheduler < 4 && r.Worker >= 4 && r.ArrivedUS >= from && r.ArrivedUS < to
 	})
 }
@@ -25,7 +25,7 @@
 // the other site have taken it for lost no client waits for it any more: what comes later is answered as if the site had
 // never been. When it is back it gets jobs again.
 func TestALostSiteGetsNothing(t *testing.T) {
-	rec := withPlan(t, `{"at_s":1,"for_s":2,"what":"lose-site","site":"b","hung":true}`)
+	rec := playWithFailoverPolicy(t, `{"at_s":1,"for_s":2,"what":"lose-site","site":"b","hung":true}`)
 	late := 0
 	for i := range rec.Tries {
 		if x := &rec.Tries[i]; x.SentUS > 2_200_000 && x.SentUS < 2_900_000 && x.Scheduler >= 0 && x.Scheduler < 4 && x.Status != 200 {
@@ -33,17 +33,17 @@
 		}
 	}
 	require.Zero(t, late, "without the plan about half of these wait for their deadlines")
-	require.Positive(t, sentTo(rec, 0, 1_000_000))
-	require.Positive(t, sentTo(rec, 3_000_000, 5_000_000), "it is let back")
+	require.Positive(t, countCrossSiteAttempts(rec, 0, 1_000_000))
+	require.Positive(t, countCrossSiteAttempts(rec, 3_000_000, 5_000_000), "it is let back")
 }
 
 // A repeatable job in hand at a site that is lost is done elsewhere, long before its time is over.
-func TestWhatWasInHandIsDoneElsewhere(t *testing.T) {
-	rec := withPlan(t, `{"at_s":1,"for_s":3.5,"what":"silence-workers","site":"b","hung":true}`)
+func TestRepeatableJobsOfALostSiteAreRetried(t *testing.T) {
+	rec := playWithFailoverPolicy(t, `{"at_s":1,"for_s":3.5,"what":"silence-workers","site":"b","hung":true}`)
 	views, elsewhere := 0, 0
 	runs := map[string]int{}
-	for i := range rec.Runs {
-		if r := &rec.Runs[i]; r.How == record.HowDone {
+	for i := range rec.Attempts {
+		if r := &rec.Attempts[i]; r.Outcome == record.OutcomeDone {
 			runs[r.ID]++
 		}
 	}
@@ -62,11 +62,11 @@
 
 // The sites cut off from one another both go on alone, and use one another again afterwards.
 func TestCutOffSitesGoOnAlone(t *testing.T) {
-	rec := withPlan(t, `{"at_s":1,"for_s":2,"what":"cut","site":"a","to":"b","paths":["job","back"]}`)
-	require.Zero(t, count(rec.Runs, func(r *record.Run) bool {
+	rec := playWithFailoverPolicy(t, `{"at_s":1,"for_s":2,"what":"cut","site":"a","to":"b","paths":["job","back"]}`)
+	require.Zero(t, count(rec.Attempts, func(r *record.Attempt) bool {
 		return r.Worker/4 != r.Scheduler/4 && r.ArrivedUS > 1_200_000 && r.ArrivedUS < 3_000_000
 	}))
-	require.Positive(t, sentTo(rec, 3_000_000, 5_000_000))
+	require.Positive(t, countCrossSiteAttempts(rec, 3_000_000, 5_000_000))
 	for i := range rec.Tries {
 		if x := &rec.Tries[i]; x.SentUS > 2_000_000 && x.SentUS < 2_900_000 {
 			require.EqualValues(t, 200, x.Status, "%+v", x)
--- a/internal/fleet/record/record_test.go
+++ b/internal/fleet/record/record_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRecordsAreReadAsTheyWereSaved(t *testing.T) {
-	r := &Records{Tries: []Try{{Request: 3, ID: "x", Status: 200, End: EndAnswered, Right: true, AfterMS: -1}}, Runs: []Run{{ID: "x", Worker: 2, How: HowDone}},
-		Samples: []Sample{{AtUS: 5, Room: 1.5}}, Told: []Told{{Status: "up"}}, Events: []Event{{What: "cut", Ends: true}},
-		About: About{Scenario: []byte(`{"name": "a"}`), Seed: 9, Passed: map[string]Path{"job": {Opened: 1}}}}
+func TestSavedRecordsReadBack(t *testing.T) {
+	r := &Records{Tries: []Try{{Request: 3, ID: "x", Status: 200, End: EndAnswered, IsCorrect: true, RetryAfterMS: -1}}, Attempts: []Attempt{{ID: "x", Worker: 2, Outcome: OutcomeDone}},
+		Samples: []Sample{{AtUS: 5, UsableSlots: 1.5}}, ListUpdates: []ListUpdate{{Status: "up"}}, Events: []Event{{Kind: "cut", IsEnd: true}},
+		About: About{Scenario: []byte(`{"name": "a"}`), Seed: 9, Paths: map[string]PathTraffic{"job": {Opened: 1}}}}
 	dir := t.TempDir()
 	require.NoError(t, r.Save(dir))
 	got, err := Open(dir)
--- a/internal/fleet/relay/conn.go
+++ b/internal/fleet/relay/conn.go
@@ -20,20 +20,20 @@
 // takes its time, and is held as long as its direction is cut.
 type Conn struct {
 	net.Conn
-	net    *Net
-	path   Path
-	opener bool // this end is the one that opened it
-	owner  *Listener
-	end    chan struct{}
-	once   sync.Once
+	network   *Network
+	path      Path
+	isOpener  bool // this end is the one that opened it
+	listener  *Listener
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 // Wrap puts a connection on a path. opener tells whether the rig opened it.
-func (n *Net) Wrap(c net.Conn, p Path, opener bool) *Conn {
-	w := &Conn{Conn: c, net: n, path: p, opener: opener, end: make(chan struct{})}
+func (n *Network) Wrap(c net.Conn, p Path, opener bool) *Conn {
+	w := &Conn{Conn: c, network: n, path: p, isOpener: opener, closed: make(chan struct{})}
 	n.mu.Lock()
 	n.conns[w] = struct{}{}
-	n.counts[p.Kind].Opened++
+	n.traffic[p.Kind].Opened++
 	n.mu.Unlock()
 	return w
 }
@@ -46,12 +46,12 @@
 	size, err := c.Conn.Read(b)
 	if size > 0 {
 		from, to := c.path.To, c.path.From
-		if !c.opener {
+		if !c.isOpener {
 			from, to = to, from
 		}
-		held := c.pass(from, to, size)
+		held := c.waitTransit(from, to, size)
 		select {
-		case <-c.end:
+		case <-c.closed:
 			return 0, net.ErrClosed
 		default:
 		}
@@ -65,10 +65,10 @@
 // Write has what is written take its time before it leaves.
 func (c *Conn) Write(b []byte) (int, error) {
 	from, to := c.path.From, c.path.To
-	if !c.opener {
+	if !c.isOpener {
 		from, to = to, from
 	}
-	c.pass(from, to, len(b))
+	c.waitTransit(from, to, len(b))
 	return c.Conn.Write(b)
 }
 
@@ -93,25 +93,25 @@
 
 // pass waits until a segment has passed from one site to another, or the connection ends, and tells whether it was held
 // by a cut meanwhile.
-func (c *Conn) pass(from, to, size int) (held bool) {
-	if c.owner != nil {
-		for quiet := c.owner.quiet(); quiet != nil; quiet = c.owner.quiet() { // its machine has vanished, or it hangs
+func (c *Conn) waitTransit(from, to, size int) (held bool) {
+	if c.listener != nil {
+		for quiet := c.listener.currentSilence(); quiet != nil; quiet = c.listener.currentSilence() { // its machine has vanished, or it hangs
 			select {
 			case <-quiet:
-			case <-c.end:
+			case <-c.closed:
 				return held
 			}
 		}
 	}
-	wait, t, changed := c.net.way(c.path.Kind, from, to, size)
-	for t.Cut > 0 {
+	wait, t, changed := c.network.transit(c.path.Kind, from, to, size)
+	for t.Cuts > 0 {
 		held = true
 		select {
 		case <-changed:
-		case <-c.end:
+		case <-c.closed:
 			return held
 		}
-		wait, t, changed = c.net.way(c.path.Kind, from, to, size)
+		wait, t, changed = c.network.transit(c.path.Kind, from, to, size)
 	}
 	if wait < 50*time.Microsecond {
 		return held
@@ -120,18 +120,18 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-c.end:
+	case <-c.closed:
 	}
 	return held
 }
 
 // Close ends it; what waits is let go.
 func (c *Conn) Close() error {
-	c.once.Do(func() {
-		close(c.end)
-		c.net.mu.Lock()
-		delete(c.net.conns, c)
-		c.net.mu.Unlock()
+	c.closeOnce.Do(func() {
+		close(c.closed)
+		c.network.mu.Lock()
+		delete(c.network.conns, c)
+		c.network.mu.Unlock()
 	})
 	return c.Conn.Close()
 }
@@ -145,10 +145,10 @@
 }
 
 // Dial opens a connection on a path. Where the path is cut it waits, as one waits for a machine that says nothing.
-func (n *Net) Dial(ctx context.Context, p Path, address string) (net.Conn, error) {
+func (n *Network) Dial(ctx context.Context, p Path, address string) (net.Conn, error) {
 	for {
 		n.mu.Lock()
-		open, changed := n.at(p.Kind, p.From, p.To).Cut == 0 && n.at(p.Kind, p.To, p.From).Cut == 0, n.changed
+		open, changed := n.impairment(p.Kind, p.From, p.To).Cuts == 0 && n.impairment(p.Kind, p.To, p.From).Cuts == 0, n.changed
 		n.mu.Unlock()
 		if open {
 			break
--- a/internal/fleet/relay/relay_test.go
+++ b/internal/fleet/relay/relay_test.go
@@ -14,11 +14,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-const patience = 10 * time.Second
+const timeout = 10 * time.Second
 
-func quick() [2]time.Duration { return [2]time.Duration{} }
+func noDelay() [2]time.Duration { return [2]time.Duration{} }
 
-var any4 = netip.MustParseAddrPort("127.0.0.1:0")
+var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
 // echo answers each byte on the connections of a listener.
 func echo(l net.Listener) {
@@ -31,7 +31,7 @@
 	}
 }
 
-func ask(c net.Conn, patience time.Duration) error {
+func roundTrip(c net.Conn, patience time.Duration) error {
 	c.SetDeadline(time.Now().Add(patience))
 	if _, err := c.Write([]byte{1}); err != nil {
 		return err
@@ -46,49 +46,49 @@
 
 // A vanished machine says nothing: new connections neither come up nor are refused, open ones stay open.
 func TestSilentListener(t *testing.T) {
-	n := New(2, quick(), quick(), 1)
-	l, err := n.Listen(Path{Job, 0, 1}, any4)
+	n := New(2, noDelay(), noDelay(), 1)
+	l, err := n.Listen(Path{Job, 0, 1}, anyPort)
 	require.NoError(t, err)
 	defer l.Close()
 	go echo(l)
-	c, err := dial(l, patience)
+	c, err := dial(l, timeout)
 	require.NoError(t, err)
-	require.NoError(t, ask(c, patience))
+	require.NoError(t, roundTrip(c, timeout))
 
-	l.Silence(true, false)
+	l.SetSilent(true, false)
 	var late net.Error
 	_, err = dial(l, 100*time.Millisecond)
 	require.ErrorAs(t, err, &late)
 	require.True(t, late.Timeout(), "not refused, not up: %v", err)
-	require.ErrorIs(t, ask(c, 50*time.Millisecond), os.ErrDeadlineExceeded)
+	require.ErrorIs(t, roundTrip(c, 50*time.Millisecond), os.ErrDeadlineExceeded)
 
-	l.Silence(false, false)
-	again, err := dial(l, patience)
+	l.SetSilent(false, false)
+	again, err := dial(l, timeout)
 	require.NoError(t, err)
-	require.NoError(t, ask(again, patience))
+	require.NoError(t, roundTrip(again, timeout))
 }
 
 // Where only the process hangs its kernel goes on taking connections.
 func TestHungListener(t *testing.T) {
-	n := New(1, quick(), quick(), 1)
-	l, err := n.Listen(Path{Job, 0, 0}, any4)
+	n := New(1, noDelay(), noDelay(), 1)
+	l, err := n.Listen(Path{Job, 0, 0}, anyPort)
 	require.NoError(t, err)
 	defer l.Close()
 	go echo(l)
-	l.Silence(true, true)
-	c, err := dial(l, patience)
+	l.SetSilent(true, true)
+	c, err := dial(l, timeout)
 	require.NoError(t, err)
-	require.ErrorIs(t, ask(c, 50*time.Millisecond), os.ErrDeadlineExceeded)
-	l.Silence(false, false)
-	c.SetDeadline(time.Now().Add(patience))
+	require.ErrorIs(t, roundTrip(c, 50*time.Millisecond), os.ErrDeadlineExceeded)
+	l.SetSilent(false, false)
+	c.SetDeadline(time.Now().Add(timeout))
 	_, err = io.ReadFull(c, make([]byte, 1))
 	require.NoError(t, err, "what came meanwhile is read in the end")
 }
 
 // A cut in one direction holds what goes that way alone, and lets no connection come up.
 func TestCutOneWay(t *testing.T) {
-	n := New(2, quick(), quick(), 1)
-	l, err := n.Listen(Path{Job, 0, 1}, any4)
+	n := New(2, noDelay(), noDelay(), 1)
+	l, err := n.Listen(Path{Job, 0, 1}, anyPort)
 	require.NoError(t, err)
 	defer l.Close()
 	got := make(chan net.Conn, 1)
@@ -96,16 +96,16 @@
 		c, _ := l.Accept()
 		got <- c
 	}()
-	near, err := dial(l, patience)
+	near, err := dial(l, timeout)
 	require.NoError(t, err)
 	far := <-got
 
-	n.Change(nil, 0, 1, false, func(t *Trouble) { t.Cut++ })
+	n.UpdateImpairments(nil, 0, 1, false, func(t *Impairment) { t.Cuts++ })
 	_, err = dial(l, 100*time.Millisecond)
 	require.Error(t, err)
 	_, err = far.Write([]byte("back"))
 	require.NoError(t, err)
-	near.SetDeadline(time.Now().Add(patience))
+	near.SetDeadline(time.Now().Add(timeout))
 	_, err = io.ReadFull(near, make([]byte, 4))
 	require.NoError(t, err, "the other direction goes on")
 	read := make(chan int, 1)
@@ -119,22 +119,22 @@
 		t.Fatal("it passed a cut")
 	case <-time.After(50 * time.Millisecond):
 	}
-	n.Change(nil, 0, 1, false, func(t *Trouble) { t.Cut-- })
+	n.UpdateImpairments(nil, 0, 1, false, func(t *Impairment) { t.Cuts-- })
 	require.Equal(t, 5, <-read)
 }
 
 // What a cut has held when its sender resets the connection never comes; behind an orderly end it does.
-func TestWhatACutHoldsBehindTheEndOfAConnection(t *testing.T) {
+func TestDataHeldByCutAfterClose(t *testing.T) {
 	for _, reset := range []bool{true, false} {
-		n := New(1, quick(), quick(), 1)
-		l, err := n.Listen(Path{Job, 0, 0}, any4)
+		n := New(1, noDelay(), noDelay(), 1)
+		l, err := n.Listen(Path{Job, 0, 0}, anyPort)
 		require.NoError(t, err)
 		defer l.Close()
-		c, err := dial(l, patience)
+		c, err := dial(l, timeout)
 		require.NoError(t, err)
 		taken, err := l.Accept()
 		require.NoError(t, err)
-		n.Change([]Kind{Job}, -1, -1, true, func(t *Trouble) { t.Cut++ })
+		n.UpdateImpairments([]Kind{Job}, -1, -1, true, func(t *Impairment) { t.Cuts++ })
 		type got struct {
 			text string
 			err  error
@@ -146,15 +146,15 @@
 		}()
 		_, err = c.Write([]byte("held"))
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return n.Traffic(Job).Messages > 0 }, patience, time.Millisecond, "the cut holds it")
+		require.Eventually(t, func() bool { return n.Traffic(Job).Messages > 0 }, timeout, time.Millisecond, "the cut holds it")
 		if reset {
 			require.NoError(t, c.(*net.TCPConn).SetLinger(0))
 		}
 		require.NoError(t, c.Close())
-		n.Change([]Kind{Job}, -1, -1, true, func(t *Trouble) { t.Cut-- })
+		n.UpdateImpairments([]Kind{Job}, -1, -1, true, func(t *Impairment) { t.Cuts-- })
 		all := <-came
 		if reset {
-			require.Equal(t, got{"", syscall.ECONNRESET}, got{all.text, underlying(all.err)})
+			require.Equal(t, got{"", syscall.ECONNRESET}, got{all.text, errnoOf(all.err)})
 		} else {
 			require.Equal(t, got{"held", nil}, all)
 		}
@@ -162,7 +162,7 @@
 }
 
 // underlying is the system's error in another.
-func underlying(err error) error {
+func errnoOf(err error) error {
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
 		return errno
@@ -171,61 +171,61 @@
 }
 
 func TestDialWaitsAtACut(t *testing.T) {
-	n := New(2, quick(), quick(), 1)
+	n := New(2, noDelay(), noDelay(), 1)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
 	go echo(ln)
-	n.Change([]Kind{Client}, 0, 1, true, func(t *Trouble) { t.Cut++ })
+	n.UpdateImpairments([]Kind{Client}, 0, 1, true, func(t *Impairment) { t.Cuts++ })
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
 	defer cancel()
 	_, err = n.Dial(ctx, Path{Client, 0, 1}, ln.Addr().String())
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	c, err := n.Dial(context.Background(), Path{Client, 0, 0}, ln.Addr().String())
 	require.NoError(t, err)
-	require.NoError(t, ask(c, patience))
+	require.NoError(t, roundTrip(c, timeout))
 	c.Close()
 }
 
 // A reset is seen as one, and only on the paths that it is meant for.
 func TestReset(t *testing.T) {
-	n := New(2, quick(), quick(), 1)
-	hit, err := n.Listen(Path{Job, 0, 1}, any4)
+	n := New(2, noDelay(), noDelay(), 1)
+	hit, err := n.Listen(Path{Job, 0, 1}, anyPort)
 	require.NoError(t, err)
 	defer hit.Close()
-	spared, err := n.Listen(Path{Job, 0, 0}, any4)
+	spared, err := n.Listen(Path{Job, 0, 0}, anyPort)
 	require.NoError(t, err)
 	defer spared.Close()
 	go echo(hit)
 	go echo(spared)
-	a, err := dial(hit, patience)
+	a, err := dial(hit, timeout)
 	require.NoError(t, err)
-	b, err := dial(spared, patience)
+	b, err := dial(spared, timeout)
 	require.NoError(t, err)
-	require.NoError(t, ask(a, patience))
-	require.NoError(t, ask(b, patience))
-	require.Equal(t, 1, n.Reset([]Kind{Job}, 0, 1, 0))
-	require.True(t, errors.Is(ask(a, patience), syscall.ECONNRESET))
-	require.NoError(t, ask(b, patience))
+	require.NoError(t, roundTrip(a, timeout))
+	require.NoError(t, roundTrip(b, timeout))
+	require.Equal(t, 1, n.ResetConns([]Kind{Job}, 0, 1, 0))
+	require.True(t, errors.Is(roundTrip(a, timeout), syscall.ECONNRESET))
+	require.NoError(t, roundTrip(b, timeout))
 }
 
 func TestDelay(t *testing.T) {
-	n := New(1, quick(), quick(), 1)
-	l, err := n.Listen(Path{Job, 0, 0}, any4)
+	n := New(1, noDelay(), noDelay(), 1)
+	l, err := n.Listen(Path{Job, 0, 0}, anyPort)
 	require.NoError(t, err)
 	defer l.Close()
 	go echo(l)
-	n.Change([]Kind{Job}, 0, 0, true, func(t *Trouble) { t.Delay = 30 * time.Millisecond })
-	c, err := dial(l, patience)
+	n.UpdateImpairments([]Kind{Job}, 0, 0, true, func(t *Impairment) { t.Delay = 30 * time.Millisecond })
+	c, err := dial(l, timeout)
 	require.NoError(t, err)
 	from := time.Now()
-	require.NoError(t, ask(c, patience))
+	require.NoError(t, roundTrip(c, timeout))
 	require.GreaterOrEqual(t, time.Since(from), 60*time.Millisecond)
 }
 
 // Datagrams come from the sender's public address, to all but itself; a cut loses them; long ones are counted and held.
-func TestPeers(t *testing.T) {
-	n := New(2, quick(), quick(), 1)
+func TestPeerRelay(t *testing.T) {
+	n := New(2, noDelay(), noDelay(), 1)
 	var socks []*net.UDPConn
 	var own []netip.AddrPort
 	for range 3 {
@@ -234,7 +234,7 @@
 		defer c.Close()
 		socks, own = append(socks, c), append(own, netip.MustParseAddrPort(c.LocalAddr().String()))
 	}
-	p, err := n.NewPeers([]int{0, 0, 1}, own, 0, 0, func() time.Duration { return 0 })
+	p, err := n.NewPeerRelay([]int{0, 0, 1}, own, 0, 0, func() time.Duration { return 0 })
 	require.NoError(t, err)
 	defer p.Close()
 	each, all := p.Addresses()
@@ -244,17 +244,17 @@
 	}
 	hear := func(at int) (string, string) {
 		buf := make([]byte, 300)
-		socks[at].SetReadDeadline(time.Now().Add(patience))
+		socks[at].SetReadDeadline(time.Now().Add(timeout))
 		size, from, err := socks[at].ReadFromUDPAddrPort(buf)
 		require.NoError(t, err)
 		return string(buf[:size]), from.String()
 	}
-	n.Change([]Kind{Peer}, 0, 1, true, func(t *Trouble) { t.Cut++ })
+	n.UpdateImpairments([]Kind{Peer}, 0, 1, true, func(t *Impairment) { t.Cuts++ })
 	say(0, "one")
 	text, from := hear(1)
 	require.Equal(t, "one", text)
 	require.Equal(t, each[0], from)
-	n.Change([]Kind{Peer}, 0, 1, true, func(t *Trouble) { t.Cut-- })
+	n.UpdateImpairments([]Kind{Peer}, 0, 1, true, func(t *Impairment) { t.Cuts-- })
 	say(0, string(make([]byte, 257)))
 	say(1, "two")
 	text, from = hear(2)
--- a/internal/fleet/report/report.go
+++ b/internal/fleet/report/report.go
@@ -26,7 +26,7 @@
 //go:embed report.html
 var page string
 
-var layout = template.Must(template.New("report").Parse(page))
+var pageTemplate = template.Must(template.New("report").Parse(page))
 
 // Run is one run as the report shows it.
 type Run struct {
@@ -52,48 +52,48 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", dir, err)
 		}
-		run, err := read(rec)
+		run, err := newRun(rec)
 		if err != nil {
 			return fmt.Errorf("%s: %w", dir, err)
 		}
 		runs = append(runs, run)
 	}
 	var out bytes.Buffer
-	if err := layout.Execute(&out, runs); err != nil {
+	if err := pageTemplate.Execute(&out, runs); err != nil {
 		return err
 	}
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-func read(rec *record.Records) (run Run, err error) {
+func newRun(rec *record.Records) (run Run, err error) {
 	s := &scenario.Scenario{}
 	if err := json.Unmarshal(rec.About.Scenario, s); err != nil {
 		return run, err
 	}
 	var analysis *judge.Analysis
-	if run.Checks, analysis, err = judge.Judge(rec); err != nil {
+	if run.Checks, analysis, err = judge.Evaluate(rec); err != nil {
 		return run, err
 	}
 	run.Title = fmt.Sprintf("%s, build %s, seed %d", s.Name, rec.About.Build, rec.About.Seed)
 	run.About = s.About
 	for _, w := range append(slices.Clone(s.Windows), scenario.Window{Name: "all", ToS: s.Seconds}) {
-		run.Rows = append(run.Rows, Row{w.Name, analysis.Window(w, -1, -1)})
+		run.Rows = append(run.Rows, Row{w.Name, analysis.WindowFigures(w, -1, -1)})
 	}
 	var marks []float64
 	for _, e := range rec.Events {
-		if e.Scheduler >= 0 || e.Worker >= 0 && e.What != "fell" {
+		if e.Scheduler >= 0 || e.Worker >= 0 && e.Kind != "fell" {
 			continue
 		}
 		marks = append(marks, float64(e.AtUS)/1e6)
-		what := e.What
-		if e.Ends {
+		what := e.Kind
+		if e.IsEnd {
 			what += " ends"
 		}
 		run.Faults = append(run.Faults, fmt.Sprintf("%.1f s: %s %s", float64(e.AtUS)/1e6, what, e.Text))
 	}
 	charts := []func() (*plot.Plot, error){
-		func() (*plot.Plot, error) { return served(s, analysis, marks) }, func() (*plot.Plot, error) { return ends(s, rec, marks) },
-		func() (*plot.Plot, error) { return load(s, rec, marks) },
+		func() (*plot.Plot, error) { return chartValue(s, analysis, marks) }, func() (*plot.Plot, error) { return chartUnservedTries(s, rec, marks) },
+		func() (*plot.Plot, error) { return chartLoad(s, rec, marks) },
 	}
 	for _, chart := range charts {
 		p, err := chart()
@@ -115,11 +115,11 @@
 	return run, nil
 }
 
-var colours = []color.Color{color.RGBA{31, 119, 180, 255}, color.RGBA{214, 94, 20, 255}, color.RGBA{44, 140, 44, 255}, color.RGBA{148, 103, 189, 255},
+var lineColours = []color.Color{color.RGBA{31, 119, 180, 255}, color.RGBA{214, 94, 20, 255}, color.RGBA{44, 140, 44, 255}, color.RGBA{148, 103, 189, 255},
 	color.RGBA{140, 86, 75, 255}, color.RGBA{20, 150, 170, 255}, color.RGBA{110, 110, 110, 255}, color.RGBA{190, 20, 60, 255}}
 
 // chart makes an empty one with the faults marked.
-func chart(title, y string, seconds, most float64, marks []float64) (*plot.Plot, error) {
+func newChart(title, y string, seconds, most float64, marks []float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.X.Min, p.X.Max = 0, seconds*1.22 // room for the legend
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
@@ -139,20 +139,20 @@
 	return p, nil
 }
 
-func add(p *plot.Plot, name string, i int, points plotter.XYs) error {
+func addLine(p *plot.Plot, name string, i int, points plotter.XYs) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
 		return err
 	}
-	line.Color, line.Width = colours[i%len(colours)], vg.Points(1.5)
+	line.Color, line.Width = lineColours[i%len(lineColours)], vg.Points(1.5)
 	p.Add(line)
 	p.Legend.Add(name, line)
 	return nil
 }
 
 // served is the part of the worth that is earned, second by second, by site and by class.
-func served(s *scenario.Scenario, analysis *judge.Analysis, marks []float64) (*plot.Plot, error) {
-	p, err := chart("Worth earned within what was asked for, by when it was due", "part", s.Seconds, 1, marks)
+func chartValue(s *scenario.Scenario, analysis *judge.Analysis, marks []float64) (*plot.Plot, error) {
+	p, err := newChart("Worth earned within what was asked for, by when it was due", "part", s.Seconds, 1, marks)
 	if err != nil {
 		return nil, err
 	}
@@ -160,12 +160,12 @@
 	over := func(name string, class, site int) error {
 		var points plotter.XYs
 		for at := 0.0; at+1 <= s.Seconds; at++ {
-			if f := analysis.Answers(scenario.Window{FromS: at, ToS: at + 1}, class, site); f.Requests > 0 {
+			if f := analysis.ClientFigures(scenario.Window{FromS: at, ToS: at + 1}, class, site); f.Requests > 0 {
 				points = append(points, plotter.XY{X: at + 0.5, Y: f.Worth})
 			}
 		}
 		line++
-		return add(p, name, line-1, points)
+		return addLine(p, name, line-1, points)
 	}
 	for i, x := range s.Sites {
 		if err := over("clients of "+x.Name, -1, i); err != nil {
@@ -181,7 +181,7 @@
 }
 
 // ends are the tries that were not served, second by second, by how they ended.
-func ends(s *scenario.Scenario, rec *record.Records, marks []float64) (*plot.Plot, error) {
+func chartUnservedTries(s *scenario.Scenario, rec *record.Records, marks []float64) (*plot.Plot, error) {
 	count := map[string][]float64{}
 	most := 1.0
 	for i := range rec.Tries {
@@ -202,12 +202,12 @@
 		count[how][at]++
 		most = max(most, count[how][at])
 	}
-	p, err := chart("Tries that were not served, by when they were sent", "a second", s.Seconds, most, marks)
+	p, err := newChart("Tries that were not served, by when they were sent", "a second", s.Seconds, most, marks)
 	if err != nil {
 		return nil, err
 	}
 	line := 0
-	for _, how := range []string{"refused", "failed", record.EndUnreachable, record.EndBroken, record.EndLeft} {
+	for _, how := range []string{"refused", "failed", record.EndUnreachable, record.EndBroken, record.EndCancelled} {
 		if count[how] == nil {
 			continue
 		}
@@ -215,7 +215,7 @@
 		for at, n := range count[how] {
 			points = append(points, plotter.XY{X: float64(at) + 0.5, Y: n})
 		}
-		if err := add(p, how, line, points); err != nil {
+		if err := addLine(p, how, line, points); err != nil {
 			return nil, err
 		}
 		line++
@@ -224,7 +224,7 @@
 }
 
 // load is how many jobs run and wait at the workers of each site, and the longest queue anywhere.
-func load(s *scenario.Scenario, rec *record.Records, marks []float64) (*plot.Plot, error) {
+func chartLoad(s *scenario.Scenario, rec *record.Records, marks []float64) (*plot.Plot, error) {
 	var site []int
 	for i, x := range s.Sites {
 		for range x.Workers {
@@ -251,17 +251,17 @@
 		longest[len(longest)-1].Y = max(longest[len(longest)-1].Y, float64(x.Waiting))
 		most = max(most, running[k][len(running[k])-1].Y, waiting[k][len(waiting[k])-1].Y)
 	}
-	p, err := chart("Jobs at the table workers", "jobs", s.Seconds, most, marks)
+	p, err := newChart("Jobs at the table workers", "jobs", s.Seconds, most, marks)
 	if err != nil {
 		return nil, err
 	}
 	for i, x := range s.Sites {
-		if err := add(p, "running, "+x.Name, 2*i, running[i]); err != nil {
+		if err := addLine(p, "running, "+x.Name, 2*i, running[i]); err != nil {
 			return nil, err
 		}
-		if err := add(p, "waiting, "+x.Name, 2*i+1, waiting[i]); err != nil {
+		if err := addLine(p, "waiting, "+x.Name, 2*i+1, waiting[i]); err != nil {
 			return nil, err
 		}
 	}
-	return p, add(p, "longest queue", 2*len(s.Sites), longest)
+	return p, addLine(p, "longest queue", 2*len(s.Sites), longest)
 }
--- a/internal/fleet/report/report_test.go
+++ b/internal/fleet/report/report_test.go
@@ -12,13 +12,13 @@
 )
 
 // One file, with all charts, the faults that were played and the checks, and nothing fetched from elsewhere.
-func TestReportStandsAlone(t *testing.T) {
+func TestReportIsSelfContained(t *testing.T) {
 	rec := &record.Records{
-		Tries: []record.Try{{ID: "a", RunUS: 1000, DueUS: 1e6, SentUS: 1e6, EndedUS: 1.1e6, LeftMS: 1000, Status: 200, End: record.EndAnswered, Right: true},
-			{Request: 1, ID: "b", RunUS: 1000, DueUS: 2e6, SentUS: 2e6, EndedUS: 2.1e6, LeftMS: 1000, Status: 503, End: record.EndAnswered}},
-		Runs:    []record.Run{{ID: "a", ArrivedUS: 1e6, StartedUS: 1e6, EndedUS: 1.1e6, How: record.HowDone}},
-		Samples: []record.Sample{{AtUS: 1e6, Room: 1, Running: 1}, {AtUS: 2e6, Room: 1}},
-		Events:  []record.Event{{AtUS: 1.5e6, What: "lose-site", Scheduler: -1, Worker: -1}},
+		Tries: []record.Try{{ID: "a", RunUS: 1000, DueUS: 1e6, SentUS: 1e6, EndedUS: 1.1e6, TimeLeftMS: 1000, Status: 200, End: record.EndAnswered, IsCorrect: true},
+			{Request: 1, ID: "b", RunUS: 1000, DueUS: 2e6, SentUS: 2e6, EndedUS: 2.1e6, TimeLeftMS: 1000, Status: 503, End: record.EndAnswered}},
+		Attempts: []record.Attempt{{ID: "a", ArrivedUS: 1e6, StartedUS: 1e6, EndedUS: 1.1e6, Outcome: record.OutcomeDone}},
+		Samples:  []record.Sample{{AtUS: 1e6, UsableSlots: 1, Running: 1}, {AtUS: 2e6, UsableSlots: 1}},
+		Events:   []record.Event{{AtUS: 1.5e6, Kind: "lose-site", Scheduler: -1, Worker: -1}},
 		About: record.About{Build: "new", Seed: 3, Scenario: []byte(`{"name":"x","about":"<b>","seconds":3,"sites":[{"name":"s","schedulers":1,"workers":1}],
 			"workers":{"kinds":[{"name":"k","share":1,"speed":1}]},
 			"classes":[{"name":"v","share":1,"run_ms":1,"effect":"repeatable","aim_ms":500,"deadline_s":1,"worth":1}]}`)},
--- a/internal/fleet/rig.go
+++ b/internal/fleet/rig.go
@@ -27,42 +27,42 @@
 
 // Build is a program to play a scenario with.
 type Build struct {
-	Name   string
-	Binary string
-	Arm    string         // the name of what is changed in its own configuration; empty: nothing
-	Own    map[string]any // put over the scenario's
-	Plain  bool           // an earlier build, which may not know what the scenario puts over its configuration
+	Name            string
+	Binary          string
+	Arm             string         // the name of what is changed in its own configuration; empty: nothing
+	ConfigOverrides map[string]any // put over the scenario's
+	SkipsOverrides  bool           // an earlier build, which may not know what the scenario puts over its configuration
 }
 
 // Options of a run.
 type Options struct {
-	Seed uint64
-	Live io.Writer // takes a line a second; nil: none
-	Dir  string    // keeps the processes' logs; empty: they are dropped
+	Seed     uint64
+	Progress io.Writer // takes a line a second; nil: none
+	LogDir   string    // keeps the processes' logs; empty: they are dropped
 }
 
-type rig struct {
-	set        *scenario.Scenario
-	build      Build
-	seed       uint64
-	own        string // path of the processes' own configuration
-	keepsLogs  bool
-	net        *relay.Net
-	recorder   *endpoints.Recorder
-	workers    []*endpoints.Worker
-	discovery  *endpoints.Discovery
-	peers      *relay.Peers
-	schedulers []*scheduler
-	front      *front
-	spawner    chan spawned
+type harness struct {
+	scenario      *scenario.Scenario
+	build         Build
+	seed          uint64
+	configPath    string // path of the processes' own configuration
+	keepsLogs     bool
+	network       *relay.Network
+	recorder      *endpoints.Recorder
+	workers       []*endpoints.Worker
+	discovery     *endpoints.Discovery
+	peers         *relay.PeerRelay
+	schedulers    []*scheduler
+	balancer      *balancer
+	spawnRequests chan spawnRequest
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-type spawned struct {
-	cmd  *exec.Cmd
-	done chan error
+type spawnRequest struct {
+	cmd    *exec.Cmd
+	result chan error
 }
 
 // Play runs a scenario once with a build. All it has started has ended when it returns, also when ctx is cancelled.
@@ -70,20 +70,20 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ms := func(r scenario.Range) [2]time.Duration {
-		return [2]time.Duration{time.Duration(r.Least * float64(time.Millisecond)), time.Duration(r.Most * float64(time.Millisecond))}
+		return [2]time.Duration{time.Duration(r.Min * float64(time.Millisecond)), time.Duration(r.Max * float64(time.Millisecond))}
 	}
-	r := &rig{set: s, build: b, seed: o.Seed, keepsLogs: o.Dir != "", recorder: endpoints.NewRecorder(), net: relay.New(len(s.Sites), ms(s.Network.SameMS), ms(s.Network.CrossMS), o.Seed),
-		rng: rand.New(rand.NewPCG(o.Seed, 0x726967)), spawner: make(chan spawned)}
+	r := &harness{scenario: s, build: b, seed: o.Seed, keepsLogs: o.LogDir != "", recorder: endpoints.NewRecorder(), network: relay.New(len(s.Sites), ms(s.Network.SameMS), ms(s.Network.CrossMS), o.Seed),
+		rng: rand.New(rand.NewPCG(o.Seed, 0x726967)), spawnRequests: make(chan spawnRequest)}
 	// The kernel ends a process when the thread that started it ends, not when its program does: one thread that lives as
 	// long as the run starts them all.
-	go r.spawnAll(ctx)
+	go r.runSpawner(ctx)
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	if o.Dir != "" {
-		defer r.keepLogs(o.Dir)
+	if o.LogDir != "" {
+		defer r.keepLogs(o.LogDir)
 	}
 	defer r.close()
 	if err := r.setUp(dir); err != nil {
@@ -92,54 +92,54 @@
 	if err := r.startAll(ctx); err != nil {
 		return nil, err
 	}
-	r.run(ctx, o.Live)
+	r.run(ctx, o.Progress)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
 	for _, w := range r.workers {
-		w.End()
+		w.RecordOpenJobs()
 	}
 	rec := r.recorder.Records()
-	r.about(&rec.About)
+	r.fillAbout(&rec.About)
 	return rec, nil
 }
 
-func (r *rig) spawnAll(ctx context.Context) {
+func (r *harness) runSpawner(ctx context.Context) {
 	runtime.LockOSThread()
 	for {
 		select {
-		case s := <-r.spawner:
-			s.done <- s.cmd.Start()
+		case s := <-r.spawnRequests:
+			s.result <- s.cmd.Start()
 		case <-ctx.Done():
 			return // the thread ends with its goroutine, and what is left of its processes with it
 		}
 	}
 }
 
-func (r *rig) spawn(cmd *exec.Cmd) error {
-	s := spawned{cmd, make(chan error, 1)}
+func (r *harness) spawn(cmd *exec.Cmd) error {
+	s := spawnRequest{cmd, make(chan error, 1)}
 	select {
-	case r.spawner <- s:
-		return <-s.done
+	case r.spawnRequests <- s:
+		return <-s.result
 	case <-time.After(5 * time.Second):
 		return errors.New("the run has ended")
 	}
 }
 
-func (r *rig) setUp(dir string) (err error) {
-	sites := r.set.Schedulers()
-	r.front = newFront(sites, r.set.Clients.Unlike)
+func (r *harness) setUp(dir string) (err error) {
+	sites := r.scenario.SchedulerSites()
+	r.balancer = newBalancer(sites, r.scenario.Clients.Unlike)
 	var listens []string
-	at, err := endpoints.Ports(schedulersAt, len(sites), false)
+	at, err := endpoints.FreePorts(schedulerHost, len(sites), false)
 	if err != nil {
 		return err
 	}
-	peers, err := endpoints.Ports(peersAt, len(sites), true)
+	peers, err := endpoints.FreePorts(peerHost, len(sites), true)
 	if err != nil {
 		return err
 	}
 	for i, site := range sites {
-		s := &scheduler{rig: r, number: i, site: site, listen: at[i], peer: peers[i], dir: filepath.Join(dir, fmt.Sprint("n", i))}
+		s := &scheduler{harness: r, index: i, site: site, listen: at[i], peerAddress: peers[i], dir: filepath.Join(dir, fmt.Sprint("n", i))}
 		if err := os.Mkdir(s.dir, 0o700); err != nil {
 			return err
 		}
@@ -151,23 +151,23 @@
 		level = "debug"
 	}
 	own := map[string]any{"log": map[string]any{"level": level}}
-	if !r.build.Plain {
-		own = merged(own, merged(r.set.Own, r.build.Own))
+	if !r.build.SkipsOverrides {
+		own = mergeObjects(own, mergeObjects(r.scenario.Own, r.build.ConfigOverrides))
 	}
-	r.own = filepath.Join(dir, "cobaltflow.json")
+	r.configPath = filepath.Join(dir, "cobaltflow.json")
 	text, err := json.Marshal(own)
 	if err == nil {
-		err = os.WriteFile(r.own, text, 0o600)
+		err = os.WriteFile(r.configPath, text, 0o600)
 	}
 	if err != nil {
 		return err
 	}
-	back := endpoints.NewBacks(r.net, len(r.set.Sites), listens, sites)
+	back := endpoints.NewCallbacks(r.network, len(r.scenario.Sites), listens, sites)
 	number := 0
-	kinds := draw.CumulativeWeights(len(r.set.Workers.Kinds), func(i int) float64 { return r.set.Workers.Kinds[i].Share })
-	for site, x := range r.set.Sites {
+	kinds := draw.CumulativeWeights(len(r.scenario.Workers.Kinds), func(i int) float64 { return r.scenario.Workers.Kinds[i].Share })
+	for site, x := range r.scenario.Sites {
 		for i := range x.Workers {
-			w := endpoints.NewWorker(number, site, draw.Pick(kinds, (float64(i)+0.5)/float64(x.Workers)), r.set, r.recorder, r.net, back, r.seed)
+			w := endpoints.NewWorker(number, site, draw.Pick(kinds, (float64(i)+0.5)/float64(x.Workers)), r.scenario, r.recorder, r.network, back, r.seed)
 			if err := w.Start(false); err != nil {
 				return err
 			}
@@ -175,35 +175,35 @@
 			number++
 		}
 	}
-	if r.discovery, err = endpoints.NewDiscovery(r.set, r.recorder, r.net, r.workers, r.seed); err != nil {
+	if r.discovery, err = endpoints.NewDiscovery(r.scenario, r.recorder, r.network, r.workers, r.seed); err != nil {
 		return err
 	}
-	if r.set.Peers.On {
+	if r.scenario.Peers.On {
 		delay := func() time.Duration {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			return time.Duration(r.set.Peers.MS.Draw(r.rng) * float64(time.Millisecond))
+			return time.Duration(r.scenario.Peers.MS.Draw(r.rng) * float64(time.Millisecond))
 		}
-		r.peers, err = r.net.NewPeers(sites, peers, r.set.Peers.Lost, r.set.Peers.Twice, delay)
+		r.peers, err = r.network.NewPeerRelay(sites, peers, r.scenario.Peers.Lost, r.scenario.Peers.Twice, delay)
 	}
 	return err
 }
 
 // startsAtOnce bounds how many processes start at the same time.
-const startsAtOnce = 8
+const maxParallelStarts = 8
 
-var starting = make(chan struct{}, startsAtOnce)
+var startSlots = make(chan struct{}, maxParallelStarts)
 
-func (r *rig) startOne(ctx context.Context, s *scheduler) error {
-	starting <- struct{}{}
-	defer func() { <-starting }()
+func (r *harness) startScheduler(ctx context.Context, s *scheduler) error {
+	startSlots <- struct{}{}
+	defer func() { <-startSlots }()
 	return s.start(ctx)
 }
 
-func (r *rig) startAll(ctx context.Context) error {
+func (r *harness) startAll(ctx context.Context) error {
 	errs := make(chan error, len(r.schedulers))
 	for _, s := range r.schedulers {
-		go func() { errs <- r.startOne(ctx, s) }()
+		go func() { errs <- r.startScheduler(ctx, s) }()
 	}
 	var all error
 	for range r.schedulers {
@@ -212,37 +212,37 @@
 	return all
 }
 
-func (r *rig) note(e record.Event) {
-	e.AtUS = r.recorder.Now()
-	r.recorder.Event(e)
+func (r *harness) addEvent(e record.Event) {
+	e.AtUS = r.recorder.ElapsedUS()
+	r.recorder.AddEvent(e)
 }
 
 // settle is how long after the last request the rig waits at most, beside the classes' deadlines.
-const settle = 500 * time.Millisecond
+const settleTime = 500 * time.Millisecond
 
-func (r *rig) run(ctx context.Context, live io.Writer) {
-	requests := Requests(r.set, r.seed)
-	turns := r.faults(ctx)
-	sort.SliceStable(turns, func(i, j int) bool { return turns[i].at < turns[j].at })
-	r.recorder.Begin(time.Now().Add(100 * time.Millisecond))
+func (r *harness) run(ctx context.Context, live io.Writer) {
+	requests := DrawRequests(r.scenario, r.seed)
+	turns := r.faultEvents(ctx)
+	sort.SliceStable(turns, func(i, j int) bool { return turns[i].atS < turns[j].atS })
+	r.recorder.SetStart(time.Now().Add(100 * time.Millisecond))
 	c := newClients(r)
 	done := make(chan struct{})
 	var beside sync.WaitGroup
 	beside.Add(2)
 	go func() {
 		defer beside.Done()
-		r.sample(done, live)
+		r.sampleWorkers(done, live)
 	}()
 	go func() {
 		defer beside.Done()
 		for _, t := range turns {
 			select {
-			case <-time.After(time.Until(r.recorder.At(int64(t.at * 1e6)))):
+			case <-time.After(time.Until(r.recorder.TimeAt(int64(t.atS * 1e6)))):
 			case <-done:
 				return
 			}
-			r.note(record.Event{What: t.what, Ends: t.ends, Scheduler: -1, Worker: -1})
-			if t.what == "release-schedulers" {
+			r.addEvent(record.Event{Kind: t.kind, IsEnd: t.isEnd, Scheduler: -1, Worker: -1})
+			if t.kind == "release-schedulers" {
 				go t.run()
 			} else {
 				t.run()
@@ -251,7 +251,7 @@
 	}()
 	c.play(ctx, requests)
 	select {
-	case <-time.After(settle):
+	case <-time.After(settleTime):
 	case <-ctx.Done():
 	}
 	close(done)
@@ -259,11 +259,11 @@
 	c.close()
 }
 
-const sampleEvery = 50 * time.Millisecond
+const sampleInterval = 50 * time.Millisecond
 
 // sample looks at all workers again and again, and writes a live line each second.
-func (r *rig) sample(done chan struct{}, live io.Writer) {
-	tick := time.NewTicker(sampleEvery)
+func (r *harness) sampleWorkers(done chan struct{}, live io.Writer) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for n := 1; ; n++ {
 		select {
@@ -271,7 +271,7 @@
 		case <-done:
 			return
 		}
-		now := r.recorder.Now()
+		now := r.recorder.ElapsedUS()
 		rows := make([]record.Sample, 0, len(r.workers))
 		running, waiting := 0, 0
 		for _, w := range r.workers {
@@ -279,53 +279,53 @@
 			running, waiting = running+int(s.Running), waiting+int(s.Waiting)
 			rows = append(rows, s)
 		}
-		r.recorder.Sample(rows)
+		r.recorder.AddSamples(rows)
 		if live != nil && n%20 == 0 {
-			served, refused, other := r.recorder.Totals()
+			served, refused, other := r.recorder.AnswerCounts()
 			up := 0
 			for _, s := range r.schedulers {
-				if s.live() {
+				if s.isLive() {
 					up++
 				}
 			}
 			fmt.Fprintf(live, "%s %s %5.1f s  schedulers %d  running %d  waiting %d  served %d  refused %d  other %d\n",
-				r.set.Name, r.build.Name, float64(now)/1e6, up, running, waiting, served, refused, other)
+				r.scenario.Name, r.build.Name, float64(now)/1e6, up, running, waiting, served, refused, other)
 		}
 	}
 }
 
-func (r *rig) about(a *record.About) {
-	a.Scenario, _ = json.Marshal(r.set)
-	a.Seed, a.Build, a.Arm, a.Passed = r.seed, r.build.Name, r.build.Arm, map[string]record.Path{}
-	for k := range relay.Kinds {
-		t := r.net.Traffic(k)
-		a.Passed[k.String()] = record.Path{Opened: t.Opened, Messages: t.Messages, Bytes: t.Bytes}
+func (r *harness) fillAbout(a *record.About) {
+	a.Scenario, _ = json.Marshal(r.scenario)
+	a.Seed, a.Build, a.Arm, a.Paths = r.seed, r.build.Name, r.build.Arm, map[string]record.PathTraffic{}
+	for k := range relay.KindCount {
+		t := r.network.Traffic(k)
+		a.Paths[k.String()] = record.PathTraffic{Opened: t.Opened, Messages: t.Messages, Bytes: t.Bytes}
 	}
 	for _, w := range r.workers {
-		a.Probes += w.Probes.Load()
-		if w.Fallen() {
-			a.Fallen = append(a.Fallen, int32(w.Number))
+		a.Probes += w.ProbeCount.Load()
+		if w.HasCollapsed() {
+			a.CollapsedWorkers = append(a.CollapsedWorkers, int32(w.Number))
 		}
 	}
 	if r.peers != nil {
-		a.Messages, a.TooLong = r.peers.Counts()
+		a.Messages, a.OversizeMessages = r.peers.Counts()
 	}
 }
 
 // close ends all that the run has started.
-func (r *rig) close() {
+func (r *harness) close() {
 	var all sync.WaitGroup
 	for _, s := range r.schedulers {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			s.end()
+			s.killAll()
 		}()
 	}
 	all.Wait()
 	for _, w := range r.workers {
 		w.Stop(false)
-		w.Release()
+		w.ReleasePorts()
 	}
 	if r.discovery != nil {
 		r.discovery.Close()
@@ -335,7 +335,7 @@
 	}
 }
 
-func (r *rig) keepLogs(dir string) {
+func (r *harness) keepLogs(dir string) {
 	os.MkdirAll(dir, 0o755)
 	for _, s := range r.schedulers {
 		if text, err := os.ReadFile(filepath.Join(s.dir, "log")); err == nil && len(text) > 0 {
--- a/internal/fleet/scenario/scenario.go
+++ b/internal/fleet/scenario/scenario.go
@@ -38,7 +38,7 @@
 	Front     Front
 	Discovery Discovery
 	Peers     Peers
-	Prices    Prices
+	Prices    Costs
 	Tries     int `json:"tries"` // attempts of the schedulers for a request
 	// DrainGraceS is how long schedulers may go on sending to a draining, removed or disabled worker.
 	DrainGraceS float64 `json:"drain_grace_s"`
@@ -59,26 +59,26 @@
 }
 
 // Range is a figure that is drawn anew each time, evenly.
-type Range struct{ Least, Most float64 }
+type Range struct{ Min, Max float64 }
 
 // UnmarshalJSON takes one number or a pair.
 func (r *Range) UnmarshalJSON(text []byte) error {
 	var pair [2]float64
 	if len(text) > 0 && text[0] == '[' {
 		err := json.Unmarshal(text, &pair)
-		r.Least, r.Most = pair[0], pair[1]
+		r.Min, r.Max = pair[0], pair[1]
 		return err
 	}
-	err := json.Unmarshal(text, &r.Least)
-	r.Most = r.Least
+	err := json.Unmarshal(text, &r.Min)
+	r.Max = r.Min
 	return err
 }
 
 // MarshalJSON writes the pair.
-func (r Range) MarshalJSON() ([]byte, error) { return json.Marshal([2]float64{r.Least, r.Most}) }
+func (r Range) MarshalJSON() ([]byte, error) { return json.Marshal([2]float64{r.Min, r.Max}) }
 
 // Draw gives a value.
-func (r Range) Draw(rng *rand.Rand) float64 { return r.Least + (r.Most-r.Least)*rng.Float64() }
+func (r Range) Draw(rng *rand.Rand) float64 { return r.Min + (r.Max-r.Min)*rng.Float64() }
 
 // Network is what messages take.
 type Network struct {
@@ -170,7 +170,7 @@
 }
 
 // Prices are those of the settings.
-type Prices struct {
+type Costs struct {
 	CrossZone float64 `json:"cross_zone"`
 	Probe     float64
 	Peer      float64
@@ -233,14 +233,14 @@
 
 // Parse reads and checks a scenario.
 func Parse(text []byte) (*Scenario, error) {
-	if err := validate(text); err != nil {
+	if err := validateSchema(text); err != nil {
 		return nil, err
 	}
 	s := defaults()
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, &Error{"scenario", err.Error()}
 	}
-	return s, s.check()
+	return s, s.checkValues()
 }
 
 func defaults() *Scenario {
@@ -253,11 +253,11 @@
 		Front:     Front{NoticeS: Range{0.8, 3.5}},
 		Discovery: Discovery{Mode: "push", NoticeS: Range{0.98, 4.8}, SilentS: Range{4.7, 13}, AddS: Range{0.22, 2.5}},
 		Peers:     Peers{MS: Range{1.1, 6.8}},
-		Prices:    Prices{CrossZone: 0.13, Probe: 0.0018, Peer: 0.0096},
+		Prices:    Costs{CrossZone: 0.13, Probe: 0.0018, Peer: 0.0096},
 	}
 }
 
-func (s *Scenario) check() error {
+func (s *Scenario) checkValues() error {
 	if len(s.Workers.Kinds) == 0 {
 		s.Workers.Kinds = []Kind{{Name: "gen1", Share: 1, Speed: 1}}
 	}
@@ -266,17 +266,17 @@
 		schedulers += s.Sites[i].Schedulers
 		workers += s.Sites[i].Workers
 	}
-	if schedulers < 1 || schedulers > MostSchedulers {
-		return &Error{"sites", fmt.Sprintf("%d schedulers in all are not from 1 to %d", schedulers, MostSchedulers)}
+	if schedulers < 1 || schedulers > MaxSchedulers {
+		return &Error{"sites", fmt.Sprintf("%d schedulers in all are not from 1 to %d", schedulers, MaxSchedulers)}
 	}
-	if workers < 1 || workers > MostWorkers {
-		return &Error{"sites", fmt.Sprintf("%d table workers in all are not from 1 to %d", workers, MostWorkers)}
+	if workers < 1 || workers > MaxWorkers {
+		return &Error{"sites", fmt.Sprintf("%d table workers in all are not from 1 to %d", workers, MaxWorkers)}
 	}
 	for i := range s.Sites {
 		if s.Sites[i].Share == 0 {
 			s.Sites[i].Share = float64(s.Sites[i].Workers) / float64(workers)
 		}
-		if s.Site(s.Sites[i].Name) != i {
+		if s.SiteIndex(s.Sites[i].Name) != i {
 			return &Error{fmt.Sprintf("sites.%d.name", i), fmt.Sprintf("%q stands twice", s.Sites[i].Name)}
 		}
 	}
@@ -289,7 +289,7 @@
 	for i, f := range s.Faults {
 		at := fmt.Sprintf("faults.%d.", i)
 		for key, name := range map[string]string{"site": f.Site, "to": f.To} {
-			if name != "" && s.Site(name) < 0 {
+			if name != "" && s.SiteIndex(name) < 0 {
 				return &Error{at + key, fmt.Sprintf("%q is no site", name)}
 			}
 		}
@@ -316,21 +316,21 @@
 
 // Bounds of a scenario: what one machine of 4 cores and 24 GB bears.
 const (
-	MostSchedulers = 300
-	MostWorkers    = 200
+	MaxSchedulers = 300
+	MaxWorkers    = 200
 )
 
 // WindowS is how long a repeat of a by_key class is dropped by its group of workers.
-const WindowS = 5
+const DedupWindowS = 5
 
 // Site gives a site's number; -1: there is none of that name.
-func (s *Scenario) Site(name string) int {
+func (s *Scenario) SiteIndex(name string) int {
 	return slices.IndexFunc(s.Sites, func(x Site) bool { return x.Name == name })
 }
 
 // HeldUS is for how long, in microseconds, schedulers are held up (hold-schedulers) at some time from one to another of the
 // run. Answers may come so much later: the operators' terms bear a process that is held up for 0.15 s.
-func (s *Scenario) HeldUS(fromUS, toUS int64) (held int64) {
+func (s *Scenario) PausedUS(fromUS, toUS int64) (held int64) {
 	for _, f := range s.Faults {
 		begins, ends := int64(f.AtS*1e6), int64((f.AtS+f.ForS)*1e6)
 		if f.What == "hold-schedulers" && fromUS <= ends && toUS >= begins {
@@ -341,7 +341,7 @@
 }
 
 // Schedulers gives the site of each scheduler.
-func (s *Scenario) Schedulers() (sites []int) {
+func (s *Scenario) SchedulerSites() (sites []int) {
 	for i, x := range s.Sites {
 		for range x.Schedulers {
 			sites = append(sites, i)
@@ -361,7 +361,7 @@
 }
 
 // Speed is the mean speed of a table worker.
-func (s *Scenario) Speed() float64 {
+func (s *Scenario) MeanSpeed() float64 {
 	share, speed := 0.0, 0.0
 	for _, k := range s.Workers.Kinds {
 		share += k.Share
@@ -376,10 +376,10 @@
 	for _, x := range s.Sites {
 		workers += x.Workers
 	}
-	return s.Clients.Load * float64(workers*s.Workers.Slots) * s.Speed() / s.MeanRunS()
+	return s.Clients.Load * float64(workers*s.Workers.Slots) * s.MeanSpeed() / s.MeanRunS()
 }
 
-func validate(text []byte) error {
+func validateSchema(text []byte) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(Schema))
 	if err != nil {
 		return err
--- a/internal/fleet/scenario/scenario_test.go
+++ b/internal/fleet/scenario/scenario_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestScenarioFilesAreGood(t *testing.T) {
+func TestScenarioFilesLoad(t *testing.T) {
 	files, err := filepath.Glob("../../../scenarios/*.json")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -18,7 +18,7 @@
 }
 
 // A bad scenario is refused with the key that is at fault.
-func TestFaultsNameTheirKey(t *testing.T) {
+func TestErrorsNameTheKey(t *testing.T) {
 	const class = `{"name":"v","share":1,"run_ms":1,"effect":"once","aim_ms":5,"deadline_s":1,"worth":1}`
 	for _, c := range []struct{ text, key string }{
 		{`{"name":"a","seconds":1,"sites":[{"name":"a","schedulers":0,"workers":1}],"classes":[` + class + `]}`, "sites"},
--- a/internal/fleet/soak/soak.go
+++ b/internal/fleet/soak/soak.go
@@ -19,23 +19,23 @@
 
 // Options of a soak.
 type Options struct {
-	Binary string
-	From   uint64 // the first seed
-	Seeds  int
-	AtOnce int    // runs side by side; 0: 1
-	Dir    string // keeps the records and logs of runs that fail; empty: none are kept
-	Reduce bool   // cut the schedules of seeds that fail down
-	Out    io.Writer
+	Binary    string
+	FirstSeed uint64 // the first seed
+	SeedCount int
+	Parallel  int    // runs side by side; 0: 1
+	Dir       string // keeps the records and logs of runs that fail; empty: none are kept
+	Reduce    bool   // cut the schedules of seeds that fail down
+	Output    io.Writer
 }
 
 // Outcome is what became of a seed.
 type Outcome struct {
-	Seed     uint64
-	Scenario *scenario.Scenario
-	Broken   []judge.Check // empty: all holds
-	Served   int
-	Tries    int
-	Least    *scenario.Scenario // the least schedule that still fails; nil: it was not looked for, or none did again
+	Seed         uint64
+	Scenario     *scenario.Scenario
+	FailedChecks []judge.Check // empty: all holds
+	Served       int
+	Tries        int
+	Reduced      *scenario.Scenario // the least schedule that still fails; nil: it was not looked for, or none did again
 }
 
 // Run plays the seeds. An error says that one could not be played.
@@ -47,10 +47,10 @@
 		group sync.WaitGroup
 	)
 	seeds := make(chan uint64)
-	for range max(1, o.AtOnce) {
+	for range max(1, o.Parallel) {
 		group.Go(func() {
 			for seed := range seeds {
-				outcome, err := one(ctx, o, seed, &mu)
+				outcome, err := runSeed(ctx, o, seed, &mu)
 				mu.Lock()
 				if err != nil {
 					fault = fmt.Errorf("seed %d: %w", seed, err)
@@ -61,11 +61,11 @@
 			}
 		})
 	}
-	for n := range o.Seeds {
+	for n := range o.SeedCount {
 		if ctx.Err() != nil {
 			break
 		}
-		seeds <- o.From + uint64(n)
+		seeds <- o.FirstSeed + uint64(n)
 	}
 	close(seeds)
 	group.Wait()
@@ -76,8 +76,8 @@
 	return all, fault
 }
 
-func one(ctx context.Context, o Options, seed uint64, mu *sync.Mutex) (Outcome, error) {
-	s, err := Draw(seed)
+func runSeed(ctx context.Context, o Options, seed uint64, mu *sync.Mutex) (Outcome, error) {
+	s, err := DrawScenario(seed)
 	if err != nil {
 		return Outcome{}, err
 	}
@@ -90,18 +90,18 @@
 	if err != nil {
 		return outcome, err
 	}
-	outcome.Broken, outcome.Tries = broken, len(rec.Tries)
+	outcome.FailedChecks, outcome.Tries = broken, len(rec.Tries)
 	for i := range rec.Tries {
 		if rec.Tries[i].Status == 200 {
 			outcome.Served++
 		}
 	}
 	if len(broken) > 0 && o.Reduce {
-		outcome.Least = reduce(ctx, o.Binary, s, broken[0].Name)
+		outcome.Reduced = reduce(ctx, o.Binary, s, broken[0].Name)
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	report(o.Out, &outcome, rec)
+	writeOutcome(o.Output, &outcome, rec)
 	if dir != "" && len(broken) == 0 {
 		os.RemoveAll(dir)
 	}
@@ -110,11 +110,11 @@
 
 // play plays a scenario and gives the checks that failed.
 func play(ctx context.Context, binary string, s *scenario.Scenario, dir string) (*record.Records, []judge.Check, error) {
-	rec, err := fleet.Play(ctx, s, fleet.Build{Name: "soak", Binary: binary}, fleet.Options{Seed: s.Seed, Dir: dir})
+	rec, err := fleet.Play(ctx, s, fleet.Build{Name: "soak", Binary: binary}, fleet.Options{Seed: s.Seed, LogDir: dir})
 	if err != nil {
 		return nil, nil, err
 	}
-	checks, _, err := judge.Judge(rec)
+	checks, _, err := judge.Evaluate(rec)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -159,26 +159,26 @@
 
 // report writes what became of a seed; of one that fails, the rules, the way of the request that broke each, and the
 // command that plays it again.
-func report(out io.Writer, o *Outcome, rec *record.Records) {
+func writeOutcome(out io.Writer, o *Outcome, rec *record.Records) {
 	if out == nil {
 		return
 	}
-	if len(o.Broken) == 0 {
+	if len(o.FailedChecks) == 0 {
 		fmt.Fprintf(out, "seed %d: all holds, %d of %d tries served, %d schedulers, faults: %s\n", o.Seed, o.Served, o.Tries,
-			len(o.Scenario.Schedulers()), schedule(o.Scenario))
+			len(o.Scenario.SchedulerSites()), formatSchedule(o.Scenario))
 		return
 	}
-	fmt.Fprintf(out, "seed %d: BROKEN; play it again with: cobaltflow fleet soak --seeds 1 --from %d\n  faults: %s\n", o.Seed, o.Seed, schedule(o.Scenario))
-	for _, c := range o.Broken {
+	fmt.Fprintf(out, "seed %d: BROKEN; play it again with: cobaltflow fleet soak --seeds 1 --from %d\n  faults: %s\n", o.Seed, o.Seed, formatSchedule(o.Scenario))
+	for _, c := range o.FailedChecks {
 		fmt.Fprintf(out, "  %s: %s\n", c.Name, c.Text)
-		way(out, rec, c.Text)
+		writeRequestHistory(out, rec, c.Text)
 	}
-	if o.Least != nil {
-		fmt.Fprintf(out, "  the least that still fails: %s\n", schedule(o.Least))
+	if o.Reduced != nil {
+		fmt.Fprintf(out, "  the least that still fails: %s\n", formatSchedule(o.Reduced))
 	}
 }
 
-func schedule(s *scenario.Scenario) string {
+func formatSchedule(s *scenario.Scenario) string {
 	var parts []string
 	for _, f := range s.Faults {
 		parts = append(parts, fmt.Sprintf("%.2f %s", f.AtS, f.What))
@@ -187,7 +187,7 @@
 }
 
 // way writes all that is known of the request that a check's text names first.
-func way(out io.Writer, rec *record.Records, text string) {
+func writeRequestHistory(out io.Writer, rec *record.Records, text string) {
 	const context = 2 * time.Second
 	_, named, found := strings.Cut(text, "the first: ")
 	id, _, _ := strings.Cut(named, " ")
@@ -201,18 +201,18 @@
 		if t := &rec.Tries[i]; t.ID == id {
 			from, to = t.SentUS, t.EndedUS
 			fmt.Fprintf(out, "    client: class %d to scheduler %d, sent %.3f, would wait %d ms, ended %.3f: %s %d %s\n", t.Class, t.Scheduler,
-				seconds(t.SentUS), t.LeftMS, seconds(t.EndedUS), t.End, t.Status, t.Fault)
+				seconds(t.SentUS), t.TimeLeftMS, seconds(t.EndedUS), t.End, t.Status, t.Error)
 		}
 	}
-	for i := range rec.Runs {
-		if r := &rec.Runs[i]; r.ID == id {
+	for i := range rec.Attempts {
+		if r := &rec.Attempts[i]; r.ID == id {
 			fmt.Fprintf(out, "    worker %d: from scheduler %d, came %.3f, began %.3f, ended %.3f: %s\n", r.Worker, r.Scheduler, seconds(r.ArrivedUS),
-				seconds(r.StartedUS), seconds(r.EndedUS), r.How)
+				seconds(r.StartedUS), seconds(r.EndedUS), r.Outcome)
 		}
 	}
 	for _, e := range rec.Events {
 		if from > 0 && e.AtUS > from-context.Microseconds() && e.AtUS < to+context.Microseconds() {
-			fmt.Fprintf(out, "    %.3f %s %s\n", seconds(e.AtUS), e.What, e.Text)
+			fmt.Fprintf(out, "    %.3f %s %s\n", seconds(e.AtUS), e.Kind, e.Text)
 		}
 	}
 }
--- a/internal/fleet/soak/soak_test.go
+++ b/internal/fleet/soak/soak_test.go
@@ -19,9 +19,9 @@
 // hand.
 var ciSeeds = []uint64{1, 2, 3, 4, 1011, 2012, 2030, 2034, 3005}
 
-const ciAtOnce = 3 // runs side by side
+const ciParallel = 3 // runs side by side
 
-func build(t *testing.T) string {
+func buildBinary(t *testing.T) string {
 	binary := filepath.Join(t.TempDir(), "cobaltflow")
 	out, err := exec.Command("go", "build", "-o", binary, "cobaltflow/cmd/cobaltflow").CombinedOutput()
 	require.NoError(t, err, string(out))
@@ -30,18 +30,18 @@
 
 // Some seeds of the soak hold all rules.
 func TestSoak(t *testing.T) {
-	binary := build(t)
-	places := make(chan struct{}, ciAtOnce)
+	binary := buildBinary(t)
+	places := make(chan struct{}, ciParallel)
 	for _, seed := range ciSeeds {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			t.Parallel()
 			places <- struct{}{}
 			defer func() { <-places }()
 			var out bytes.Buffer
-			outcomes, err := Run(context.Background(), Options{Binary: binary, From: seed, Seeds: 1, Dir: os.Getenv("SOAK_DIR"), Out: &out})
+			outcomes, err := Run(context.Background(), Options{Binary: binary, FirstSeed: seed, SeedCount: 1, Dir: os.Getenv("SOAK_DIR"), Output: &out})
 			require.NoError(t, err)
 			require.Len(t, outcomes, 1)
-			assert.Empty(t, outcomes[0].Broken)
+			assert.Empty(t, outcomes[0].FailedChecks)
 			assert.Positive(t, outcomes[0].Served)
 			t.Log(out.String())
 		})
@@ -49,17 +49,17 @@
 }
 
 // Over many seeds everything that is to be drawn is, and a seed gives the same scenario each time.
-func TestWhatIsDrawn(t *testing.T) {
+func TestDrawScenario(t *testing.T) {
 	const seeds = 300
 	kinds, short, crowded, quiet := map[string]int{}, 0, 0, 0
 	for seed := range uint64(seeds) {
-		s, err := Draw(seed)
+		s, err := DrawScenario(seed)
 		require.NoError(t, err, "seed %d", seed)
-		again, err := Draw(seed)
+		again, err := DrawScenario(seed)
 		require.NoError(t, err)
 		require.Equal(t, s, again)
-		require.LessOrEqual(t, s.RatePerS(), mostRate*1.01)
-		require.LessOrEqual(t, len(s.Schedulers()), 30)
+		require.LessOrEqual(t, s.RatePerS(), maxRequestRate*1.01)
+		require.LessOrEqual(t, len(s.SchedulerSites()), 30)
 		effects := map[string]bool{}
 		longest := 0.0
 		for _, c := range s.Classes {
@@ -70,10 +70,10 @@
 		if longest < 1 {
 			short++
 		}
-		if len(s.Schedulers()) > 10 {
+		if len(s.SchedulerSites()) > 10 {
 			crowded++
 		}
-		if s.Faults[0].AtS > quietPart*s.Seconds-2 {
+		if s.Faults[0].AtS > quietFraction*s.Seconds-2 {
 			quiet++
 		}
 		for _, f := range s.Faults {
@@ -90,14 +90,14 @@
 }
 
 // A schedule is cut down to the faults without which a check would hold: here a limit that no run can keep.
-func TestAScheduleIsCutDown(t *testing.T) {
+func TestReduceRemovesNeedlessFaults(t *testing.T) {
 	s, err := scenario.Parse([]byte(`{"name":"cut","seconds":2,"sites":[{"name":"a","schedulers":1,"workers":2}],
 		"classes":[{"name":"view","share":1,"run_ms":20,"effect":"repeatable","aim_ms":200,"deadline_s":0.5,"worth":1,"late_worth":0.5}],
 		"clients":{"load":0.1},
 		"faults":[{"at_s":0.5,"what":"reload-schedulers"},{"at_s":1,"what":"reload-schedulers"}],
 		"limits":[{"figure":"worth","least":1.5}]}`))
 	require.NoError(t, err)
-	least := reduce(context.Background(), build(t), s, "worth, the run")
+	least := reduce(context.Background(), buildBinary(t), s, "worth, the run")
 	require.NotNil(t, least)
 	assert.Empty(t, least.Faults)
 	assert.Len(t, s.Faults, 2)
--- a/internal/scale/stage.go
+++ b/internal/scale/stage.go
@@ -82,8 +82,8 @@
 	counter    traffic.Counter
 	workers    *worker.Fleet
 	discovery  *discovery.Server
-	network    *relay.Net
-	peers      *relay.Peers
+	network    *relay.Network
+	peers      *relay.PeerRelay
 	configs    []process.Config
 	mu         sync.Mutex // guards schedulers while they start together
 	schedulers []*process.Scheduler
@@ -124,7 +124,7 @@
 
 func (m *measurement) prepareSurroundings() error {
 	s := m.setup
-	ports, err := endpoints.Ports([4]byte{127, 0, 2, 1}, 3*s.schedulers, false)
+	ports, err := endpoints.FreePorts([4]byte{127, 0, 2, 1}, 3*s.schedulers, false)
 	if err != nil {
 		return err
 	}
@@ -163,12 +163,12 @@
 	if s.schedulers < 2 || s.schedulers != s.groupSize {
 		return nil
 	}
-	own, err := endpoints.Ports([4]byte{127, 0, 4, 1}, s.schedulers, true)
+	own, err := endpoints.FreePorts([4]byte{127, 0, 4, 1}, s.schedulers, true)
 	if err != nil {
 		return err
 	}
 	m.network = relay.New(1, [2]time.Duration{}, [2]time.Duration{}, m.seed)
-	if m.peers, err = m.network.NewPeers(make([]int, s.schedulers), own, 0, 0, func() time.Duration { return 0 }); err != nil {
+	if m.peers, err = m.network.NewPeerRelay(make([]int, s.schedulers), own, 0, 0, func() time.Duration { return 0 }); err != nil {
 		return err
 	}
 	each, all := m.peers.Addresses()
