--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -21,77 +21,77 @@
 	"cobaltflow/internal/fleet/scenario"
 )
 
-// Request is a job that a client wants done, drawn before the run: every build is asked the same.
+// Request is one request of a client. All are drawn before the run, so that every build receives the same ones.
 type Request struct {
 	DueUS       int64
 	Class       int
 	Site        int
 	Key         int
 	RunUS       int64
-	RandomDraws [8]float64 // from 0 to under 1: where each try goes and how long is waited
+	RandomDraws [8]float64 // each in [0, 1): choose the scheduler of each try, backoffs and cancellation
 }
 
-// Requests draws what the clients of a scenario ask for.
+// DrawRequests draws all requests of a scenario from the seed, in the order of their due times.
 func DrawRequests(s *scenario.Scenario, seed uint64) (all []Request) {
 	rng := rand.New(rand.NewPCG(seed, 0x636c69656e74))
 	keys := draw.CumulativeWeights(s.Clients.Keys, func(i int) float64 { return math.Pow(float64(i+1), -s.Clients.Skew) })
 	classes := draw.CumulativeWeights(len(s.Classes), func(i int) float64 { return s.Classes[i].Share })
 	sites := draw.CumulativeWeights(len(s.Sites), func(i int) float64 { return s.Sites[i].Share })
 	rate := s.RatePerS()
-	for at := 0.0; ; {
-		times := 1.0
+	for atS := 0.0; ; {
+		rateFactor := 1.0
 		for _, step := range s.Clients.Rate {
-			if at >= step.AtS {
-				times = step.Times
+			if atS >= step.AtS {
+				rateFactor = step.Times
 			}
 		}
-		if times <= 0 {
-			at += 0.1
+		if rateFactor <= 0 {
+			atS += 0.1
 		} else {
-			at += rng.ExpFloat64() / rate / times
+			atS += rng.ExpFloat64() / rate / rateFactor
 		}
-		if at >= s.Seconds {
+		if atS >= s.Seconds {
 			return all
 		}
-		if times <= 0 {
+		if rateFactor <= 0 {
 			continue
 		}
-		q := Request{DueUS: int64(at * 1e6), Class: draw.Pick(classes, rng.Float64()), Site: draw.Pick(sites, rng.Float64()), Key: draw.Pick(keys, rng.Float64())}
-		run := s.Classes[q.Class].RunMS * 1000
-		if s.Classes[q.Class].Spread != "fixed" {
-			run *= rng.ExpFloat64()
+		request := Request{DueUS: int64(atS * 1e6), Class: draw.Pick(classes, rng.Float64()), Site: draw.Pick(sites, rng.Float64()), Key: draw.Pick(keys, rng.Float64())}
+		runUS := s.Classes[request.Class].RunMS * 1000
+		if s.Classes[request.Class].Spread != "fixed" {
+			runUS *= rng.ExpFloat64()
 		}
-		q.RunUS = max(1000, int64(run))
-		for i := range q.RandomDraws {
-			q.RandomDraws[i] = rng.Float64()
+		request.RunUS = max(1000, int64(runUS))
+		for i := range request.RandomDraws {
+			request.RandomDraws[i] = rng.Float64()
 		}
-		all = append(all, q)
+		all = append(all, request)
 	}
 }
 
-// clients ask the schedulers.
+// clients sends the requests to the schedulers.
 type clients struct {
 	harness *harness
-	http    []*http.Client // by the client's site and the scheduler's
+	http    []*http.Client // index: client's site * number of sites + scheduler's site
 	pending sync.WaitGroup
 }
 
-func newClients(r *harness) *clients {
-	c := &clients{harness: r}
-	for from := range r.scenario.Sites {
-		for to := range r.scenario.Sites {
+func newClients(h *harness) *clients {
+	c := &clients{harness: h}
+	for from := range h.scenario.Sites {
+		for to := range h.scenario.Sites {
 			path := relay.Path{Kind: relay.Client, From: from, To: to}
 			c.http = append(c.http, &http.Client{Transport: &http.Transport{
 				MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute, DisableCompression: true,
 				DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-					return r.network.Dial(ctx, path, address)
+					return h.network.Dial(ctx, path, address)
 				}}})
 		}
 	}
 	return c
 }
 
-// play has all requests come when they are due, and waits for their ends.
+// play starts each request when it is due, and waits until all have ended or ctx is done.
 func (c *clients) play(ctx context.Context, all []Request) {
 	for i := range all {
 		wait := time.Until(c.harness.recorder.TimeAt(all[i].DueUS))
@@ -113,22 +113,22 @@
 	c.pending.Wait()
 }
 
-// request sees one job through: tries, and repeats as the settings say.
-func (c *clients) runRequest(ctx context.Context, number int, q *Request) {
-	set := c.harness.scenario
-	class := &set.Classes[q.Class]
-	until := c.harness.recorder.TimeAt(q.DueUS).Add(time.Duration(class.DeadlineS * float64(time.Second)))
-	for n := 0; ; n++ {
-		t := c.sendTry(ctx, number, n, q, until)
-		if t.Status == 200 || n >= set.Clients.Retries || ctx.Err() != nil || !mayRetry(class, &t, set.Clients.Repeats) {
+// runRequest sends one request, and retries it with backoff as the scenario says, until its deadline.
+func (c *clients) runRequest(ctx context.Context, index int, request *Request) {
+	sc := c.harness.scenario
+	class := &sc.Classes[request.Class]
+	deadline := c.harness.recorder.TimeAt(request.DueUS).Add(time.Duration(class.DeadlineS * float64(time.Second)))
+	for number := 0; ; number++ {
+		try := c.sendTry(ctx, index, number, request, deadline)
+		if try.Status == 200 || number >= sc.Clients.Retries || ctx.Err() != nil || !mayRetry(class, &try, sc.Clients.Repeats) {
 			return
 		}
-		draw := q.RandomDraws[(2*n+1)%len(q.RandomDraws)]
-		wait := time.Duration((set.Clients.BackoffMS.Min + draw*(set.Clients.BackoffMS.Max-set.Clients.BackoffMS.Min)) * float64(int(1)<<n) * float64(time.Millisecond))
-		if t.RetryAfterMS > 0 && q.RandomDraws[7] < set.Clients.Honour {
-			wait = max(wait, time.Duration(t.RetryAfterMS)*time.Millisecond)
+		jitter := request.RandomDraws[(2*number+1)%len(request.RandomDraws)]
+		wait := time.Duration((sc.Clients.BackoffMS.Min + jitter*(sc.Clients.BackoffMS.Max-sc.Clients.BackoffMS.Min)) * float64(int(1)<<number) * float64(time.Millisecond))
+		if try.RetryAfterMS > 0 && request.RandomDraws[7] < sc.Clients.Honour {
+			wait = max(wait, time.Duration(try.RetryAfterMS)*time.Millisecond)
 		}
-		if time.Until(until) <= wait {
+		if time.Until(deadline) <= wait {
 			return
 		}
 		select {
@@ -139,81 +139,83 @@
 	}
 }
 
-// again tells whether a client asks again after such an end.
-func mayRetry(class *scenario.Class, t *record.Try, repeats bool) bool {
+// mayRetry reports whether a client retries a request whose try ended in this way.
+func mayRetry(class *scenario.Class, try *record.Try, repeats bool) bool {
 	switch {
-	case t.End == record.EndCancelled:
+	case try.End == record.EndCancelled:
 		return false
-	case t.End == record.EndUnreachable:
+	case try.End == record.EndUnreachable:
 		return repeats
-	case t.Status == 429 || t.Status == 503:
+	case try.Status == 429 || try.Status == 503:
 		return true
 	}
 	return class.Effect == "repeatable" && repeats
 }
 
-func (c *clients) sendTry(ctx context.Context, number, n int, q *Request, until time.Time) record.Try {
-	r := c.harness
-	t := record.Try{Request: int32(number), Number: int32(n), ID: fmt.Sprintf("%08x%08x", number, uint32(n)<<24|uint32(r.seed)&0xffffff), Class: int32(q.Class),
-		Site: int32(q.Site), Scheduler: int32(r.balancer.choose(q.Site, q.RandomDraws[(2*n)%len(q.RandomDraws)])), Key: int32(q.Key), RunUS: q.RunUS, DueUS: q.DueUS,
-		SentUS: r.recorder.ElapsedUS(), TimeLeftMS: time.Until(until).Milliseconds(), RetryAfterMS: -1, End: record.EndUnreachable}
+// sendTry sends one try of a request and returns its record, which it also adds to the recorder.
+func (c *clients) sendTry(ctx context.Context, index, number int, request *Request, deadline time.Time) record.Try {
+	h := c.harness
+	try := record.Try{Request: int32(index), Number: int32(number), ID: fmt.Sprintf("%08x%08x", index, uint32(number)<<24|uint32(h.seed)&0xffffff), Class: int32(request.Class),
+		Site: int32(request.Site), Scheduler: int32(h.balancer.choose(request.Site, request.RandomDraws[(2*number)%len(request.RandomDraws)])), Key: int32(request.Key), RunUS: request.RunUS, DueUS: request.DueUS,
+		SentUS: h.recorder.ElapsedUS(), TimeLeftMS: time.Until(deadline).Milliseconds(), RetryAfterMS: -1, End: record.EndUnreachable}
 	defer func() {
-		t.EndedUS = r.recorder.ElapsedUS()
-		r.recorder.TryEnded(t)
+		try.EndedUS = h.recorder.ElapsedUS()
+		h.recorder.TryEnded(try)
 	}()
-	if t.Scheduler < 0 || t.TimeLeftMS < 1 {
-		return t
+	if try.Scheduler < 0 || try.TimeLeftMS < 1 {
+		return try
 	}
-	s := r.schedulers[t.Scheduler]
-	r.recorder.TrySent(t)
-	held := r.scenario.PausedUS(t.SentUS, t.SentUS+t.TimeLeftMS*1000)
-	patience := until.Add(60*time.Millisecond + time.Duration(held)*time.Microsecond)
-	if q.RandomDraws[6] < r.scenario.Clients.Leave {
-		patience = time.Now().Add(time.Duration(q.RandomDraws[5] * float64(time.Until(until))))
-		t.CancelUS = max(1, patience.Sub(r.recorder.TimeAt(0)).Microseconds())
+	s := h.schedulers[try.Scheduler]
+	h.recorder.TrySent(try)
+	paused := h.scenario.PausedUS(try.SentUS, try.SentUS+try.TimeLeftMS*1000)
+	giveUpAt := deadline.Add(60*time.Millisecond + time.Duration(paused)*time.Microsecond)
+	if request.RandomDraws[6] < h.scenario.Clients.Leave {
+		giveUpAt = time.Now().Add(time.Duration(request.RandomDraws[5] * float64(time.Until(deadline))))
+		try.CancelUS = max(1, giveUpAt.Sub(h.recorder.TimeAt(0)).Microseconds())
 	}
-	ctx, cancel := context.WithDeadline(ctx, patience)
+	ctx, cancel := context.WithDeadline(ctx, giveUpAt)
 	defer cancel()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(c httptrace.GotConnInfo) {
-		t.ReusedConn, t.ClientAddress = c.Reused, c.Conn.LocalAddr().String()
+		try.ReusedConn, try.ClientAddress = c.Reused, c.Conn.LocalAddr().String()
 	}})
-	name := r.scenario.Classes[q.Class].Name
-	for again := false; ; again = true {
-		req, _ := http.NewRequestWithContext(ctx, "POST", fmt.Sprintf("http://%s/%s/k%d", s.listen, name, q.Key), strings.NewReader("{}"))
-		req.Header.Set("X-Correlation-Id", t.ID)
-		req.Header.Set("X-Service-Class", name)
-		req.Header.Set("X-Time-Left-Ms", strconv.FormatInt(t.TimeLeftMS, 10))
-		resp, err := c.http[q.Site*len(r.scenario.Sites)+s.site].Do(req)
+	name := h.scenario.Classes[request.Class].Name
+	for isResend := false; ; isResend = true {
+		httpReq, _ := http.NewRequestWithContext(ctx, "POST", fmt.Sprintf("http://%s/%s/k%d", s.listen, name, request.Key), strings.NewReader("{}"))
+		httpReq.Header.Set("X-Correlation-Id", try.ID)
+		httpReq.Header.Set("X-Service-Class", name)
+		httpReq.Header.Set("X-Time-Left-Ms", strconv.FormatInt(try.TimeLeftMS, 10))
+		resp, err := c.http[request.Site*len(h.scenario.Sites)+s.site].Do(httpReq)
 		if err == nil {
 			var body []byte
 			body, err = io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if err == nil {
-				t.Error = ""
-				t.Status, t.End = int32(resp.StatusCode), record.EndAnswered
-				t.IsCorrect = t.Status != 200 || strings.HasPrefix(string(body), t.ID+" by ")
-				if after, bad := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); bad == nil {
-					t.RetryAfterMS = int64(after * 1000)
+				try.Error = ""
+				try.Status, try.End = int32(resp.StatusCode), record.EndAnswered
+				try.IsCorrect = try.Status != 200 || strings.HasPrefix(string(body), try.ID+" by ")
+				if retryAfterS, parseErr := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); parseErr == nil {
+					try.RetryAfterMS = int64(retryAfterS * 1000)
 				}
-				return t
+				return try
 			}
 		}
-		t.Error = err.Error()
+		try.Error = err.Error()
 		var dial *net.OpError
 		switch {
 		case errors.As(err, &dial) && dial.Op == "dial":
-			t.End = record.EndUnreachable
+			try.End = record.EndUnreachable
 		case ctx.Err() != nil:
-			t.End = record.EndCancelled
-		case strings.Contains(err.Error(), "server closed idle connection") && !again:
-			continue // the close crossed the request: it is sent once more
+			try.End = record.EndCancelled
+		case strings.Contains(err.Error(), "server closed idle connection") && !isResend:
+			continue // the scheduler closed the idle connection before it read the request, so it is sent once more
 		default:
-			t.End = record.EndBroken
+			try.End = record.EndBroken
 		}
-		return t
+		return try
 	}
 }
 
+// close closes the idle connections.
 func (c *clients) close() {
 	for _, h := range c.http {
 		h.CloseIdleConnections()
--- a/internal/fleet/endpoints/discovery.go
+++ b/internal/fleet/endpoints/discovery.go
@@ -19,7 +19,7 @@
 	"cobaltflow/internal/fleet/scenario"
 )
 
-// Entry is a table worker in discovery's form.
+// ListEntry is a table worker as the worker list of the discovery protocol describes it.
 type ListEntry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -33,14 +33,15 @@
 	worker int
 }
 
+// listUpdate is a message of the discovery protocol: a snapshot of the worker list, or the entries that changed.
 type listUpdate struct {
 	Index     int         `json:"index"`
 	Snapshot  bool        `json:"snapshot"`
 	Endpoints []ListEntry `json:"endpoints"`
 }
 
-// Discovery tells schedulers of the table workers, each late by a time of its own. Every scheduler has an address of
-// its own to ask, as it has an agent on its machine.
+// Discovery is the service that sends the worker list to the schedulers. Each scheduler has a discovery server of its own,
+// as it has one on its machine, and each server learns of a change after a delay of its own.
 type Discovery struct {
 	scenario *scenario.Scenario
 	recorder *Recorder
@@ -50,7 +51,7 @@
 	rng      *rand.Rand
 }
 
-// view is what one scheduler has been told.
+// discoveryServer is the discovery server of one scheduler, with the worker list that it has sent.
 type discoveryServer struct {
 	discovery *Discovery
 	scheduler int
@@ -61,38 +62,38 @@
 	mu            sync.Mutex
 	index         int
 	entries       map[string]ListEntry
-	changes       []listUpdate // one entry each, in order
-	updated       chan struct{}
+	changes       []listUpdate  // one entry each, by index
+	updated       chan struct{} // closed at the next change
 	isFrozen      bool
-	deferred      []ListEntry   // changes that wait while it is frozen
-	outages       int           // outages that are on: several may cross
-	outageStarted chan struct{} // closed when discovery goes down
+	deferred      []ListEntry   // changes that wait while the list is frozen or discovery is down
+	outages       int           // current outages, which may overlap
+	outageStarted chan struct{} // closed when an outage starts
 }
 
-// discoveryAt is the address of all agents.
+// discoveryHost is the address of all discovery servers.
 var discoveryHost = net.IPv4(127, 0, 3, 1)
 
-// NewDiscovery starts an agent for each scheduler. All know the workers from the start.
+// NewDiscovery starts a discovery server for each scheduler. Each knows all workers from the start.
 func NewDiscovery(s *scenario.Scenario, recorder *Recorder, n *relay.Network, workers []*Worker, seed uint64) (*Discovery, error) {
 	d := &Discovery{scenario: s, recorder: recorder, network: n, rng: rand.New(rand.NewPCG(seed, 0x64697363))}
 	for i, site := range s.SchedulerSites() {
-		v := &discoveryServer{discovery: d, scheduler: i, site: site, entries: map[string]ListEntry{}, updated: make(chan struct{}), outageStarted: make(chan struct{}), index: 1}
+		srv := &discoveryServer{discovery: d, scheduler: i, site: site, entries: map[string]ListEntry{}, updated: make(chan struct{}), outageStarted: make(chan struct{}), index: 1}
 		ln, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: discoveryHost})
 		if err != nil {
 			return nil, err
 		}
-		v.address = ln.Addr().String()
+		srv.address = ln.Addr().String()
 		for _, w := range workers {
-			v.entries[w.Name] = d.entry(w, v, "up")
+			srv.entries[w.Name] = d.entry(w, srv, "up")
 		}
-		v.server = &http.Server{Handler: v}
-		go v.server.Serve(relayedListener{ln, n, relay.Path{Kind: relay.List, From: site, To: site}})
-		d.servers = append(d.servers, v)
+		srv.server = &http.Server{Handler: srv}
+		go srv.server.Serve(relayedListener{ln, n, relay.Path{Kind: relay.List, From: site, To: site}})
+		d.servers = append(d.servers, srv)
 	}
 	return d, nil
 }
 
-// wrapped puts what a listener takes on a path.
+// relayedListener wraps the connections that it accepts, so that a path of the network delays and impairs them.
 type relayedListener struct {
 	net.Listener
 	network *relay.Network
@@ -107,208 +108,217 @@
 	return l.network.Wrap(c, l.path, false), nil
 }
 
-func (d *Discovery) entry(w *Worker, v *discoveryServer, status string) ListEntry {
-	return ListEntry{Name: w.Name, Address: w.Address(v.site), Zone: d.scenario.Sites[w.Site].Name, Type: d.scenario.Workers.Kinds[w.Kind].Name,
+// entry returns the list entry of a worker as the discovery server srv sends it.
+func (d *Discovery) entry(w *Worker, srv *discoveryServer, status string) ListEntry {
+	return ListEntry{Name: w.Name, Address: w.Address(srv.site), Zone: d.scenario.Sites[w.Site].Name, Type: d.scenario.Workers.Kinds[w.Kind].Name,
 		Group: w.Site, Status: status, Weight: 1, SinceMS: w.StartedMS(), worker: w.Number}
 }
 
-// Address is where a scheduler asks.
+// Address returns the address of a scheduler's discovery server.
 func (d *Discovery) Address(scheduler int) string { return d.servers[scheduler].address }
 
-// Known is the list as a scheduler has it now, for its start.
+// CurrentList returns the worker list that a scheduler's discovery server has now, as JSON, for the configuration of a
+// process that starts.
 func (d *Discovery) CurrentList(scheduler int) json.RawMessage {
-	v := d.servers[scheduler]
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	text, _ := json.Marshal(v.snapshot())
+	srv := d.servers[scheduler]
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	text, _ := json.Marshal(srv.snapshot())
 	return text
 }
 
-func (v *discoveryServer) snapshot() listUpdate {
-	l := listUpdate{Index: v.index, Snapshot: true, Endpoints: []ListEntry{}}
-	for _, name := range slices.Sorted(maps.Keys(v.entries)) {
-		l.Endpoints = append(l.Endpoints, v.entries[name])
+// snapshot returns the whole worker list. The caller holds mu.
+func (srv *discoveryServer) snapshot() listUpdate {
+	l := listUpdate{Index: srv.index, Snapshot: true, Endpoints: []ListEntry{}}
+	for _, name := range slices.Sorted(maps.Keys(srv.entries)) {
+		l.Endpoints = append(l.Endpoints, srv.entries[name])
 	}
 	return l
 }
 
-// Change tells all schedulers of a worker's state, each after a time drawn from late. at most 0: they are not told.
-func (d *Discovery) Announce(w *Worker, status string, late scenario.Range) {
-	if late.Max <= 0 && status == "removed" {
+// Announce sends a worker's status to all schedulers, to each after a delay drawn from delay in seconds. A removal whose
+// greatest delay is 0 or less is never sent.
+func (d *Discovery) Announce(w *Worker, status string, delay scenario.Range) {
+	if delay.Max <= 0 && status == "removed" {
 		return
 	}
-	for _, v := range d.servers {
-		e := d.entry(w, v, status)
+	for _, srv := range d.servers {
+		e := d.entry(w, srv, status)
 		d.mu.Lock()
-		wait := late.Draw(d.rng)
+		wait := delay.Draw(d.rng)
 		d.mu.Unlock()
-		time.AfterFunc(time.Duration(wait*float64(time.Second)), func() { v.apply(e) })
+		time.AfterFunc(time.Duration(wait*float64(time.Second)), func() { srv.apply(e) })
 	}
 }
 
-func (v *discoveryServer) apply(e ListEntry) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.isFrozen || v.outages > 0 {
-		v.deferred = append(v.deferred, e)
+// apply changes the worker list and records the update, or defers it while the list is frozen or discovery is down.
+func (srv *discoveryServer) apply(entry ListEntry) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.isFrozen || srv.outages > 0 {
+		srv.deferred = append(srv.deferred, entry)
 		return
 	}
-	if old, ok := v.entries[e.Name]; ok && old.SinceMS > e.SinceMS {
-		return // overtaken by an update of a later start
+	if known, ok := srv.entries[entry.Name]; ok && known.SinceMS > entry.SinceMS {
+		return // an update of a later start of the worker has come first
 	}
-	v.index++
-	if e.Status == "removed" {
-		delete(v.entries, e.Name)
+	srv.index++
+	if entry.Status == "removed" {
+		delete(srv.entries, entry.Name)
 	} else {
-		v.entries[e.Name] = e
+		srv.entries[entry.Name] = entry
 	}
-	v.changes = append(v.changes, listUpdate{Index: v.index, Endpoints: []ListEntry{e}})
-	close(v.updated)
-	v.updated = make(chan struct{})
-	v.discovery.recorder.AddListUpdate(record.ListUpdate{AtUS: v.discovery.recorder.ElapsedUS(), Scheduler: int32(v.scheduler), Worker: int32(e.worker), Status: e.Status})
+	srv.changes = append(srv.changes, listUpdate{Index: srv.index, Endpoints: []ListEntry{entry}})
+	close(srv.updated)
+	srv.updated = make(chan struct{})
+	srv.discovery.recorder.AddListUpdate(record.ListUpdate{AtUS: srv.discovery.recorder.ElapsedUS(), Scheduler: int32(srv.scheduler), Worker: int32(entry.worker), Status: entry.Status})
 }
 
-// Freeze has a scheduler hear nothing new of the list, or all that it has missed.
+// SetFrozen stops the updates to a scheduler, or sends it all that were deferred.
 func (d *Discovery) SetFrozen(scheduler int, on bool) {
-	d.servers[scheduler].updateState(func(v *discoveryServer) { v.isFrozen = on })
+	d.servers[scheduler].updateState(func(srv *discoveryServer) { srv.isFrozen = on })
 }
 
-// Down has discovery fall silent for all, or come back.
+// SetOutage starts or ends an outage of discovery for all schedulers. Outages may overlap: discovery answers again when all
+// have ended.
 func (d *Discovery) SetOutage(on bool) {
-	for _, v := range d.servers {
-		v.updateState(func(v *discoveryServer) {
+	for _, srv := range d.servers {
+		srv.updateState(func(srv *discoveryServer) {
 			switch {
 			case on:
-				if v.outages++; v.outages == 1 {
-					close(v.outageStarted)
+				if srv.outages++; srv.outages == 1 {
+					close(srv.outageStarted)
 				}
 			default:
-				if v.outages--; v.outages == 0 {
-					v.outageStarted = make(chan struct{})
+				if srv.outages--; srv.outages == 0 {
+					srv.outageStarted = make(chan struct{})
 				}
 			}
 		})
 	}
 }
 
-func (v *discoveryServer) updateState(f func(*discoveryServer)) {
-	v.mu.Lock()
-	f(v)
-	var held []ListEntry
-	if !v.isFrozen && v.outages == 0 {
-		held, v.deferred = v.deferred, nil
+// updateState changes the state, and then applies the deferred updates if neither a freeze nor an outage is left.
+func (srv *discoveryServer) updateState(update func(*discoveryServer)) {
+	srv.mu.Lock()
+	update(srv)
+	var deferred []ListEntry
+	if !srv.isFrozen && srv.outages == 0 {
+		deferred, srv.deferred = srv.deferred, nil
 	}
-	v.mu.Unlock()
-	for _, e := range held {
-		v.apply(e)
+	srv.mu.Unlock()
+	for _, e := range deferred {
+		srv.apply(e)
 	}
 }
 
-// ServeHTTP answers a scheduler's questions.
-func (v *discoveryServer) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	v.mu.Lock()
-	down, stop := v.outages > 0, v.outageStarted
-	v.mu.Unlock()
+// ServeHTTP answers a scheduler's requests for the worker list.
+func (srv *discoveryServer) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+	srv.mu.Lock()
+	isDown, outageStarted := srv.outages > 0, srv.outageStarted
+	srv.mu.Unlock()
 	if r.URL.Path != "/api/targets" {
 		rw.WriteHeader(404)
 		return
 	}
-	if down {
-		if v.discovery.scenario.Discovery.Mode == "ask" {
+	if isDown {
+		if srv.discovery.scenario.Discovery.Mode == "ask" {
 			rw.WriteHeader(503)
 			return
 		}
-		<-r.Context().Done() // an agent that hears nothing says nothing
+		<-r.Context().Done() // in push mode a server that is cut off from the service does not answer
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
-		v.mu.Lock()
-		text, _ := json.Marshal(v.snapshot())
-		v.mu.Unlock()
+		srv.mu.Lock()
+		text, _ := json.Marshal(srv.snapshot())
+		srv.mu.Unlock()
 		rw.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		rw.Write(text)
 		return
 	}
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
-	v.watch(rw, r, after, stop)
+	srv.watch(rw, r, after, outageStarted)
 }
 
-// watch sends changes after an index as they come, until the scheduler goes or discovery is stopped.
-func (v *discoveryServer) watch(rw http.ResponseWriter, r *http.Request, after int, stop <-chan struct{}) {
+// watch streams the changes after an index, with an empty line as heartbeat every 2 s, until the scheduler disconnects. When
+// an outage starts it aborts the connection in ask mode, and only stays silent in push mode.
+func (srv *discoveryServer) watch(rw http.ResponseWriter, r *http.Request, after int, outageStarted <-chan struct{}) {
 	rw.WriteHeader(200)
-	flush := rw.(http.Flusher)
-	flush.Flush()
-	beat := time.NewTicker(2 * time.Second)
-	defer beat.Stop()
+	flusher := rw.(http.Flusher)
+	flusher.Flush()
+	heartbeat := time.NewTicker(2 * time.Second)
+	defer heartbeat.Stop()
 	for {
-		v.mu.Lock()
-		var lines []listUpdate
-		for _, c := range v.changes {
+		srv.mu.Lock()
+		var updates []listUpdate
+		for _, c := range srv.changes {
 			if c.Index > after {
-				lines = append(lines, c)
+				updates = append(updates, c)
 			}
 		}
-		updated := v.updated
-		v.mu.Unlock()
-		for _, l := range lines {
-			text, _ := json.Marshal(l)
+		updated := srv.updated
+		srv.mu.Unlock()
+		for _, update := range updates {
+			text, _ := json.Marshal(update)
 			fmt.Fprintf(rw, "%s\n", text)
-			after = l.Index
+			after = update.Index
 		}
-		if len(lines) > 0 {
-			flush.Flush()
+		if len(updates) > 0 {
+			flusher.Flush()
 		}
 		select {
 		case <-updated:
-		case <-beat.C:
-			v.mu.Lock()
-			quiet := v.outages > 0
-			v.mu.Unlock()
-			if !quiet {
+		case <-heartbeat.C:
+			srv.mu.Lock()
+			isDown := srv.outages > 0
+			srv.mu.Unlock()
+			if !isDown {
 				fmt.Fprint(rw, "\n")
-				flush.Flush()
+				flusher.Flush()
 			}
-		case <-stop:
-			if v.discovery.scenario.Discovery.Mode == "ask" {
+		case <-outageStarted:
+			if srv.discovery.scenario.Discovery.Mode == "ask" {
 				panic(http.ErrAbortHandler)
 			}
-			stop = nil
+			outageStarted = nil
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// Close ends all agents.
+// Close stops all discovery servers.
 func (d *Discovery) Close() {
-	for _, v := range d.servers {
-		v.server.Close()
+	for _, srv := range d.servers {
+		srv.server.Close()
 	}
 }
 
-// Ports gives addresses at which nothing listens yet, apart from those of outgoing connections. All are held until the
-// last is chosen: the program listens with SO_REUSEPORT, so that two that were given one port would share it unseen.
+// FreePorts returns n addresses of a host at which nothing listens, with ports that the kernel chooses. host is not the
+// address that outgoing connections use, so that none of them takes such a port. All ports stay bound until the last is
+// chosen: the program listens with SO_REUSEPORT, so two processes with the same port would share it without an error.
 func FreePorts(host [4]byte, n int, udp bool) (list []netip.AddrPort, err error) {
 	ip := net.IP(host[:])
 	for range n {
 		var held io.Closer
-		var at net.Addr
+		var addr net.Addr
 		if udp {
-			c, bad := net.ListenUDP("udp4", &net.UDPAddr{IP: ip})
-			if err = bad; err == nil {
-				held, at = c, c.LocalAddr()
+			c, listenErr := net.ListenUDP("udp4", &net.UDPAddr{IP: ip})
+			if err = listenErr; err == nil {
+				held, addr = c, c.LocalAddr()
 			}
 		} else {
-			ln, bad := net.ListenTCP("tcp4", &net.TCPAddr{IP: ip})
-			if err = bad; err == nil {
-				held, at = ln, ln.Addr()
+			ln, listenErr := net.ListenTCP("tcp4", &net.TCPAddr{IP: ip})
+			if err = listenErr; err == nil {
+				held, addr = ln, ln.Addr()
 			}
 		}
 		if err != nil {
 			return nil, err
 		}
 		defer held.Close()
-		list = append(list, netip.MustParseAddrPort(at.String()))
+		list = append(list, netip.MustParseAddrPort(addr.String()))
 	}
 	return list, nil
 }
--- a/internal/fleet/endpoints/port.go
+++ b/internal/fleet/endpoints/port.go
@@ -6,14 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// reservedPort is a port that stays its owner's while nothing listens there: the kernel gives it to nobody who asks for any,
-// and refuses connections to it. Its owner listens there with SO_REUSEADDR.
+// reservedPort is a port that is bound and not listening. The kernel chooses it for no other socket and refuses connections
+// to it, while its owner can listen there with SO_REUSEADDR.
 type reservedPort struct {
 	address netip.AddrPort
 	fd      int
 }
 
-// reserve has the kernel choose a port of an IPv4 address.
+// reserve reserves a port of an IPv4 address that the kernel chooses.
 func reserve(host netip.Addr) (*reservedPort, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -27,6 +27,7 @@
 	return &reservedPort{address: bound, fd: fd}, nil
 }
 
+// bind binds fd to a port of host with SO_REUSEADDR and returns the address.
 func bind(fd int, host netip.Addr) (netip.AddrPort, error) {
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return netip.AddrPort{}, err
@@ -38,11 +39,11 @@
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	at := name.(*unix.SockaddrInet4)
-	return netip.AddrPortFrom(netip.AddrFrom4(at.Addr), uint16(at.Port)), nil
+	address := name.(*unix.SockaddrInet4)
+	return netip.AddrPortFrom(netip.AddrFrom4(address.Addr), uint16(address.Port)), nil
 }
 
-// release gives the port back; its number stays known.
+// release frees the port. address keeps its value.
 func (p *reservedPort) release() {
 	if p.fd >= 0 {
 		unix.Close(p.fd)
--- a/internal/fleet/endpoints/port_test.go
+++ b/internal/fleet/endpoints/port_test.go
@@ -13,7 +13,8 @@
 	"cobaltflow/internal/fleet/relay"
 )
 
-// A port stays its owner's while nothing listens there, is refused meanwhile, and can be listened at again.
+// A reserved port refuses connections while nothing listens there, cannot be bound by others, and can be listened at again;
+// after its release others can bind it.
 func TestReservedPortStaysReserved(t *testing.T) {
 	port, err := reserve(netip.MustParseAddr("127.0.0.1"))
 	require.NoError(t, err)
@@ -30,7 +31,7 @@
 	assert.NoError(t, bindWithoutReuse(t, port.address))
 }
 
-// bindAlone binds a port as whoever is given any does: not one that somebody else has bound.
+// bindWithoutReuse binds a port without SO_REUSEADDR, which fails if another socket is bound to it.
 func bindWithoutReuse(t *testing.T, at netip.AddrPort) error {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
--- a/internal/fleet/endpoints/recorder.go
+++ b/internal/fleet/endpoints/recorder.go
@@ -1,5 +1,5 @@
-// Package endpoints is the far side of the schedulers in a rig: table workers, and discovery that tells of them. Both follow
-// the platform's protocol on sockets, behind relays, and decide nothing. What they see goes to a Recorder.
+// Package endpoints simulates the table workers and discovery servers that scheduler processes connect to through package
+// relay, and records what they observe. Package fleet calls it.
 package endpoints
 
 import (
@@ -9,89 +9,89 @@
 	"cobaltflow/internal/fleet/record"
 )
 
-// Recorder collects the records of a run. It may be used from any goroutine.
+// Recorder collects the records of a run. It is safe for concurrent use.
 type Recorder struct {
 	start time.Time
 	mu    sync.Mutex
 	rec   record.Records
-	tries map[string]record.Try // tries that a worker may meet, by id
+	tries map[string]record.Try // all tries that were sent, by ID
 }
 
-// NewRecorder makes a recorder; Begin sets its clock.
+// NewRecorder returns an empty recorder; SetStart sets the start of its clock.
 func NewRecorder() *Recorder { return &Recorder{start: time.Now(), tries: map[string]record.Try{}} }
 
-// Begin sets the moment from which times count.
+// SetStart sets the time that all recorded times count from.
 func (r *Recorder) SetStart(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.start = at
 }
 
-// Now is the time since the beginning, in microseconds.
+// ElapsedUS returns the time since the start, in microseconds.
 func (r *Recorder) ElapsedUS() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Since(r.start).Microseconds()
 }
 
-// At gives the time of a moment of the run.
+// TimeAt returns the time that is us microseconds after the start.
 func (r *Recorder) TimeAt(us int64) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.start.Add(time.Duration(us) * time.Microsecond)
 }
 
-// Sent notes that a client sends a try; workers know it from now on.
-func (r *Recorder) TrySent(t record.Try) {
+// TrySent adds a try that a client is about to send, so that workers find it by its ID.
+func (r *Recorder) TrySent(try record.Try) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tries[t.ID] = t
+	r.tries[try.ID] = try
 }
 
-// Ended notes how a try ended. Late attempts of it may still come to a worker.
-func (r *Recorder) TryEnded(t record.Try) {
+// TryEnded records a try that has ended. It can still be found, as a late attempt of it may arrive at a worker.
+func (r *Recorder) TryEnded(try record.Try) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rec.Tries = append(r.rec.Tries, t)
+	r.rec.Tries = append(r.rec.Tries, try)
 }
 
-// Find gives the try of an id.
+// FindTry returns the try with an ID, and whether there is one.
 func (r *Recorder) FindTry(id string) (record.Try, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t, ok := r.tries[id]
-	return t, ok
+	try, ok := r.tries[id]
+	return try, ok
 }
 
-// Ran notes an attempt at a worker, when it is over.
-func (r *Recorder) AttemptEnded(run record.Attempt) {
+// AttemptEnded records an attempt at a worker that has ended.
+func (r *Recorder) AttemptEnded(attempt record.Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rec.Attempts = append(r.rec.Attempts, run)
+	r.rec.Attempts = append(r.rec.Attempts, attempt)
 }
 
-// Sample notes how full workers are.
-func (r *Recorder) AddSamples(s []record.Sample) {
+// AddSamples records the load of workers.
+func (r *Recorder) AddSamples(samples []record.Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rec.Samples = append(r.rec.Samples, s...)
+	r.rec.Samples = append(r.rec.Samples, samples...)
 }
 
-// Told notes what a scheduler was told of a worker.
-func (r *Recorder) AddListUpdate(t record.ListUpdate) {
+// AddListUpdate records a worker list update that was sent to a scheduler.
+func (r *Recorder) AddListUpdate(update record.ListUpdate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rec.ListUpdates = append(r.rec.ListUpdates, t)
+	r.rec.ListUpdates = append(r.rec.ListUpdates, update)
 }
 
-// Event notes a fault or what a process did.
-func (r *Recorder) AddEvent(e record.Event) {
+// AddEvent records a fault or an event of a process.
+func (r *Recorder) AddEvent(event record.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rec.Events = append(r.rec.Events, e)
+	r.rec.Events = append(r.rec.Events, event)
 }
 
-// Records gives what was recorded, when the run is over.
+// Records returns what was recorded. Nothing may be recorded after it.
 func (r *Recorder) Records() *record.Records {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,7 +99,7 @@
 	return &rec
 }
 
-// Totals gives the answers so far, for a live line.
+// AnswerCounts returns the number of ended tries by answer: 200, 429 or 503, and all others.
 func (r *Recorder) AnswerCounts() (served, refused, other int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/endpoints/worker.go
+++ b/internal/fleet/endpoints/worker.go
@@ -13,8 +13,8 @@
 	"cobaltflow/internal/fleet/scenario"
 )
 
-// Worker is a table worker: slots, a queue served in the order of arrival, kept keys, and reports that are late. It
-// listens once for each site, so that the relay of each pair of sites stands before it.
+// Worker is a simulated table worker with slots, a FIFO queue, a cache of keys and delayed load reports. It has one
+// listener for each site, so that the network can impair the path from each site separately.
 type Worker struct {
 	Number    int
 	Name      string
@@ -25,24 +25,24 @@
 	recorder  *Recorder
 	network   *relay.Network
 	callbacks *Callbacks
-	ports     []*reservedPort // by site, from the first start on
+	ports     []*reservedPort // by site, reserved from the first start on
 
 	mu             sync.Mutex
 	rng            *rand.Rand
-	servers        []*workerServer // by site; nil: it does not run
-	generation     int             // grows with each start
+	servers        []*workerServer // by site; nil: the worker does not run
+	generation     int             // number of starts
 	isUp           bool
 	isSilent       bool
 	hasCollapsed   bool
-	started        time.Time // zero: long ago
-	slowdown       float64   // running times are multiplied by it
+	started        time.Time // zero: long ago, so that the worker is warm
+	slowdown       float64   // factor of the running times
 	isFailing      bool
 	reportsIdle    bool
 	freezesReports bool
 	running        []*job
 	queue          []*job
-	cachedKeys     []int32   // kept, the last used last
-	recentWork     []arrival // work that came within the last while, for the cold budget
+	cachedKeys     []int32   // cached, least recently used first
+	recentWork     []arrival // work received within the last TipAfterS, for the cold budget
 	reports        []loadReport
 	nextReportAt   time.Time
 	ProbeCount     atomic.Int64
@@ -50,49 +50,52 @@
 	meanRun        time.Duration
 }
 
+// job is an attempt that waits or runs at a worker.
 type job struct {
 	attempt       record.Attempt
 	try           record.Try
 	generation    int
 	timer         *time.Timer
-	startReported chan struct{} // closed when the call that tells of the start is over
-	connectTime   time.Duration // what its connection's opening cost
+	startReported chan struct{} // closed when the callback for the start has ended
+	connectTime   time.Duration // added to the running time for a new connection
 }
 
+// arrival is the work that a cold worker received with one job.
 type arrival struct {
 	at   time.Time
 	work time.Duration
 }
 
+// loadReport holds the load figures of one report.
 type loadReport struct {
 	visibleAt             time.Time
 	queue, inFlight, free int
 	latency               float64
 }
 
-// NewWorker makes a table worker; Start runs it.
-func NewWorker(number, site, kind int, s *scenario.Scenario, recorder *Recorder, net *relay.Network, back *Callbacks, seed uint64) *Worker {
+// NewWorker returns a table worker that does not run yet; Start starts it.
+func NewWorker(number, site, kind int, s *scenario.Scenario, recorder *Recorder, network *relay.Network, callbacks *Callbacks, seed uint64) *Worker {
 	return &Worker{Number: number, Name: fmt.Sprintf("t%03d", number), Site: site, Kind: kind, cfg: &s.Workers, speed: s.Workers.Kinds[kind].Speed,
-		recorder: recorder, network: net, callbacks: back, slowdown: 1, rng: rand.New(rand.NewPCG(seed, uint64(number)+1)),
+		recorder: recorder, network: network, callbacks: callbacks, slowdown: 1, rng: rand.New(rand.NewPCG(seed, uint64(number)+1)),
 		ports: make([]*reservedPort, len(s.Sites)), meanRun: time.Duration(s.MeanRunS() * float64(time.Second))}
 }
 
-// Start runs the worker: cold, unless it has run for long. It keeps its addresses.
-func (w *Worker) Start(cold bool) error {
+// Start starts the worker, cold (its slow start begins now) or warm. It listens at the same addresses after each start.
+func (w *Worker) Start(isCold bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.servers = make([]*workerServer, len(w.ports))
 	for site := range w.ports {
-		g, err := w.listen(site)
+		srv, err := w.listen(site)
 		if err != nil {
 			return err
 		}
-		w.servers[site] = g
+		w.servers[site] = srv
 	}
 	w.generation++
 	w.isUp, w.isSilent, w.hasCollapsed = true, false, false
 	w.started = time.Time{}
-	if cold {
+	if isCold {
 		w.started = time.Now()
 	}
 	w.cachedKeys, w.recentWork, w.reports, w.nextReportAt = nil, nil, nil, time.Time{}
@@ -100,10 +103,10 @@
 	return nil
 }
 
-// Address is where schedulers of a site find it.
+// Address returns the address at which schedulers of a site reach the worker.
 func (w *Worker) Address(site int) string { return w.ports[site].address.String() }
 
-// Since is its last start as Unix time in milliseconds; 0: long ago.
+// StartedMS returns the last start as Unix time in milliseconds, or 0 if the worker was started warm.
 func (w *Worker) StartedMS() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,30 +116,30 @@
 	return w.started.UnixMilli()
 }
 
-// Stop has the process die: connections are reset and new ones refused. Where the machine's agent lives it tells of the
-// jobs that were lost.
-func (w *Worker) Stop(agent bool) {
+// Stop crashes the worker's process: open connections are reset and new ones refused. With reportsLost the machine itself
+// is still up, and reports the lost jobs to their schedulers.
+func (w *Worker) Stop(reportsLost bool) {
 	w.mu.Lock()
 	if !w.isUp {
 		w.mu.Unlock()
 		return
 	}
 	w.isUp = false
-	gates := w.servers
+	servers := w.servers
 	w.servers = nil
 	lost := w.dropAll(record.OutcomeLost)
 	w.mu.Unlock()
-	for _, g := range gates {
-		g.close()
+	for _, srv := range servers {
+		srv.close()
 	}
-	if agent {
+	if reportsLost {
 		for _, j := range lost {
 			w.callbacks.send(w, j, "lost", "")
 		}
 	}
 }
 
-// Release gives the worker's ports back, when it is not started again.
+// ReleasePorts frees the worker's ports. The worker cannot be started again after it.
 func (w *Worker) ReleasePorts() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -147,53 +150,54 @@
 	}
 }
 
-// Silence has the machine vanish: nothing is answered nor told any more. Where only the process hangs, connections still
-// come up.
-func (w *Worker) Silence(hung bool) {
+// Silence makes the worker silent, as if its machine had lost power: it neither answers nor sends callbacks. With isHung
+// only the process hangs, and the kernel still accepts connections.
+func (w *Worker) Silence(isHung bool) {
 	w.mu.Lock()
-	gates := w.servers
+	servers := w.servers
 	w.isSilent = true
 	w.dropAll(record.OutcomeLost)
 	w.mu.Unlock()
-	for _, g := range gates {
-		g.listener.SetSilent(true, hung)
+	for _, srv := range servers {
+		srv.listener.SetSilent(true, isHung)
 	}
 }
 
-// drop forgets all jobs.
-func (w *Worker) dropAll(how string) []*job {
+// dropAll ends all jobs with an outcome and returns them. The caller holds mu.
+func (w *Worker) dropAll(outcome string) []*job {
 	all := append(append([]*job(nil), w.running...), w.queue...)
 	w.running, w.queue = nil, nil
 	for _, j := range all {
 		if j.timer != nil {
 			j.timer.Stop()
 		}
-		w.recordEnd(j, how)
+		w.recordEnd(j, outcome)
 	}
 	return all
 }
 
-func (w *Worker) recordEnd(j *job, how string) {
-	j.attempt.EndedUS, j.attempt.Outcome = w.recorder.ElapsedUS(), how
+// recordEnd records the end of a job's attempt.
+func (w *Worker) recordEnd(j *job, outcome string) {
+	j.attempt.EndedUS, j.attempt.Outcome = w.recorder.ElapsedUS(), outcome
 	w.recorder.AttemptEnded(j.attempt)
 }
 
-// Set changes how the worker behaves.
-func (w *Worker) UpdateBehaviour(f func(*Behaviour)) {
+// UpdateBehaviour changes how the worker behaves.
+func (w *Worker) UpdateBehaviour(update func(*Behaviour)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	b := Behaviour{w.slowdown, w.isFailing, w.reportsIdle, w.freezesReports}
-	f(&b)
+	update(&b)
 	w.slowdown, w.isFailing, w.reportsIdle, w.freezesReports = b.Slowdown, b.IsFailing, b.ReportsIdle, b.FreezesReports
 }
 
-// Behaviour is what faults change at a worker that runs.
+// Behaviour holds what faults change at a running worker.
 type Behaviour struct {
-	Slowdown                               float64 // running times are multiplied by it
+	Slowdown                               float64 // factor of the running times
 	IsFailing, ReportsIdle, FreezesReports bool
 }
 
-// warmth is the part of its capacity that it has now.
+// warmFraction returns the part of its full capacity that the worker has now, in (0, 1].
 func (w *Worker) warmFraction(now time.Time) float64 {
 	if w.started.IsZero() || w.cfg.WarmS <= 0 {
 		return 1
@@ -201,11 +205,12 @@
 	return min(1, w.cfg.ColdFrom+(1-w.cfg.ColdFrom)*now.Sub(w.started).Seconds()/w.cfg.WarmS)
 }
 
-// tips counts the work that comes to a cold worker, and tells whether it falls over: sent more than a multiple of what
-// it can do for a while, and what the operators' terms let pass for chance.
+// isOverloadedBy adds new work to what a cold worker received within TipAfterS, and reports whether the worker collapses
+// under it: whether the work exceeds OverloadFactor times the worker's capacity, plus the random excess that the
+// operators' terms allow.
 func (w *Worker) isOverloadedBy(now time.Time, work time.Duration) bool {
-	warmth := w.warmFraction(now)
-	if warmth >= 1 {
+	capacity := w.warmFraction(now)
+	if capacity >= 1 {
 		w.recentWork = w.recentWork[:0]
 		return false
 	}
@@ -214,16 +219,16 @@
 		w.recentWork = w.recentWork[1:]
 	}
 	w.recentWork = append(w.recentWork, arrival{now, work})
-	sum := time.Duration(0)
+	received := time.Duration(0)
 	for _, p := range w.recentWork {
-		sum += p.work
+		received += p.work
 	}
-	allowed := w.cfg.OverloadFactor * float64(w.cfg.Slots) * warmth * float64(window) / float64(w.meanRun)
-	return float64(sum)/float64(w.meanRun) > maxColdRequests(allowed)
+	allowed := w.cfg.OverloadFactor * float64(w.cfg.Slots) * capacity * float64(window) / float64(w.meanRun)
+	return float64(received)/float64(w.meanRun) > maxColdRequests(allowed)
 }
 
-// bearable is how many requests of mean work a cold worker bears in its window where the settings allow so many: by the
-// operators' terms N + 2 x root of N + 2, and under 30 N + 3 x root of N + 3.
+// maxColdRequests returns how many requests of mean work a cold worker handles within its window, where the settings allow
+// N: by the operators' terms N + 2*sqrt(N) + 2, and N + 3*sqrt(N) + 3 if N is below 30.
 func maxColdRequests(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
@@ -231,25 +236,25 @@
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// taken is what became of a job that came.
+// acceptResult is the worker's reaction to a job request.
 type acceptResult uint8
 
 const (
-	accepted acceptResult = iota
-	queueFull
-	failed
-	collapsed
+	accepted  acceptResult = iota // answered 202
+	queueFull                     // answered 503
+	failed                        // answered 500
+	collapsed                     // the connection is aborted
 )
 
-// take has a job join the queue.
-func (w *Worker) accept(t record.Try, opening time.Duration, leftMS int64) acceptResult {
+// accept adds a job to the queue, unless the worker is down, collapses, fails or has a full queue.
+func (w *Worker) accept(try record.Try, connectTime time.Duration, timeLeftMS int64) acceptResult {
 	now := time.Now()
-	run := record.Attempt{ID: t.ID, Worker: int32(w.Number), Scheduler: t.Scheduler, ArrivedUS: w.recorder.ElapsedUS(), TimeLeftMS: leftMS}
+	attempt := record.Attempt{ID: try.ID, Worker: int32(w.Number), Scheduler: try.Scheduler, ArrivedUS: w.recorder.ElapsedUS(), TimeLeftMS: timeLeftMS}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	run.QueueLength = int32(len(w.queue))
-	j := &job{attempt: run, try: t, generation: w.generation, startReported: make(chan struct{}), connectTime: opening}
-	work := time.Duration(float64(t.RunUS) * 1000 / w.speed)
+	attempt.QueueLength = int32(len(w.queue))
+	j := &job{attempt: attempt, try: try, generation: w.generation, startReported: make(chan struct{}), connectTime: connectTime}
+	work := time.Duration(float64(try.RunUS) * 1000 / w.speed)
 	switch {
 	case !w.isUp || w.isSilent:
 		w.recordEnd(j, record.OutcomeLost)
@@ -257,7 +262,7 @@
 	case w.isOverloadedBy(now, work):
 		w.hasCollapsed = true
 		w.recordEnd(j, record.OutcomeLost)
-		w.recorder.AddEvent(record.Event{AtUS: run.ArrivedUS, Kind: "fell", Text: w.Name, Scheduler: -1, Worker: int32(w.Number)})
+		w.recorder.AddEvent(record.Event{AtUS: attempt.ArrivedUS, Kind: "fell", Text: w.Name, Scheduler: -1, Worker: int32(w.Number)})
 		go w.Stop(true)
 		return collapsed
 	case w.isFailing:
@@ -272,20 +277,20 @@
 	return accepted
 }
 
-// next starts what fits.
+// startWaiting starts waiting jobs while slots are free. The caller holds mu.
 func (w *Worker) startWaiting(now time.Time) {
 	for len(w.queue) > 0 && len(w.running) < w.cfg.Slots {
 		j := w.queue[0]
 		w.queue = w.queue[1:]
 		w.running = append(w.running, j)
-		takes := time.Duration(float64(j.try.RunUS) * 1000 * w.slowdown / w.speed / w.warmFraction(now))
+		runTime := time.Duration(float64(j.try.RunUS) * 1000 * w.slowdown / w.speed / w.warmFraction(now))
 		if w.fetchKey(j.try.Key) {
 			j.attempt.FetchedKey = true
-			takes += time.Duration(w.cfg.FetchMS * float64(time.Millisecond))
+			runTime += time.Duration(w.cfg.FetchMS * float64(time.Millisecond))
 		}
-		takes += j.connectTime
+		runTime += j.connectTime
 		j.attempt.StartedUS = w.recorder.ElapsedUS()
-		j.timer = time.AfterFunc(takes, func() { w.finish(j) })
+		j.timer = time.AfterFunc(runTime, func() { w.finish(j) })
 		go func() {
 			w.callbacks.send(w, j, "started", "")
 			close(j.startReported)
@@ -293,7 +298,7 @@
 	}
 }
 
-// fetch tells whether a key has to be brought, and keeps it.
+// fetchKey reports whether a key has to be fetched because it is not cached, and caches it.
 func (w *Worker) fetchKey(key int32) bool {
 	if w.cfg.KeptKeys == 0 {
 		return false
@@ -310,14 +315,15 @@
 	return true
 }
 
+// finish ends a job that has run and sends its result, after the callback for its start.
 func (w *Worker) finish(j *job) {
 	w.mu.Lock()
 	if j.generation != w.generation || !w.isUp || w.isSilent {
 		w.mu.Unlock()
 		return
 	}
-	for i, x := range w.running {
-		if x == j {
+	for i, other := range w.running {
+		if other == j {
 			w.running = append(w.running[:i], w.running[i+1:]...)
 			break
 		}
@@ -329,10 +335,10 @@
 	w.callbacks.send(w, j, "done", Result(j.try.ID, w.Name))
 }
 
-// Result is the answer that a worker gives for a job.
+// Result returns the result that a worker sends for a job.
 func Result(id, worker string) string { return id + " by " + worker }
 
-// withdraw gives a waiting job up; one that runs goes on.
+// cancelWaiting removes a waiting job. A running job continues.
 func (w *Worker) cancelWaiting(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -345,21 +351,21 @@
 	}
 }
 
-// report makes new figures when it is time, and gives those that can be seen now.
+// currentReport makes a new report when one is due, and returns the latest visible one. The caller holds mu.
 func (w *Worker) currentReport(now time.Time) loadReport {
 	if now.After(w.nextReportAt) && !(w.freezesReports && len(w.reports) > 0) {
 		noisy := func(n int) int {
 			return max(0, int(float64(n)*(1+w.cfg.Noise*(2*w.rng.Float64()-1))+0.5))
 		}
-		r := loadReport{visibleAt: now.Add(time.Duration(w.cfg.ReportDelayS.Draw(w.rng) * float64(time.Second))), queue: noisy(len(w.queue)),
+		report := loadReport{visibleAt: now.Add(time.Duration(w.cfg.ReportDelayS.Draw(w.rng) * float64(time.Second))), queue: noisy(len(w.queue)),
 			inFlight: noisy(len(w.queue) + len(w.running)), free: w.cfg.Slots - len(w.running), latency: w.meanRun.Seconds() * 1000 * w.slowdown / w.speed}
 		if w.reportsIdle {
-			r.queue, r.inFlight, r.free, r.latency = 0, 0, w.cfg.Slots, 1
+			report.queue, report.inFlight, report.free, report.latency = 0, 0, w.cfg.Slots, 1
 		}
 		if len(w.reports) == 0 {
-			r.visibleAt = now // the first one is seen at once: there is no older
+			report.visibleAt = now // the first report is visible at once, as there is no older one
 		}
-		w.reports = append(w.reports, r)
+		w.reports = append(w.reports, report)
 		w.nextReportAt = now.Add(time.Duration(w.cfg.ReportS.Draw(w.rng) * float64(time.Second)))
 	}
 	for len(w.reports) > 1 && !w.reports[1].visibleAt.After(now) {
@@ -368,27 +374,27 @@
 	return w.reports[0]
 }
 
-// Sample tells how full it is; reports are refreshed by the same clock.
+// Sample returns the worker's load, and makes a new report when one is due.
 func (w *Worker) Sample(atUS int64) record.Sample {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	s := record.Sample{AtUS: atUS, Worker: int32(w.Number), Running: float32(len(w.running)), Waiting: int32(len(w.queue))}
+	sample := record.Sample{AtUS: atUS, Worker: int32(w.Number), Running: float32(len(w.running)), Waiting: int32(len(w.queue))}
 	if w.isUp && !w.isSilent {
 		w.currentReport(now)
-		s.UsableSlots = float32(float64(w.cfg.Slots) * w.warmFraction(now))
+		sample.UsableSlots = float32(float64(w.cfg.Slots) * w.warmFraction(now))
 	}
-	return s
+	return sample
 }
 
-// Fallen tells whether it was pushed over.
+// HasCollapsed reports whether the worker has collapsed under overload since its last start.
 func (w *Worker) HasCollapsed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.hasCollapsed
 }
 
-// End notes the jobs that are still there when the run ends.
+// RecordOpenJobs records the jobs that wait or run when the run ends.
 func (w *Worker) RecordOpenJobs() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fleet/experiment/experiment.go
+++ b/internal/fleet/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment plays scenarios over seeds, builds and arms, and puts what came out side by side: tables, records
-// and a report. It is the tool on top of the rig.
+// Package experiment runs a scenario with several seeds, builds and configuration variants (arms), and compares them in a
+// table, saved records and a report. The command "fleet" calls it.
 package experiment
 
 import (
@@ -18,18 +18,18 @@
 	"cobaltflow/internal/fleet/scenario"
 )
 
-// Options of a run.
+// Options holds the settings of an experiment.
 type Options struct {
 	Binary    string
 	OldBinary string
-	Arms      []string // NAME=FILE
+	Arms      []string // NAME=FILE, where FILE holds configuration overrides in JSON
 	Seed      uint64
 	SeedCount int
 	Dir       string
 	Quiet     bool
 }
 
-// played is what one build made of one seed.
+// playedRun is the run of one build with one seed.
 type playedRun struct {
 	build    string
 	seed     uint64
@@ -38,7 +38,8 @@
 	checks   []judge.Check
 }
 
-// Run plays a scenario file. It gives how many checks failed, of builds that are not the old one.
+// Run runs a scenario file and writes the table and the checks to out. It returns the number of failed checks, without those
+// of the old build.
 func Run(ctx context.Context, path string, o Options, out, live io.Writer) (failed int, err error) {
 	s, err := scenario.Load(path)
 	if err != nil {
@@ -54,7 +55,7 @@
 	if o.Quiet {
 		live = nil
 	}
-	all, err := playAll(ctx, s, builds, o, live)
+	runs, err := playAll(ctx, s, builds, o, live)
 	if err != nil {
 		return 0, err
 	}
@@ -67,61 +68,61 @@
 	for _, b := range builds {
 		names = append(names, b.Name)
 	}
-	WriteTable(out, s, names, all)
-	return writeChecks(out, all), nil
+	WriteTable(out, s, names, runs)
+	return writeChecks(out, runs), nil
 }
 
-// playAll plays a scenario with each seed and build, and judges each run.
-func playAll(ctx context.Context, s *scenario.Scenario, builds []fleet.Build, o Options, live io.Writer) (all []playedRun, err error) {
+// playAll runs a scenario with each seed and build, and evaluates each run.
+func playAll(ctx context.Context, s *scenario.Scenario, builds []fleet.Build, o Options, live io.Writer) (runs []playedRun, err error) {
 	for i := range max(1, o.SeedCount) {
 		for _, b := range builds {
-			p, err := playOne(ctx, s, b, o, o.Seed+uint64(i), live)
+			run, err := playOne(ctx, s, b, o, o.Seed+uint64(i), live)
 			if err != nil {
 				return nil, err
 			}
-			all = append(all, p)
+			runs = append(runs, run)
 		}
 	}
-	return all, nil
+	return runs, nil
 }
 
-// playOne plays a scenario with one seed and build, keeps its records where o.Dir names a folder, and judges it.
-func playOne(ctx context.Context, s *scenario.Scenario, b fleet.Build, o Options, seed uint64, live io.Writer) (p playedRun, err error) {
+// playOne runs a scenario with one seed and build, saves its records if o.Dir names a directory, and evaluates it.
+func playOne(ctx context.Context, s *scenario.Scenario, b fleet.Build, o Options, seed uint64, live io.Writer) (run playedRun, err error) {
 	dir := ""
 	if o.Dir != "" {
 		dir = filepath.Join(o.Dir, fmt.Sprintf("%s-%s-%d", s.Name, b.Name, seed))
 	}
 	rec, err := fleet.Play(ctx, s, b, fleet.Options{Seed: seed, Progress: live, LogDir: dir})
 	if err != nil {
-		return p, fmt.Errorf("%s, seed %d: %w", b.Name, seed, err)
+		return run, fmt.Errorf("%s, seed %d: %w", b.Name, seed, err)
 	}
 	if dir != "" {
 		if err := rec.Save(dir); err != nil {
-			return p, err
+			return run, err
 		}
 	}
 	checks, analysis, err := judge.Evaluate(rec)
 	if err != nil {
-		return p, err
+		return run, err
 	}
 	return playedRun{build: b.Name, seed: seed, analysis: analysis, rec: rec, checks: checks}, nil
 }
 
-// reportChecks writes the checks that failed and a total. It gives how many failed, of builds that are not the old one.
-func writeChecks(out io.Writer, all []playedRun) (failed int) {
+// writeChecks writes the failed checks and a total. It returns the number of failed checks, without those of the old build.
+func writeChecks(out io.Writer, runs []playedRun) (failed int) {
 	passed := 0
-	for _, p := range all {
-		for _, c := range p.checks {
+	for _, run := range runs {
+		for _, check := range run.checks {
 			switch {
-			case c.Passed:
-				if p.build != oldBuildName {
+			case check.Passed:
+				if run.build != oldBuildName {
 					passed++
 				}
 				continue
-			case p.build != oldBuildName:
+			case run.build != oldBuildName:
 				failed++
 			}
-			fmt.Fprintf(out, "failed: %s, seed %d: %s: %s\n", p.build, p.seed, c.Name, c.Text)
+			fmt.Fprintf(out, "failed: %s, seed %d: %s: %s\n", run.build, run.seed, check.Name, check.Text)
 		}
 	}
 	fmt.Fprintf(out, "checks: %d passed, %d failed\n", passed, failed)
@@ -130,7 +131,7 @@
 
 const oldBuildName = "old"
 
-// builds gives what is played on each seed.
+// listBuilds returns the builds that are run with each seed: the new one, the old one if given, and one for each arm.
 func listBuilds(o Options) (list []fleet.Build, err error) {
 	if o.Binary == "" {
 		if o.Binary, err = os.Executable(); err != nil {
@@ -155,7 +156,7 @@
 	for _, arm := range o.Arms {
 		name, path, ok := strings.Cut(arm, "=")
 		if !ok || name == "" || slices.ContainsFunc(list, func(b fleet.Build) bool { return b.Name == name }) {
-			return nil, fmt.Errorf("--arm %q is not NAME=FILE with a name of its own", arm)
+			return nil, fmt.Errorf("--arm %q must be NAME=FILE with a unique name", arm)
 		}
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -170,42 +171,42 @@
 	return list, nil
 }
 
-// Table writes the figures of each window, medians over the seeds, a build a row.
-func WriteTable(out io.Writer, s *scenario.Scenario, builds []string, all []playedRun) {
+// WriteTable writes the figures of each window as a Markdown table with a row for each build, as medians over the seeds.
+func WriteTable(out io.Writer, s *scenario.Scenario, builds []string, runs []playedRun) {
 	windows := append(slices.Clone(s.Windows), scenario.Window{Name: "all", FromS: 0, ToS: s.Seconds})
 	fmt.Fprintf(out, "\n%s: %s\n", s.Name, s.About)
 	fmt.Fprintf(out, "\n| window | build | requests | worth | of bound | served | refused | failed | attempts | idle beside waiting | wait mean, p99 (s) | longest queue | herd | left out | inverted |")
-	for _, c := range s.Classes {
-		fmt.Fprintf(out, " %s |", c.Name)
+	for _, class := range s.Classes {
+		fmt.Fprintf(out, " %s |", class.Name)
 	}
 	fmt.Fprintf(out, "\n|%s\n", strings.Repeat(" --- |", 15+len(s.Classes)))
 	for _, w := range windows {
 		for _, b := range builds {
-			var list []judge.Figures
+			var figures []judge.Figures
 			classes := make([][]float64, len(s.Classes))
-			for _, p := range all {
-				if p.build == b {
-					list = append(list, p.analysis.WindowFigures(w, -1, -1))
+			for _, run := range runs {
+				if run.build == b {
+					figures = append(figures, run.analysis.WindowFigures(w, -1, -1))
 					for i := range s.Classes {
-						classes[i] = append(classes[i], p.analysis.ClientFigures(w, i, -1).Worth)
+						classes[i] = append(classes[i], run.analysis.ClientFigures(w, i, -1).Worth)
 					}
 				}
 			}
-			m := func(f func(judge.Figures) float64) float64 {
-				var v []float64
-				for _, x := range list {
-					v = append(v, f(x))
+			medianOf := func(f func(judge.Figures) float64) float64 {
+				var values []float64
+				for _, x := range figures {
+					values = append(values, f(x))
 				}
-				return median(v)
+				return median(values)
 			}
 			fmt.Fprintf(out, "| %s | %s | %.0f | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f, %.2f | %.1f | %.1f | %.0f | %.3f |", w.Name, b,
-				m(func(f judge.Figures) float64 { return float64(f.Requests) }), m(func(f judge.Figures) float64 { return f.Worth }),
-				m(func(f judge.Figures) float64 { return f.OfBound }), m(func(f judge.Figures) float64 { return f.Served }),
-				m(func(f judge.Figures) float64 { return f.Refused }), m(func(f judge.Figures) float64 { return f.Failed }),
-				m(func(f judge.Figures) float64 { return f.Attempts }), m(func(f judge.Figures) float64 { return f.IdleBesideWaiting }),
-				m(func(f judge.Figures) float64 { return f.WaitMeanS }), m(func(f judge.Figures) float64 { return f.WaitP99S }),
-				m(func(f judge.Figures) float64 { return f.QueueLong }), m(func(f judge.Figures) float64 { return f.Herd }),
-				m(func(f judge.Figures) float64 { return float64(f.StarvedWorkers) }), m(func(f judge.Figures) float64 { return f.InvertedShare }))
+				medianOf(func(f judge.Figures) float64 { return float64(f.Requests) }), medianOf(func(f judge.Figures) float64 { return f.Worth }),
+				medianOf(func(f judge.Figures) float64 { return f.OfBound }), medianOf(func(f judge.Figures) float64 { return f.Served }),
+				medianOf(func(f judge.Figures) float64 { return f.Refused }), medianOf(func(f judge.Figures) float64 { return f.Failed }),
+				medianOf(func(f judge.Figures) float64 { return f.Attempts }), medianOf(func(f judge.Figures) float64 { return f.IdleBesideWaiting }),
+				medianOf(func(f judge.Figures) float64 { return f.WaitMeanS }), medianOf(func(f judge.Figures) float64 { return f.WaitP99S }),
+				medianOf(func(f judge.Figures) float64 { return f.QueueLong }), medianOf(func(f judge.Figures) float64 { return f.Herd }),
+				medianOf(func(f judge.Figures) float64 { return float64(f.StarvedWorkers) }), medianOf(func(f judge.Figures) float64 { return f.InvertedShare }))
 			for i := range classes {
 				fmt.Fprintf(out, " %.3f |", median(classes[i]))
 			}
@@ -214,15 +215,16 @@
 	}
 	fmt.Fprintln(out)
 	for _, b := range builds {
-		for _, p := range all {
-			if p.build == b {
-				a := p.rec.About
-				fmt.Fprintf(out, "%s, seed %d: jobs sent %d on %d new connections, probes %d, messages %d\n", b, p.seed, len(p.rec.Attempts), a.Paths["job"].Opened, a.Probes, a.Messages)
+		for _, run := range runs {
+			if run.build == b {
+				about := run.rec.About
+				fmt.Fprintf(out, "%s, seed %d: jobs sent %d on %d new connections, probes %d, messages %d\n", b, run.seed, len(run.rec.Attempts), about.Paths["job"].Opened, about.Probes, about.Messages)
 			}
 		}
 	}
 }
 
+// median returns the median of v, or 0 if v is empty.
 func median(v []float64) float64 {
 	if len(v) == 0 {
 		return 0
--- a/internal/fleet/experiment/report.go
+++ b/internal/fleet/experiment/report.go
@@ -9,7 +9,7 @@
 	"cobaltflow/internal/fleet/report"
 )
 
-// Report makes report.html of the records in a directory, or in the directories below it, and gives its path.
+// WriteReport writes report.html for the records in a directory and in the directories below it, and returns its path.
 func WriteReport(dir string) (string, error) {
 	dirs, err := filepath.Glob(filepath.Join(dir, "*", "about.json"))
 	if err != nil {
--- a/internal/fleet/faults.go
+++ b/internal/fleet/faults.go
@@ -14,45 +14,45 @@
 	"cobaltflow/internal/fleet/scenario"
 )
 
-// turn is a fault's begin or end, at a time.
+// faultEvent is the start or the end of a fault.
 type faultEvent struct {
-	atS   float64
-	kind  string
+	atS   float64 // second of the run
+	kind  string  // Fault.What
 	isEnd bool
 	run   func()
 }
 
-// faults gives the turns of a scenario's faults, drawn from its seed, in the order written.
-func (r *harness) faultEvents(ctx context.Context) (turns []faultEvent) {
-	rng := rand.New(rand.NewPCG(r.seed, 0x6661756c74))
-	for i := range r.scenario.Faults {
-		f := &r.scenario.Faults[i]
-		for at := f.AtS; ; at += f.Every {
-			turns = append(turns, r.faultEventsAt(ctx, f, at, rng)...)
-			if f.Every <= 0 || at+f.Every >= f.Until {
+// faultEvents returns the events of all faults of the scenario, drawn from the run's seed, in the order of the file.
+func (h *harness) faultEvents(ctx context.Context) (events []faultEvent) {
+	rng := rand.New(rand.NewPCG(h.seed, 0x6661756c74))
+	for i := range h.scenario.Faults {
+		fault := &h.scenario.Faults[i]
+		for atS := fault.AtS; ; atS += fault.Every {
+			events = append(events, h.faultEventsAt(ctx, fault, atS, rng)...)
+			if fault.Every <= 0 || atS+fault.Every >= fault.Until {
 				break
 			}
 		}
 	}
-	return turns
+	return events
 }
 
-// injection collects the turns of one fault.
+// injection collects the events of one occurrence of a fault.
 type injection struct {
 	harness  *harness
 	fault    *scenario.Fault
-	atS      float64 // seconds
+	atS      float64 // start, in seconds of the run
 	rng      *rand.Rand
-	site, to int // -1: all
+	site, to int // -1: all sites
 	kinds    []relay.Kind
 	events   []faultEvent
 }
 
-// fault gives the turns of a fault that begins at a second of the run.
-func (r *harness) faultEventsAt(ctx context.Context, f *scenario.Fault, at float64, rng *rand.Rand) []faultEvent {
-	in := &injection{harness: r, fault: f, atS: at, rng: rng, site: r.scenario.SiteIndex(f.Site), to: r.scenario.SiteIndex(f.To)}
-	for _, p := range f.Paths {
-		in.kinds = append(in.kinds, relay.ParseKind(p))
+// faultEventsAt returns the events of one occurrence of a fault, which starts atS seconds into the run.
+func (h *harness) faultEventsAt(ctx context.Context, fault *scenario.Fault, atS float64, rng *rand.Rand) []faultEvent {
+	in := &injection{harness: h, fault: fault, atS: atS, rng: rng, site: h.scenario.SiteIndex(fault.Site), to: h.scenario.SiteIndex(fault.To)}
+	for _, name := range fault.Paths {
+		in.kinds = append(in.kinds, relay.ParseKind(name))
 	}
 	in.addWorkerFaults()
 	in.addSchedulerFaults(ctx)
@@ -63,57 +63,57 @@
 	return in.events
 }
 
-// begin has something happen some seconds after the fault's beginning.
-func (in *injection) atStart(later float64, run func()) {
-	in.events = append(in.events, faultEvent{in.atS + later, in.fault.What, false, run})
+// atStart schedules run delayS seconds after the start of the fault.
+func (in *injection) atStart(delayS float64, run func()) {
+	in.events = append(in.events, faultEvent{in.atS + delayS, in.fault.What, false, run})
 }
 
-// end has something happen some seconds after the fault's end, if it has one.
-func (in *injection) atEnd(later float64, run func()) {
+// atEnd schedules run delayS seconds after the end of the fault, if it has one.
+func (in *injection) atEnd(delayS float64, run func()) {
 	if in.fault.ForS > 0 {
-		in.events = append(in.events, faultEvent{in.atS + in.fault.ForS + later, in.fault.What, true, run})
+		in.events = append(in.events, faultEvent{in.atS + in.fault.ForS + delayS, in.fault.What, true, run})
 	}
 }
 
-// workers draws the workers that the fault meets.
+// drawWorkers draws the workers that the fault affects.
 func (in *injection) drawWorkers() []*endpoints.Worker {
 	return drawTargets(in.harness.workers, in.fault, in.rng, func(w *endpoints.Worker) bool { return in.site < 0 || w.Site == in.site })
 }
 
-// schedulers draws the schedulers that the fault meets.
+// drawSchedulers draws the schedulers that the fault affects.
 func (in *injection) drawSchedulers() []*scheduler {
 	return drawTargets(in.harness.schedulers, in.fault, in.rng, func(s *scheduler) bool { return in.site < 0 || s.site == in.site })
 }
 
-// set changes the behaviour of the workers that the fault meets, and changes it back.
+// changeWorkers applies on to the behaviour of the affected workers at the start of the fault, and off at its end.
 func (in *injection) changeWorkers(on, off func(*endpoints.Behaviour)) {
-	some := in.drawWorkers()
-	in.atStart(0, func() { each(some, func(w *endpoints.Worker) { w.UpdateBehaviour(on) }) })
-	in.atEnd(0, func() { each(some, func(w *endpoints.Worker) { w.UpdateBehaviour(off) }) })
+	workers := in.drawWorkers()
+	in.atStart(0, func() { each(workers, func(w *endpoints.Worker) { w.UpdateBehaviour(on) }) })
+	in.atEnd(0, func() { each(workers, func(w *endpoints.Worker) { w.UpdateBehaviour(off) }) })
 }
 
-// path changes the paths that the fault meets, and changes them back.
+// changePaths applies on to the impairments of the affected paths at the start of the fault, and off at its end.
 func (in *injection) changePaths(on, off func(*relay.Impairment)) {
 	in.atStart(0, func() { in.harness.network.UpdateImpairments(in.kinds, in.site, in.to, !in.fault.OneWay, on) })
 	in.atEnd(0, func() { in.harness.network.UpdateImpairments(in.kinds, in.site, in.to, !in.fault.OneWay, off) })
 }
 
-// onWorkers adds the faults of workers alone.
+// addWorkerFaults adds the faults that affect workers only.
 func (in *injection) addWorkerFaults() {
-	f, r := in.fault, in.harness
+	f, h := in.fault, in.harness
 	switch f.What {
 	case "silence-workers", "crash-workers":
-		ws := in.drawWorkers()
-		in.atStart(0, func() { r.loseWorkers(ws, f.What == "silence-workers", f.Hung) })
-		in.atEnd(0, func() { r.returnWorkers(ws, f.Back) })
+		workers := in.drawWorkers()
+		in.atStart(0, func() { h.loseWorkers(workers, f.What == "silence-workers", f.Hung) })
+		in.atEnd(0, func() { h.returnWorkers(workers, f.Back) })
 	case "drain-workers":
-		ws := in.drawWorkers()
+		workers := in.drawWorkers()
 		in.atStart(0, func() {
-			each(ws, func(w *endpoints.Worker) { r.discovery.Announce(w, "draining", r.scenario.Discovery.AddS) })
+			each(workers, func(w *endpoints.Worker) { h.discovery.Announce(w, "draining", h.scenario.Discovery.AddS) })
 		})
 		in.atEnd(0, func() {
-			each(ws, func(w *endpoints.Worker) { w.Stop(true) })
-			r.returnWorkers(ws, f.Back)
+			each(workers, func(w *endpoints.Worker) { w.Stop(true) })
+			h.returnWorkers(workers, f.Back)
 		})
 	case "slow-workers":
 		in.changeWorkers(func(b *endpoints.Behaviour) { b.Slowdown = f.Factor }, func(b *endpoints.Behaviour) { b.Slowdown = 1 })
@@ -126,182 +126,187 @@
 	}
 }
 
-// onSchedulers adds the faults of schedulers, and those of a whole site.
+// addSchedulerFaults adds the faults of schedulers and of whole sites.
 func (in *injection) addSchedulerFaults(ctx context.Context) {
-	f, r := in.fault, in.harness
+	f, h := in.fault, in.harness
 	switch f.What {
 	case "lose-site":
-		ws, ss := in.drawWorkers(), in.drawSchedulers()
-		in.atStart(0, func() { r.loseWorkers(ws, true, f.Hung); r.signalSchedulers(ss, syscall.SIGKILL) })
-		in.atEnd(max(0, -f.LaterS), func() { r.returnWorkers(ws, f.Back) })
-		in.atEnd(max(0, f.LaterS), func() { r.restartSchedulers(ctx, ss) })
+		workers, schedulers := in.drawWorkers(), in.drawSchedulers()
+		in.atStart(0, func() { h.loseWorkers(workers, true, f.Hung); h.signalSchedulers(schedulers, syscall.SIGKILL) })
+		in.atEnd(max(0, -f.LaterS), func() { h.returnWorkers(workers, f.Back) })
+		in.atEnd(max(0, f.LaterS), func() { h.restartSchedulers(ctx, schedulers) })
 	case "kill-schedulers":
-		ss := in.drawSchedulers()
-		in.atStart(0, func() { r.signalSchedulers(ss, syscall.SIGKILL) })
-		in.atEnd(0, func() { r.restartSchedulers(ctx, ss) })
+		schedulers := in.drawSchedulers()
+		in.atStart(0, func() { h.signalSchedulers(schedulers, syscall.SIGKILL) })
+		in.atEnd(0, func() { h.restartSchedulers(ctx, schedulers) })
 	case "term-schedulers":
-		ss := in.drawSchedulers()
-		in.atStart(0, func() { r.signalSchedulers(ss, syscall.SIGTERM) })
-		in.atEnd(0, func() { r.restartSchedulers(ctx, ss) })
+		schedulers := in.drawSchedulers()
+		in.atStart(0, func() { h.signalSchedulers(schedulers, syscall.SIGTERM) })
+		in.atEnd(0, func() { h.restartSchedulers(ctx, schedulers) })
 	case "release-schedulers":
 		for i, s := range in.drawSchedulers() {
 			in.atStart(float64(i)*f.StepS, func() {
 				p := s.latest()
-				r.signalSchedulers([]*scheduler{s}, syscall.SIGTERM)
+				h.signalSchedulers([]*scheduler{s}, syscall.SIGTERM)
 				if p != nil {
 					<-p.exited
 				}
-				r.restartSchedulers(ctx, []*scheduler{s})
+				h.restartSchedulers(ctx, []*scheduler{s})
 			})
 		}
 	case "stop-schedulers":
-		ss := in.drawSchedulers()
+		schedulers := in.drawSchedulers()
 		in.atStart(0, func() {
-			each(ss, func(s *scheduler) {
+			each(schedulers, func(s *scheduler) {
 				s.signal(syscall.SIGSTOP)
-				r.addEvent(record.Event{Kind: "stopped", Text: s.name(), Scheduler: int32(s.index), Worker: -1})
-				r.markDownLater(s)
+				h.addEvent(record.Event{Kind: "stopped", Text: s.name(), Scheduler: int32(s.index), Worker: -1})
+				h.markDownLater(s)
 			})
 		})
 		in.atEnd(0, func() {
-			each(ss, func(s *scheduler) {
+			each(schedulers, func(s *scheduler) {
 				s.signal(syscall.SIGCONT)
-				r.addEvent(record.Event{Kind: "continued", Text: s.name(), Scheduler: int32(s.index), Worker: -1})
-				r.balancer.setUp(s.index, s.isLive())
+				h.addEvent(record.Event{Kind: "continued", Text: s.name(), Scheduler: int32(s.index), Worker: -1})
+				h.balancer.setUp(s.index, s.isLive())
 			})
 		})
 	}
 }
 
-// onPaths adds the faults of the network.
+// addNetworkFaults adds the faults of the network.
 func (in *injection) addNetworkFaults() {
-	f, r := in.fault, in.harness
+	f, h := in.fault, in.harness
 	switch f.What {
 	case "cut":
-		in.changePaths(func(t *relay.Impairment) { t.Cuts++ }, func(t *relay.Impairment) { t.Cuts-- })
+		in.changePaths(func(i *relay.Impairment) { i.Cuts++ }, func(i *relay.Impairment) { i.Cuts-- })
 	case "delay":
-		by := time.Duration(f.MS * float64(time.Millisecond))
-		in.changePaths(func(t *relay.Impairment) { t.Delay += by }, func(t *relay.Impairment) { t.Delay -= by })
+		delay := time.Duration(f.MS * float64(time.Millisecond))
+		in.changePaths(func(i *relay.Impairment) { i.Delay += delay }, func(i *relay.Impairment) { i.Delay -= delay })
 	case "lossy":
-		in.changePaths(func(t *relay.Impairment) { t.LossRate += f.Share }, func(t *relay.Impairment) { t.LossRate -= f.Share })
+		in.changePaths(func(i *relay.Impairment) { i.LossRate += f.Share }, func(i *relay.Impairment) { i.LossRate -= f.Share })
 	case "trickle":
-		in.changePaths(func(t *relay.Impairment) { t.Throttles++ }, func(t *relay.Impairment) { t.Throttles-- })
+		in.changePaths(func(i *relay.Impairment) { i.Throttles++ }, func(i *relay.Impairment) { i.Throttles-- })
 	case "reset":
-		in.atStart(0, func() { r.network.ResetConns(in.kinds, in.site, in.to, f.Share) })
+		in.atStart(0, func() { h.network.ResetConns(in.kinds, in.site, in.to, f.Share) })
 	}
 }
 
-// onDiscovery adds the faults of discovery.
+// addDiscoveryFaults adds the faults of discovery.
 func (in *injection) addDiscoveryFaults() {
-	r := in.harness
+	h := in.harness
 	switch in.fault.What {
 	case "freeze-list":
-		ss := in.drawSchedulers()
-		in.atStart(0, func() { each(ss, func(s *scheduler) { r.discovery.SetFrozen(s.index, true) }) })
-		in.atEnd(0, func() { each(ss, func(s *scheduler) { r.discovery.SetFrozen(s.index, false) }) })
+		schedulers := in.drawSchedulers()
+		in.atStart(0, func() { each(schedulers, func(s *scheduler) { h.discovery.SetFrozen(s.index, true) }) })
+		in.atEnd(0, func() { each(schedulers, func(s *scheduler) { h.discovery.SetFrozen(s.index, false) }) })
 	case "silence-discovery":
-		in.atStart(0, func() { r.discovery.SetOutage(true) })
-		in.atEnd(0, func() { r.discovery.SetOutage(false) })
+		in.atStart(0, func() { h.discovery.SetOutage(true) })
+		in.atEnd(0, func() { h.discovery.SetOutage(false) })
 	}
 }
 
+// each calls f for each element of list.
 func each[T any](list []T, f func(T)) {
 	for _, x := range list {
 		f(x)
 	}
 }
 
-// share draws those that a fault meets.
-func drawTargets[T any](all []T, f *scenario.Fault, rng *rand.Rand, may func(T) bool) (some []T) {
+// drawTargets draws the targets of a fault among the candidates: the part Share of them, or all, but at most Count.
+func drawTargets[T any](all []T, f *scenario.Fault, rng *rand.Rand, isCandidate func(T) bool) (targets []T) {
 	for _, x := range all {
-		if may(x) {
-			some = append(some, x)
+		if isCandidate(x) {
+			targets = append(targets, x)
 		}
 	}
-	n := len(some)
+	n := len(targets)
 	if f.Share > 0 {
 		n = max(1, int(f.Share*float64(n)+0.5))
 	}
 	if f.Count > 0 {
 		n = min(n, f.Count)
 	}
-	rng.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-	return some[:min(n, len(some))]
+	rng.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
+	return targets[:min(n, len(targets))]
 }
 
-// loseWorkers has machines vanish, or their processes die. Of a silent one discovery tells later, or never.
-func (r *harness) loseWorkers(ws []*endpoints.Worker, silent, hung bool) {
-	var all sync.WaitGroup // at once: to fall silent takes some milliseconds
-	for _, w := range ws {
-		if silent {
-			all.Go(func() { w.Silence(hung) })
-			r.discovery.Announce(w, "removed", r.scenario.Discovery.SilentS)
+// loseWorkers makes machines silent, or their processes crash. Discovery removes a silent worker after silent_s, or never,
+// and a crashed one after notice_s.
+func (h *harness) loseWorkers(workers []*endpoints.Worker, areSilent, areHung bool) {
+	var group sync.WaitGroup // in parallel, as making a listener silent takes some milliseconds
+	for _, w := range workers {
+		if areSilent {
+			group.Go(func() { w.Silence(areHung) })
+			h.discovery.Announce(w, "removed", h.scenario.Discovery.SilentS)
 		} else {
 			w.Stop(true)
-			r.discovery.Announce(w, "removed", r.scenario.Discovery.NoticeS)
+			h.discovery.Announce(w, "removed", h.scenario.Discovery.NoticeS)
 		}
 	}
-	all.Wait()
+	group.Wait()
 }
 
-func (r *harness) returnWorkers(ws []*endpoints.Worker, back string) {
-	if back == "never" {
+// returnWorkers starts lost workers again, cold or warm, unless mode is "never".
+func (h *harness) returnWorkers(workers []*endpoints.Worker, mode string) {
+	if mode == "never" {
 		return
 	}
-	for _, w := range ws {
+	for _, w := range workers {
 		if w.HasCollapsed() {
-			continue // it stays down
+			continue // a collapsed worker stays down
 		}
 		w.Stop(false)
-		if err := w.Start(back != "warm"); err != nil {
-			r.addEvent(record.Event{Kind: "rig", Text: err.Error(), Scheduler: -1, Worker: int32(w.Number)})
+		if err := w.Start(mode != "warm"); err != nil {
+			h.addEvent(record.Event{Kind: "rig", Text: err.Error(), Scheduler: -1, Worker: int32(w.Number)})
 			continue
 		}
-		r.discovery.Announce(w, "up", r.scenario.Discovery.AddS)
+		h.discovery.Announce(w, "up", h.scenario.Discovery.AddS)
 	}
 }
 
-func (r *harness) signalSchedulers(ss []*scheduler, sig syscall.Signal) {
-	for _, s := range ss {
-		// Noted first: a client may see the end before the signal has returned.
-		what := "killed"
+// signalSchedulers records and sends a signal that ends schedulers, and has the balancer notice it later.
+func (h *harness) signalSchedulers(schedulers []*scheduler, sig syscall.Signal) {
+	for _, s := range schedulers {
+		// Recorded first, as a client may see the end before the signal call has returned.
+		kind := "killed"
 		if sig == syscall.SIGTERM {
-			what = "terminated"
+			kind = "terminated"
 		}
-		r.addEvent(record.Event{Kind: what, Text: fmt.Sprint(s.name(), " ", sig), Scheduler: int32(s.index), Worker: -1})
+		h.addEvent(record.Event{Kind: kind, Text: fmt.Sprint(s.name(), " ", sig), Scheduler: int32(s.index), Worker: -1})
 		s.signal(sig)
-		r.markDownLater(s)
+		h.markDownLater(s)
 	}
 }
 
-// gone has the front notice after a while that a scheduler is not there, if it still is not then.
-func (r *harness) markDownLater(s *scheduler) {
-	r.mu.Lock()
-	wait := r.scenario.Front.NoticeS.Draw(r.rng)
-	r.mu.Unlock()
+// markDownLater takes a scheduler out of the balancer after a delay drawn from front.notice_s, if it is not live then.
+func (h *harness) markDownLater(s *scheduler) {
+	h.mu.Lock()
+	wait := h.scenario.Front.NoticeS.Draw(h.rng)
+	h.mu.Unlock()
 	time.AfterFunc(time.Duration(wait*float64(time.Second)), func() {
 		if !s.isLive() {
-			r.balancer.setUp(s.index, false)
+			h.balancer.setUp(s.index, false)
 		}
 	})
 }
 
-// restart starts schedulers that have ended, all at once as far as the machine bears it.
-func (r *harness) restartSchedulers(ctx context.Context, ss []*scheduler) {
-	for _, s := range ss {
+// restartSchedulers kills what still runs of the schedulers and starts them again, in parallel within the start slots. It
+// does not wait.
+func (h *harness) restartSchedulers(ctx context.Context, schedulers []*scheduler) {
+	for _, s := range schedulers {
 		go func() {
 			if s.latest() != nil {
-				r.addEvent(record.Event{Kind: "killed", Text: s.name(), Scheduler: int32(s.index), Worker: -1})
+				h.addEvent(record.Event{Kind: "killed", Text: s.name(), Scheduler: int32(s.index), Worker: -1})
 			}
 			s.killAll()
 			if ctx.Err() != nil {
 				return
 			}
-			if err := r.startScheduler(ctx, s); err != nil && ctx.Err() == nil {
-				r.addEvent(record.Event{Kind: "crashed", Text: err.Error(), Scheduler: int32(s.index), Worker: -1})
+			if err := h.startScheduler(ctx, s); err != nil && ctx.Err() == nil {
+				h.addEvent(record.Event{Kind: "crashed", Text: err.Error(), Scheduler: int32(s.index), Worker: -1})
 				return
 			}
-			r.addEvent(record.Event{Kind: "ready", Text: s.name(), Scheduler: int32(s.index), Worker: -1})
+			h.addEvent(record.Event{Kind: "ready", Text: s.name(), Scheduler: int32(s.index), Worker: -1})
 		}()
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -31,7 +31,8 @@
 	os.Exit(code)
 }
 
-// small is a scenario of a few processes; more is put behind its keys.
+// newScenario returns a scenario of two sites with four schedulers and four workers each. more is JSON text that is added
+// behind its keys.
 func newScenario(t *testing.T, more string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse([]byte(`{"name":"small","seconds":5,
@@ -44,6 +45,7 @@
 	return s
 }
 
+// playAndJudge runs a scenario and requires that all checks pass.
 func playAndJudge(t *testing.T, s *scenario.Scenario) *record.Records {
 	t.Helper()
 	rec, err := Play(context.Background(), s, Build{Name: "test", Binary: binary}, Options{Seed: s.Seed})
@@ -56,7 +58,7 @@
 	return rec
 }
 
-// count tells how many records there are of a kind.
+// count returns the number of elements for which is returns true.
 func count[T any](list []T, is func(*T) bool) (n int) {
 	for i := range list {
 		if is(&list[i]) {
@@ -66,38 +68,39 @@
 	return n
 }
 
-// The rules hold through each fault, and the fault was there: what it must have left in the records is looked for.
+// All checks pass under each fault. The records must also show the effect of the fault, so that a fault that was not
+// injected fails the test.
 func TestChecksPassUnderFaults(t *testing.T) {
 	event := func(what string) func(*record.Event) bool {
 		return func(e *record.Event) bool { return e.Kind == what }
 	}
 	for _, c := range []struct {
 		name, faults string
-		left         func(t *testing.T, rec *record.Records)
+		verify       func(t *testing.T, rec *record.Records)
 	}{
-		{"a site is lost and returns", `{"at_s":1,"for_s":2,"what":"lose-site","site":"b"}`, func(t *testing.T, rec *record.Records) {
+		{"site lost and restored", `{"at_s":1,"for_s":2,"what":"lose-site","site":"b"}`, func(t *testing.T, rec *record.Records) {
 			require.Equal(t, 4, count(rec.Events, event("killed")))
 			require.Equal(t, 4, count(rec.Events, event("ready")))
 			require.Positive(t, count(rec.Attempts, func(r *record.Attempt) bool { return r.Outcome == record.OutcomeLost }))
 			require.Positive(t, count(rec.Attempts, func(r *record.Attempt) bool {
 				return r.Worker >= 4 && r.ArrivedUS > 3e6 && r.Outcome == record.OutcomeDone
-			}), "it works again")
-			require.Zero(t, count(rec.Attempts, func(r *record.Attempt) bool { return r.Worker >= 4 && r.StartedUS > 1.1e6 && r.StartedUS < 3e6 }), "it was lost")
+			}), "the site processes jobs again")
+			require.Zero(t, count(rec.Attempts, func(r *record.Attempt) bool { return r.Worker >= 4 && r.StartedUS > 1.1e6 && r.StartedUS < 3e6 }), "the site started a job while it was lost")
 		}},
-		{"its workers hang while the list names them", `{"at_s":1,"for_s":2,"what":"silence-workers","site":"b","hung":true}`, func(t *testing.T, rec *record.Records) {
+		{"hung workers still on the worker list", `{"at_s":1,"for_s":2,"what":"silence-workers","site":"b","hung":true}`, func(t *testing.T, rec *record.Records) {
 			require.Zero(t, count(rec.Attempts, func(r *record.Attempt) bool { return r.Worker >= 4 && r.StartedUS > 1.1e6 && r.StartedUS < 3e6 }))
 		}},
-		{"the sites are cut off from one another", `{"at_s":1,"for_s":2,"what":"cut","site":"a","to":"b","paths":["job","back","peer"]}`, func(t *testing.T, rec *record.Records) {
+		{"network cut between the sites", `{"at_s":1,"for_s":2,"what":"cut","site":"a","to":"b","paths":["job","back","peer"]}`, func(t *testing.T, rec *record.Records) {
 			require.Zero(t, count(rec.Attempts, func(r *record.Attempt) bool {
 				return r.Worker/4 != r.Scheduler/4 && r.ArrivedUS > 1.2e6 && r.ArrivedUS < 3e6
 			}))
 			require.Positive(t, count(rec.Attempts, func(r *record.Attempt) bool { return r.Worker/4 != r.Scheduler/4 }))
 		}},
-		{"a scheduler is stopped and wakes", `{"at_s":1,"for_s":1,"what":"stop-schedulers","count":2}`, func(t *testing.T, rec *record.Records) {
+		{"scheduler stopped and continued", `{"at_s":1,"for_s":1,"what":"stop-schedulers","count":2}`, func(t *testing.T, rec *record.Records) {
 			require.Equal(t, 2, count(rec.Events, event("stopped")))
 			require.Equal(t, 2, count(rec.Events, event("continued")))
 		}},
-		{"workers drain and schedulers are released", `{"at_s":0.5,"for_s":3,"what":"drain-workers","share":0.25},{"at_s":1,"what":"release-schedulers","count":2,"step_s":1}`,
+		{"draining workers and a rolling restart of schedulers", `{"at_s":0.5,"for_s":3,"what":"drain-workers","share":0.25},{"at_s":1,"what":"release-schedulers","count":2,"step_s":1}`,
 			func(t *testing.T, rec *record.Records) {
 				require.Equal(t, 2, count(rec.Events, event("terminated")))
 				require.Positive(t, count(rec.ListUpdates, func(x *record.ListUpdate) bool { return x.Status == "draining" }))
@@ -106,18 +109,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			rec := playAndJudge(t, newScenario(t, `,"faults":[`+c.faults+`]`))
 			require.Positive(t, count(rec.Tries, func(x *record.Try) bool { return x.Status == 200 }))
-			c.left(t, rec)
+			c.verify(t, rec)
 		})
 	}
 }
 
-// With peers the schedulers hear one another through the relay.
+// With peers on, the relay delivers messages between the schedulers.
 func TestPeerMessagesAreRelayed(t *testing.T) {
 	rec := playAndJudge(t, newScenario(t, `,"peers":{"on":true,"lost":0.1,"twice":0.1}`))
 	require.Positive(t, rec.About.Messages)
 }
 
-// The clients ask for the same, whatever is played.
+// The drawn requests depend on the scenario and the seed only, and their number matches the scenario's rate.
 func TestRequestsAreDrawnFromTheSeed(t *testing.T) {
 	s := newScenario(t, "")
 	require.Equal(t, DrawRequests(s, 7), DrawRequests(s, 7))
@@ -127,26 +130,26 @@
 	require.InDelta(t, want, n, 6*want/10)
 }
 
-// What the rig has started ends with it, also when it is interrupted.
+// A run that is cancelled leaves no process of the program behind.
 func TestCancelledRunLeavesNoProcess(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := newScenario(t, "")
 	done := make(chan error, 1)
-	seen := &cancelOnWrite{cancel: cancel}
+	progress := &cancelOnWrite{cancel: cancel}
 	go func() {
-		_, err := Play(ctx, s, Build{Name: "test", Binary: binary}, Options{Seed: 1, Progress: seen})
+		_, err := Play(ctx, s, Build{Name: "test", Binary: binary}, Options{Seed: 1, Progress: progress})
 		done <- err
 	}()
 	require.ErrorIs(t, <-done, context.Canceled)
 	dirs, err := os.ReadDir("/proc")
 	require.NoError(t, err)
 	for _, d := range dirs {
-		text, err := os.ReadFile(filepath.Join("/proc", d.Name(), "cmdline"))
-		require.False(t, err == nil && strings.HasPrefix(string(text), binary), "process %s is left", d.Name())
+		cmdline, err := os.ReadFile(filepath.Join("/proc", d.Name(), "cmdline"))
+		require.False(t, err == nil && strings.HasPrefix(string(cmdline), binary), "process %s still runs", d.Name())
 	}
 }
 
-// watched interrupts a run at its first live line.
+// cancelOnWrite cancels a run at its first progress line.
 type cancelOnWrite struct{ cancel func() }
 
 func (w *cancelOnWrite) Write(line []byte) (int, error) {
--- a/internal/fleet/judge/bound.go
+++ b/internal/fleet/judge/bound.go
@@ -5,101 +5,103 @@
 	"slices"
 )
 
-// plan works out in virtual time what one planner that sees all would earn with the same requests on the same workers:
-// it knows each running time, has one queue for all sites, no way to go, and loses no job when a worker goes. Each free
-// slot takes the job of the most worth for its time among those that still make their aim, then among the late ones.
-// It can do nothing for a request before a scheduler could be reached. No scheduler can do better by much; the plan is
-// not the best there is, since that would take a search.
-func (b *Analysis) computeBound() {
-	room := b.capacityOverTime()
-	if len(room) == 0 {
+// computeBound simulates in virtual time an ideal planner with the same requests and workers, and sets BoundValue of each
+// request to the value that this planner earns. The planner knows all running times, has one queue for all sites, no network
+// delay, and loses no job when a worker fails. Each free slot gets the job with the most value per running time among those
+// that can still meet their latency target, then among the late ones. A request is queued only when a scheduler has first
+// been reached. No scheduler can do much better; the result is not optimal, as that would need a search.
+func (a *Analysis) computeBound() {
+	capacities := a.capacityOverTime()
+	if len(capacities) == 0 {
 		return
 	}
-	order := make([]int, 0, len(b.Requests))
-	for i := range b.Requests {
-		if b.Requests[i].AcceptedUS >= 0 {
-			order = append(order, i)
+	byAcceptance := make([]int, 0, len(a.Requests))
+	for i := range a.Requests {
+		if a.Requests[i].AcceptedUS >= 0 {
+			byAcceptance = append(byAcceptance, i)
 		}
 	}
-	slices.SortFunc(order, func(x, y int) int { return int(b.Requests[x].AcceptedUS - b.Requests[y].AcceptedUS) })
-	queue := &requestHeap{analysis: b}
-	var busy endTimes
-	now, next := int64(0), 0
-	for moment := 0; moment < len(room); {
-		// The next thing that happens: a request, an end, or another look at how much room there is.
-		at := room[moment].at
-		if next < len(order) {
-			at = min(at, b.Requests[order[next]].AcceptedUS)
+	slices.SortFunc(byAcceptance, func(x, y int) int { return int(a.Requests[x].AcceptedUS - a.Requests[y].AcceptedUS) })
+	queue := &requestHeap{analysis: a}
+	var running endTimes
+	nowUS, nextRequest := int64(0), 0
+	for nextCapacity := 0; nextCapacity < len(capacities); {
+		// Advance to the next event: an arrival, the end of a job, or a capacity sample.
+		eventUS := capacities[nextCapacity].at
+		if nextRequest < len(byAcceptance) {
+			eventUS = min(eventUS, a.Requests[byAcceptance[nextRequest]].AcceptedUS)
 		}
-		if len(busy) > 0 {
-			at = min(at, busy[0])
+		if len(running) > 0 {
+			eventUS = min(eventUS, running[0])
 		}
-		now = max(now, at)
-		for len(busy) > 0 && busy[0] <= now {
-			heap.Pop(&busy)
+		nowUS = max(nowUS, eventUS)
+		for len(running) > 0 && running[0] <= nowUS {
+			heap.Pop(&running)
 		}
-		for ; next < len(order) && b.Requests[order[next]].AcceptedUS <= now; next++ {
-			heap.Push(queue, order[next])
+		for ; nextRequest < len(byAcceptance) && a.Requests[byAcceptance[nextRequest]].AcceptedUS <= nowUS; nextRequest++ {
+			heap.Push(queue, byAcceptance[nextRequest])
 		}
-		for moment < len(room) && room[moment].at <= now {
-			moment++
+		for nextCapacity < len(capacities) && capacities[nextCapacity].at <= nowUS {
+			nextCapacity++
 		}
-		slots := room[max(0, moment-1)].slots
-		for _, i := range b.assignSlots(now, slots, queue, &busy) {
+		slots := capacities[max(0, nextCapacity-1)].slots
+		for _, i := range a.assignSlots(nowUS, slots, queue, &running) {
 			heap.Push(queue, i)
 		}
-		if next == len(order) && queue.Len() == 0 && len(busy) == 0 {
+		if nextRequest == len(byAcceptance) && queue.Len() == 0 && len(running) == 0 {
 			break
 		}
 	}
 }
 
-// fill gives free slots their jobs at a moment of the plan, and returns the requests that are late and still wait.
-func (b *Analysis) assignSlots(now int64, slots float64, queue *requestHeap, busy *endTimes) (late []int) {
-	speed := b.scenario.MeanSpeed()
-	takes := func(i int) int64 { return int64(float64(b.Requests[i].RunUS) / speed) }
-	for float64(len(*busy))+0.5 <= slots && (queue.Len() > 0 || len(late) > 0) {
+// assignSlots starts jobs on the free slots at a time of the simulation, and returns the waiting requests that can no longer
+// meet their latency targets.
+func (a *Analysis) assignSlots(nowUS int64, slots float64, queue *requestHeap, running *endTimes) (late []int) {
+	speed := a.scenario.MeanSpeed()
+	runUS := func(i int) int64 { return int64(float64(a.Requests[i].RunUS) / speed) }
+	for float64(len(*running))+0.5 <= slots && (queue.Len() > 0 || len(late) > 0) {
 		if queue.Len() == 0 {
 			i := late[len(late)-1]
 			late = late[:len(late)-1]
-			a := &b.Requests[i]
-			c := &b.scenario.Classes[a.Class]
-			if now+takes(i) <= a.DueUS+int64(c.DeadlineS*1e6) {
-				a.BoundValue = c.Worth * c.LateWorth
-				heap.Push(busy, now+takes(i))
+			req := &a.Requests[i]
+			class := &a.scenario.Classes[req.Class]
+			if nowUS+runUS(i) <= req.DueUS+int64(class.DeadlineS*1e6) {
+				req.BoundValue = class.Worth * class.LateWorth
+				heap.Push(running, nowUS+runUS(i))
 			}
 			continue
 		}
 		i := heap.Pop(queue).(int)
-		a := &b.Requests[i]
-		if now+takes(i) > a.DueUS+latencyTargetUS(&b.scenario.Classes[a.Class], a.RunUS) {
+		req := &a.Requests[i]
+		if nowUS+runUS(i) > req.DueUS+latencyTargetUS(&a.scenario.Classes[req.Class], req.RunUS) {
 			late = append(late, i)
 			continue
 		}
-		a.BoundValue = a.MaxValue
-		heap.Push(busy, now+takes(i))
+		req.BoundValue = req.MaxValue
+		heap.Push(running, nowUS+runUS(i))
 	}
 	return late
 }
 
+// capacity is the number of usable slots of all workers at a time in microseconds.
 type capacity struct {
 	at    int64
 	slots float64
 }
 
-// room is how many slots all workers together could use, over time.
-func (b *Analysis) capacityOverTime() (out []capacity) {
-	for i := range b.samples {
-		s := &b.samples[i]
-		if len(out) == 0 || out[len(out)-1].at != s.AtUS {
-			out = append(out, capacity{at: s.AtUS})
+// capacityOverTime returns the usable slots of all workers together, a value for each time of sampling.
+func (a *Analysis) capacityOverTime() (list []capacity) {
+	for i := range a.samples {
+		s := &a.samples[i]
+		if len(list) == 0 || list[len(list)-1].at != s.AtUS {
+			list = append(list, capacity{at: s.AtUS})
 		}
-		out[len(out)-1].slots += float64(s.UsableSlots)
+		list[len(list)-1].slots += float64(s.UsableSlots)
 	}
-	return out
+	return list
 }
 
-// ends is a heap of times.
+// endTimes is a min-heap of times in microseconds.
 type endTimes []int64
 
 func (e endTimes) Len() int           { return len(e) }
@@ -113,24 +115,25 @@
 	return x
 }
 
-// waiting is a heap of requests, the one of the most worth for its time first.
+// requestHeap is a heap of indexes into Analysis.Requests, the request with the most value per running time first.
 type requestHeap struct {
 	analysis *Analysis
 	requests []int
 }
 
-func (w *requestHeap) valuePerTime(i int) float64 {
-	a := &w.analysis.Requests[i]
-	return a.MaxValue / float64(max(1, a.RunUS))
+// valuePerTime returns the value per microsecond of running time.
+func (h *requestHeap) valuePerTime(i int) float64 {
+	req := &h.analysis.Requests[i]
+	return req.MaxValue / float64(max(1, req.RunUS))
 }
-func (w *requestHeap) Len() int { return len(w.requests) }
-func (w *requestHeap) Less(i, j int) bool {
-	return w.valuePerTime(w.requests[i]) > w.valuePerTime(w.requests[j])
+func (h *requestHeap) Len() int { return len(h.requests) }
+func (h *requestHeap) Less(i, j int) bool {
+	return h.valuePerTime(h.requests[i]) > h.valuePerTime(h.requests[j])
 }
-func (w *requestHeap) Swap(i, j int) { w.requests[i], w.requests[j] = w.requests[j], w.requests[i] }
-func (w *requestHeap) Push(x any)    { w.requests = append(w.requests, x.(int)) }
-func (w *requestHeap) Pop() any {
-	x := w.requests[len(w.requests)-1]
-	w.requests = w.requests[:len(w.requests)-1]
+func (h *requestHeap) Swap(i, j int) { h.requests[i], h.requests[j] = h.requests[j], h.requests[i] }
+func (h *requestHeap) Push(x any)    { h.requests = append(h.requests, x.(int)) }
+func (h *requestHeap) Pop() any {
+	x := h.requests[len(h.requests)-1]
+	h.requests = h.requests[:len(h.requests)-1]
 	return x
 }
--- a/internal/fleet/judge/figures.go
+++ b/internal/fleet/judge/figures.go
@@ -7,37 +7,37 @@
 	"cobaltflow/internal/fleet/scenario"
 )
 
-// Asked is what became of one request, over all its tries.
+// RequestOutcome is the outcome of one request over all its tries.
 type RequestOutcome struct {
 	Class, Site int
 	DueUS       int64
 	RunUS       int64
-	AcceptedUS  int64 // when a scheduler first took it; below 0: never
+	AcceptedUS  int64 // when the first try that reached a scheduler was sent; below 0: never
 	IsServed    bool
-	IsRefused   bool // in the end
-	IsInverted  bool // a try was refused while a job of a lesser class was served
+	IsRefused   bool // by the answer to its last try
+	IsInverted  bool // a try was refused while a request of a class with less value per running time was served
 	Attempts    int
 	EarnedValue float64
-	MaxValue    float64 // at most
-	BoundValue  float64 // what a planner that sees all earns with it
+	MaxValue    float64 // for an answer within the latency target
+	BoundValue  float64 // value that the ideal planner of computeBound earns with it
 }
 
-// Analysis is what the figures are worked out from.
+// Analysis holds the outcomes that the figures are computed from.
 type Analysis struct {
 	scenario   *scenario.Scenario
 	Requests   []RequestOutcome
 	attempts   []record.Attempt
 	samples    []record.Sample
 	collapsed  int
-	workerSite []int // of each worker
+	workerSite []int // by worker
 }
 
-// Analyze sums the records up by request.
+// Analyze groups the records of a run by request.
 func Analyze(s *scenario.Scenario, rec *record.Records) *Analysis {
-	b := &Analysis{scenario: s, attempts: rec.Attempts, samples: rec.Samples, collapsed: len(rec.About.CollapsedWorkers)}
+	analysis := &Analysis{scenario: s, attempts: rec.Attempts, samples: rec.Samples, collapsed: len(rec.About.CollapsedWorkers)}
 	for i, x := range s.Sites {
 		for range x.Workers {
-			b.workerSite = append(b.workerSite, i)
+			analysis.workerSite = append(analysis.workerSite, i)
 		}
 	}
 	tries := slices.Clone(rec.Tries)
@@ -47,63 +47,64 @@
 		}
 		return int(a.Number - b.Number)
 	})
-	bad := invertedRequests(s, tries)
-	ids := make(map[string]int, len(tries))
-	last := int32(-1)
+	inverted := invertedRequests(s, tries)
+	requestByID := make(map[string]int, len(tries))
+	lastRequest := int32(-1)
 	for i := range tries {
-		t := &tries[i]
-		c := &s.Classes[t.Class]
-		if t.Request != last {
-			last = t.Request
-			b.Requests = append(b.Requests, RequestOutcome{Class: int(t.Class), Site: int(t.Site), DueUS: t.DueUS, RunUS: t.RunUS, AcceptedUS: -1, MaxValue: c.Worth,
-				IsInverted: bad[t.Request]})
+		try := &tries[i]
+		class := &s.Classes[try.Class]
+		if try.Request != lastRequest {
+			lastRequest = try.Request
+			analysis.Requests = append(analysis.Requests, RequestOutcome{Class: int(try.Class), Site: int(try.Site), DueUS: try.DueUS, RunUS: try.RunUS, AcceptedUS: -1, MaxValue: class.Worth,
+				IsInverted: inverted[try.Request]})
 		}
-		a := &b.Requests[len(b.Requests)-1]
-		ids[t.ID] = len(b.Requests) - 1
-		if t.End != record.EndUnreachable && a.AcceptedUS < 0 {
-			a.AcceptedUS = t.SentUS
+		req := &analysis.Requests[len(analysis.Requests)-1]
+		requestByID[try.ID] = len(analysis.Requests) - 1
+		if try.End != record.EndUnreachable && req.AcceptedUS < 0 {
+			req.AcceptedUS = try.SentUS
 		}
-		a.IsRefused = t.Status == 429 || t.Status == 503
-		if t.Status == 200 {
-			a.IsServed = true
-			switch took := t.EndedUS - t.DueUS; {
-			case took <= latencyTargetUS(c, t.RunUS):
-				a.EarnedValue = c.Worth
-			case took <= int64(c.DeadlineS*1e6):
-				a.EarnedValue = c.Worth * c.LateWorth
+		req.IsRefused = try.Status == 429 || try.Status == 503
+		if try.Status == 200 {
+			req.IsServed = true
+			switch latencyUS := try.EndedUS - try.DueUS; {
+			case latencyUS <= latencyTargetUS(class, try.RunUS):
+				req.EarnedValue = class.Worth
+			case latencyUS <= int64(class.DeadlineS*1e6):
+				req.EarnedValue = class.Worth * class.LateWorth
 			}
 		}
 	}
 	for i := range rec.Attempts {
-		if at, known := ids[rec.Attempts[i].ID]; known {
-			b.Requests[at].Attempts++
+		if index, isKnown := requestByID[rec.Attempts[i].ID]; isKnown {
+			analysis.Requests[index].Attempts++
 		}
 	}
-	b.computeBound()
-	return b
+	analysis.computeBound()
+	return analysis
 }
 
-// aim is the time within which an answer earns all, from when the request was due.
-func latencyTargetUS(c *scenario.Class, runUS int64) int64 {
-	return min(int64(c.AimMS*1000+c.Stretch*float64(runUS)), int64(c.DeadlineS*1e6))
+// latencyTargetUS returns the time from the due time of a request within which an answer earns its full value, in
+// microseconds. It is at most the deadline.
+func latencyTargetUS(class *scenario.Class, runUS int64) int64 {
+	return min(int64(class.AimMS*1000+class.Stretch*float64(runUS)), int64(class.DeadlineS*1e6))
 }
 
-// Figures are those of a window.
+// Figures holds the figures of a time window of a run.
 type Figures struct {
 	Requests                       int
-	Worth, OfBound                 float64 // earned, as parts of what was asked for and of what the planner earns
-	Bound                          float64
+	Worth, OfBound                 float64 // earned value, as part of the value of all requests and of what the ideal planner earns
+	Bound                          float64 // value that the ideal planner earns, as part of the value of all requests
 	Served, Refused, Failed        float64 // parts of the requests
-	Attempts                       float64 // for each request that a scheduler took
-	IdleBesideWaiting              float64
-	WaitMeanS, WaitP99S, QueueLong float64
-	Herd                           float64 // most arrivals at one worker within a report's age, over its fair part
-	StarvedWorkers                 int     // workers with room that had no job for 5 s while jobs waited elsewhere
-	InvertedShare                  float64 // part of the requests that were refused while one of a lesser class was served
-	CollapsedWorkers               int
+	Attempts                       float64 // mean per request that reached a scheduler
+	IdleBesideWaiting              float64 // slots that were free while jobs waited, as part of the usable slots
+	WaitMeanS, WaitP99S, QueueLong float64 // waits at the workers; mean over time of the longest queue
+	Herd                           float64 // most arrivals at one worker within a load report's age, relative to an even spread
+	StarvedWorkers                 int     // workers with free capacity and no job for 5 s while jobs waited at others
+	InvertedShare                  float64 // part of the requests with IsInverted
+	CollapsedWorkers               int     // of the whole run, overloaded while cold
 }
 
-// Get gives a figure by its name in scenario files.
+// ByName returns a figure by its name in scenario files, or 0 if there is none of that name.
 func (f Figures) ByName(name string) float64 {
 	return map[string]float64{"worth": f.Worth, "of_bound": f.OfBound, "served": f.Served, "refused": f.Refused, "failed": f.Failed, "attempts": f.Attempts,
 		"idle_beside_waiting": f.IdleBesideWaiting, "wait_mean_s": f.WaitMeanS, "wait_p99_s": f.WaitP99S, "queue_longest": f.QueueLong,
@@ -111,41 +112,44 @@
 		"fallen": float64(f.CollapsedWorkers)}[name]
 }
 
-// Window gives the figures of a part of the run, of a class and of the clients of a site; below 0: of all.
-func (b *Analysis) WindowFigures(w scenario.Window, class, site int) Figures {
-	f := b.ClientFigures(w, class, site)
-	from, to := windowUS(w)
-	b.addWorkerFigures(&f, from, to, site)
-	b.addHerdFigures(&f, from, to, site)
-	f.CollapsedWorkers = b.collapsed
+// WindowFigures returns the figures of a window of the run, for a class and a site. A class or site below 0 stands for all.
+func (a *Analysis) WindowFigures(w scenario.Window, class, site int) Figures {
+	f := a.ClientFigures(w, class, site)
+	fromUS, toUS := windowUS(w)
+	a.addWorkerFigures(&f, fromUS, toUS, site)
+	a.addHerdFigures(&f, fromUS, toUS, site)
+	f.CollapsedWorkers = a.collapsed
 	return f
 }
 
-// span is a window in microseconds.
-func windowUS(w scenario.Window) (from, to int64) { return int64(w.FromS * 1e6), int64(w.ToS * 1e6) }
+// windowUS returns the bounds of a window in microseconds.
+func windowUS(w scenario.Window) (fromUS, toUS int64) {
+	return int64(w.FromS * 1e6), int64(w.ToS * 1e6)
+}
 
-// Answers gives those figures of Window that clients' records tell; it does not walk the workers' samples.
-func (b *Analysis) ClientFigures(w scenario.Window, class, site int) (f Figures) {
-	from, to := windowUS(w)
-	worth, earned, bound, taken, attempts := 0.0, 0.0, 0.0, 0, 0
-	for i := range b.Requests {
-		a := &b.Requests[i]
-		if a.DueUS < from || a.DueUS >= to || class >= 0 && a.Class != class || site >= 0 && a.Site != site {
+// ClientFigures returns those figures of WindowFigures that come from the clients' records. It does not read the workers'
+// samples, and is cheaper.
+func (a *Analysis) ClientFigures(w scenario.Window, class, site int) (f Figures) {
+	fromUS, toUS := windowUS(w)
+	maxValue, earnedValue, boundValue, acceptedCount, attempts := 0.0, 0.0, 0.0, 0, 0
+	for i := range a.Requests {
+		req := &a.Requests[i]
+		if req.DueUS < fromUS || req.DueUS >= toUS || class >= 0 && req.Class != class || site >= 0 && req.Site != site {
 			continue
 		}
 		f.Requests++
-		worth, earned, bound = worth+a.MaxValue, earned+a.EarnedValue, bound+a.BoundValue
-		if a.AcceptedUS >= 0 {
-			taken++
-			attempts += a.Attempts
+		maxValue, earnedValue, boundValue = maxValue+req.MaxValue, earnedValue+req.EarnedValue, boundValue+req.BoundValue
+		if req.AcceptedUS >= 0 {
+			acceptedCount++
+			attempts += req.Attempts
 		}
-		if a.IsInverted {
+		if req.IsInverted {
 			f.InvertedShare++
 		}
 		switch {
-		case a.IsServed:
+		case req.IsServed:
 			f.Served++
-		case a.IsRefused:
+		case req.IsRefused:
 			f.Refused++
 		default:
 			f.Failed++
@@ -153,46 +157,46 @@
 	}
 	n := max(1, float64(f.Requests))
 	f.Served, f.Refused, f.Failed, f.InvertedShare = f.Served/n, f.Refused/n, f.Failed/n, f.InvertedShare/n
-	f.Worth, f.Bound, f.Attempts = earned/max(1e-9, worth), bound/max(1e-9, worth), float64(attempts)/max(1, float64(taken))
-	f.OfBound = earned / max(1e-9, bound)
+	f.Worth, f.Bound, f.Attempts = earnedValue/max(1e-9, maxValue), boundValue/max(1e-9, maxValue), float64(attempts)/max(1, float64(acceptedCount))
+	f.OfBound = earnedValue / max(1e-9, boundValue)
 	return f
 }
 
-// evenness takes the figures from the workers.
-func (b *Analysis) addWorkerFigures(f *Figures, from, to int64, site int) {
-	var at int64 = -1
+// addWorkerFigures sets the figures that come from the workers' samples and attempts.
+func (a *Analysis) addWorkerFigures(f *Figures, fromUS, toUS int64, site int) {
+	var atUS int64 = -1
 	free, waiting, longest := 0.0, 0.0, 0.0
-	wasted, room, long, moments := 0.0, 0.0, 0.0, 0.0
-	end := func() {
-		if at >= 0 {
-			wasted += min(free, waiting)
-			long += longest
-			moments++
+	idleBesideWaiting, usableSlots, longestSum, samples := 0.0, 0.0, 0.0, 0.0
+	endSample := func() {
+		if atUS >= 0 {
+			idleBesideWaiting += min(free, waiting)
+			longestSum += longest
+			samples++
 		}
 		free, waiting, longest = 0, 0, 0
 	}
-	for i := range b.samples {
-		s := &b.samples[i]
-		if s.AtUS < from || s.AtUS >= to || site >= 0 && b.workerSite[s.Worker] != site {
+	for i := range a.samples {
+		s := &a.samples[i]
+		if s.AtUS < fromUS || s.AtUS >= toUS || site >= 0 && a.workerSite[s.Worker] != site {
 			continue
 		}
-		if s.AtUS != at {
-			end()
-			at = s.AtUS
+		if s.AtUS != atUS {
+			endSample()
+			atUS = s.AtUS
 		}
 		free += float64(max(0, s.UsableSlots-s.Running))
 		waiting += float64(s.Waiting)
 		longest = max(longest, float64(s.Waiting))
-		room += float64(s.UsableSlots)
+		usableSlots += float64(s.UsableSlots)
 	}
-	end()
-	f.IdleBesideWaiting, f.QueueLong = wasted/max(1e-9, room), long/max(1, moments)
+	endSample()
+	f.IdleBesideWaiting, f.QueueLong = idleBesideWaiting/max(1e-9, usableSlots), longestSum/max(1, samples)
 	var waits []float64
 	sum := 0.0
-	for i := range b.attempts {
-		r := &b.attempts[i]
-		if r.StartedUS > 0 && r.ArrivedUS >= from && r.ArrivedUS < to && (site < 0 || b.workerSite[r.Worker] == site) {
-			w := float64(r.StartedUS-r.ArrivedUS) / 1e6
+	for i := range a.attempts {
+		attempt := &a.attempts[i]
+		if attempt.StartedUS > 0 && attempt.ArrivedUS >= fromUS && attempt.ArrivedUS < toUS && (site < 0 || a.workerSite[attempt.Worker] == site) {
+			w := float64(attempt.StartedUS-attempt.ArrivedUS) / 1e6
 			waits = append(waits, w)
 			sum += w
 		}
--- a/internal/fleet/judge/judge.go
+++ b/internal/fleet/judge/judge.go
@@ -1,5 +1,6 @@
-// Package judge reads the records of a run and says what holds: the four rules, from what clients and table workers saw,
-// and the limits of the scenario. It knows nothing of the program that was played.
+// Package judge evaluates the records of a run: it checks what clients and table workers observed against the rules that
+// every run must keep and the limits of the scenario, and computes figures. Packages experiment, soak and report call it; it
+// depends on the records only, not on the program that was run.
 package judge
 
 import (
@@ -11,18 +12,19 @@
 	"cobaltflow/internal/fleet/scenario"
 )
 
-// Check is one thing that has to hold.
+// Check is the result of checking one rule or limit.
 type Check struct {
 	Name   string
 	Passed bool
-	Text   string // what was found
+	Text   string // the number of violations and the first one, or the value of a limit's figure
 }
 
-// slackUS is how late an answer or an attempt may be seen: the settings' slack, the protocol's 50 ms, and what a shared
-// machine adds.
+// slackUS is the tolerance, in microseconds, for late answers and attempts: the answer slack of the settings, the 50 ms of
+// the protocol, and scheduling delays of a shared machine.
 const slackUS = 150_000
 
-// Judge checks the records of a run, and gives the analysis that its figures come from.
+// Evaluate checks the records of a run, and returns the checks and the analysis that the figures come from. It fails if the
+// scenario of the records cannot be decoded.
 func Evaluate(rec *record.Records) ([]Check, *Analysis, error) {
 	s := &scenario.Scenario{}
 	if err := json.Unmarshal(rec.About.Scenario, s); err != nil {
@@ -35,235 +37,247 @@
 	return append(checks, checkLimits(s, analysis)...), analysis, nil
 }
 
-// check makes a check of a number of faults; what tells of one of them.
-func newCheck(name string, faults int, what func(int) string) Check {
-	c := Check{Name: name, Passed: faults == 0, Text: fmt.Sprintf("%d faults", faults)}
-	if faults > 0 && what != nil {
-		c.Text += ", the first: " + what(0)
+// newCheck returns a check that passes if there are no violations; describe describes one by its index.
+func newCheck(name string, violations int, describe func(int) string) Check {
+	c := Check{Name: name, Passed: violations == 0, Text: fmt.Sprintf("%d faults", violations)}
+	if violations > 0 && describe != nil {
+		c.Text += ", the first: " + describe(0)
 	}
 	return c
 }
 
-// away gives the times at which a scheduler could not answer: killed until it was ready again, or stopped.
+// absenceTimes holds, for each scheduler, the intervals in microseconds in which it could not answer: from its end until it
+// was ready again, and while it was stopped.
 type absenceTimes map[int32][][2]int64
 
-func absences(rec *record.Records) absenceTimes {
-	a := absenceTimes{}
+// findAbsences returns the absences that the events of a run show.
+func findAbsences(rec *record.Records) absenceTimes {
+	absences := absenceTimes{}
 	end := int64(1) << 62
-	for _, e := range rec.Events {
-		list := a[e.Scheduler]
-		switch e.Kind {
+	for _, event := range rec.Events {
+		list := absences[event.Scheduler]
+		switch event.Kind {
 		case "killed", "stopped", "crashed", "ended":
 			if n := len(list); n > 0 && list[n-1][1] == end {
-				continue // it is away already
+				continue // the scheduler is absent already
 			}
-			if e.Scheduler >= 0 && e.Text != "" {
-				a[e.Scheduler] = append(list, [2]int64{e.AtUS, end})
+			if event.Scheduler >= 0 && event.Text != "" {
+				absences[event.Scheduler] = append(list, [2]int64{event.AtUS, end})
 			}
 		case "ready", "continued":
 			if n := len(list); n > 0 && list[n-1][1] == end {
-				list[n-1][1] = e.AtUS
+				list[n-1][1] = event.AtUS
 			}
 		}
 	}
-	return a
+	return absences
 }
 
-func (a absenceTimes) overlaps(scheduler int32, from, to int64) bool {
-	return slices.ContainsFunc(a[scheduler], func(x [2]int64) bool { return x[0] <= to && x[1] >= from })
+// overlaps reports whether a scheduler was absent at some time between two times.
+func (a absenceTimes) overlaps(scheduler int32, fromUS, toUS int64) bool {
+	return slices.ContainsFunc(a[scheduler], func(interval [2]int64) bool { return interval[0] <= toUS && interval[1] >= fromUS })
 }
 
-// cutOff tells whether the way of clients to schedulers was in trouble then: what they did not hear, nobody lost.
-func clientPathImpaired(s *scenario.Scenario, t *record.Try) bool {
-	return pathImpaired(s, "client", t.SentUS, t.EndedUS)
+// clientPathImpaired reports whether the path from clients to schedulers was impaired during a try. A client that gets no
+// answer then proves no lost answer.
+func clientPathImpaired(s *scenario.Scenario, try *record.Try) bool {
+	return pathImpaired(s, "client", try.SentUS, try.EndedUS)
 }
 
-// troubled tells whether a kind of path was in trouble at some time from one to another.
-func pathImpaired(s *scenario.Scenario, path string, fromUS, toUS int64) bool {
-	for _, f := range s.Faults {
-		if !slices.Contains([]string{"cut", "lossy", "reset", "trickle", "delay"}, f.What) || len(f.Paths) > 0 && !slices.Contains(f.Paths, path) {
+// pathImpaired reports whether a kind of path was impaired by a fault at some time between two times, or within 1 s before.
+func pathImpaired(s *scenario.Scenario, kind string, fromUS, toUS int64) bool {
+	for _, fault := range s.Faults {
+		if !slices.Contains([]string{"cut", "lossy", "reset", "trickle", "delay"}, fault.What) || len(fault.Paths) > 0 && !slices.Contains(fault.Paths, kind) {
 			continue
 		}
-		ends := f.AtS + f.ForS
-		if f.ForS == 0 && f.What != "reset" {
-			ends = s.Seconds * 2
+		endS := fault.AtS + fault.ForS
+		if fault.ForS == 0 && fault.What != "reset" {
+			endS = s.Seconds * 2
 		}
-		ends = max(ends, f.Until)
-		if float64(toUS)/1e6 >= f.AtS && float64(fromUS)/1e6 <= ends+1 {
+		endS = max(endS, fault.Until)
+		if float64(toUS)/1e6 >= fault.AtS && float64(fromUS)/1e6 <= endS+1 {
 			return true
 		}
 	}
 	return false
 }
 
-// leftAsDrawn tells of a client that left when it was drawn to, before its time was over, as far as its machine's timers
-// go: with some milliseconds left they may ring after it.
-func cancelledAsDrawn(t *record.Try) bool {
-	return t.CancelUS > 0 && t.CancelUS <= t.SentUS+t.TimeLeftMS*1000 && t.EndedUS <= t.CancelUS+slackUS
+// cancelledAsDrawn reports whether a client cancelled its try at the time that was drawn for it, which is before its
+// deadline. With a few milliseconds left its timer may fire after the deadline, so the end is checked within slackUS.
+func cancelledAsDrawn(try *record.Try) bool {
+	return try.CancelUS > 0 && try.CancelUS <= try.SentUS+try.TimeLeftMS*1000 && try.EndedUS <= try.CancelUS+slackUS
 }
 
+// checkAnswered checks that each try that reached a scheduler got one final answer in time, unless its client cancelled it,
+// the scheduler was absent or the path to it was impaired.
 func checkAnswered(s *scenario.Scenario, rec *record.Records) Check {
-	gone := absences(rec)
-	sentOn := make(map[string]bool, len(rec.Attempts))
+	absences := findAbsences(rec)
+	wasSent := make(map[string]bool, len(rec.Attempts))
 	for i := range rec.Attempts {
-		sentOn[rec.Attempts[i].ID] = true
+		wasSent[rec.Attempts[i].ID] = true
 	}
-	var bad []string
+	var violations []string
 	for i := range rec.Tries {
-		t := &rec.Tries[i]
-		if t.Scheduler < 0 || t.End == record.EndUnreachable || gone.overlaps(t.Scheduler, t.SentUS, t.EndedUS) || clientPathImpaired(s, t) {
+		try := &rec.Tries[i]
+		if try.Scheduler < 0 || try.End == record.EndUnreachable || absences.overlaps(try.Scheduler, try.SentUS, try.EndedUS) || clientPathImpaired(s, try) {
 			continue
 		}
-		late := t.EndedUS > t.SentUS+t.TimeLeftMS*1000+slackUS+s.PausedUS(t.SentUS, t.SentUS+t.TimeLeftMS*1000)
-		left := t.End == record.EndCancelled && (t.EndedUS < t.SentUS+t.TimeLeftMS*1000 || cancelledAsDrawn(t))
-		// The end of a connection that is in use again may cross a request that was not read; it was read if it was sent on.
-		crossed := t.End == record.EndBroken && t.ReusedConn && !sentOn[t.ID]
-		if left || crossed {
+		isLate := try.EndedUS > try.SentUS+try.TimeLeftMS*1000+slackUS+s.PausedUS(try.SentUS, try.SentUS+try.TimeLeftMS*1000)
+		isCancelled := try.End == record.EndCancelled && (try.EndedUS < try.SentUS+try.TimeLeftMS*1000 || cancelledAsDrawn(try))
+		// The scheduler may close a kept connection in the moment a request is sent on it. If the scheduler has sent the request
+		// to a worker it had read it, and the race is no excuse.
+		closeRaced := try.End == record.EndBroken && try.ReusedConn && !wasSent[try.ID]
+		if isCancelled || closeRaced {
 			continue
 		}
-		if t.End != record.EndAnswered || late {
-			bad = append(bad, fmt.Sprintf("%s of class %d at scheduler %d: %s after %.3f s of %.3f s", t.ID, t.Class, t.Scheduler, t.End,
-				float64(t.EndedUS-t.SentUS)/1e6, float64(t.TimeLeftMS)/1e3))
+		if try.End != record.EndAnswered || isLate {
+			violations = append(violations, fmt.Sprintf("%s of class %d at scheduler %d: %s after %.3f s of %.3f s", try.ID, try.Class, try.Scheduler, try.End,
+				float64(try.EndedUS-try.SentUS)/1e6, float64(try.TimeLeftMS)/1e3))
 		}
 	}
-	return newCheck("one final answer, in time, for all that was taken", len(bad), func(i int) string { return bad[i] })
+	return newCheck("one final answer, in time, for all that was taken", len(violations), func(i int) string { return violations[i] })
 }
 
+// checkResults checks that each answer 200 holds the result that a table worker sent for the try.
 func checkResults(rec *record.Records) Check {
-	var bad []string
+	var violations []string
 	for i := range rec.Tries {
-		if t := &rec.Tries[i]; t.Status == 200 && !t.IsCorrect {
-			bad = append(bad, t.ID)
+		if try := &rec.Tries[i]; try.Status == 200 && !try.IsCorrect {
+			violations = append(violations, try.ID)
 		}
 	}
-	return newCheck("what is served is what a table worker made", len(bad), func(i int) string { return bad[i] })
+	return newCheck("what is served is what a table worker made", len(violations), func(i int) string { return violations[i] })
 }
 
-// onceOnly counts the starts of a request over all its tries: a client that was told that asking again is harmless asks
-// again.
+// checkSingleStart checks that a request without a repeatable effect starts once over all its tries. Retries count, as a
+// client retries after an answer that says that a retry is harmless.
 func checkSingleStart(s *scenario.Scenario, rec *record.Records) Check {
-	request := make(map[string]int32, len(rec.Tries))
-	class := map[int32]int32{}
+	requestByID := make(map[string]int32, len(rec.Tries))
+	classOf := map[int32]int32{}
 	for i := range rec.Tries {
-		request[rec.Tries[i].ID], class[rec.Tries[i].Request] = rec.Tries[i].Request, rec.Tries[i].Class
+		requestByID[rec.Tries[i].ID], classOf[rec.Tries[i].Request] = rec.Tries[i].Request, rec.Tries[i].Class
 	}
-	starts, first := map[int32]int{}, map[int32]int64{}
-	var bad []string
+	starts, firstArrivalUS := map[int32]int{}, map[int32]int64{}
+	var violations []string
 	for i := range rec.Attempts {
-		r := &rec.Attempts[i]
-		q, known := request[r.ID]
-		if !known || r.StartedUS == 0 || s.Classes[class[q]].Effect == "repeatable" {
+		attempt := &rec.Attempts[i]
+		request, isKnown := requestByID[attempt.ID]
+		if !isKnown || attempt.StartedUS == 0 || s.Classes[classOf[request]].Effect == "repeatable" {
 			continue
 		}
-		if starts[q]++; starts[q] == 1 {
-			first[q] = r.ArrivedUS
+		if starts[request]++; starts[request] == 1 {
+			firstArrivalUS[request] = attempt.ArrivedUS
 		}
-		// A repeat of a by_key class is dropped by its group of workers, as long as they remember the first.
-		if s.Classes[class[q]].Effect == "by_key" && r.ArrivedUS <= first[q]+scenario.DedupWindowS*1e6+slackUS {
+		// A group of workers drops a repeat of a by_key class within its deduplication window.
+		if s.Classes[classOf[request]].Effect == "by_key" && attempt.ArrivedUS <= firstArrivalUS[request]+scenario.DedupWindowS*1e6+slackUS {
 			continue
 		}
-		if starts[q] >= 2 {
-			bad = append(bad, fmt.Sprintf("%s, a %s, at table worker %d", r.ID, s.Classes[class[q]].Name, r.Worker))
+		if starts[request] >= 2 {
+			violations = append(violations, fmt.Sprintf("%s, a %s, at table worker %d", attempt.ID, s.Classes[classOf[request]].Name, attempt.Worker))
 		}
 	}
-	return newCheck("no effect twice", len(bad), func(i int) string { return bad[i] })
+	return newCheck("no effect twice", len(violations), func(i int) string { return violations[i] })
 }
 
-// drained looks at what schedulers sent to workers of which they had been told that they drain or are gone.
+// checkDrained checks that schedulers send nothing to a worker after the grace that follows an update that says that the
+// worker is draining or removed.
 func checkDrained(s *scenario.Scenario, rec *record.Records) Check {
 	type pair struct{ scheduler, worker int32 }
-	told := map[pair][]record.ListUpdate{}
-	for _, t := range rec.ListUpdates {
-		told[pair{t.Scheduler, t.Worker}] = append(told[pair{t.Scheduler, t.Worker}], t)
+	updates := map[pair][]record.ListUpdate{}
+	for _, update := range rec.ListUpdates {
+		updates[pair{update.Scheduler, update.Worker}] = append(updates[pair{update.Scheduler, update.Worker}], update)
 	}
 	tries := triesByID(rec)
-	var bad []string
+	var violations []string
 	for i := range rec.Attempts {
-		r := &rec.Attempts[i]
+		attempt := &rec.Attempts[i]
 		var last record.ListUpdate
-		for _, t := range told[pair{r.Scheduler, r.Worker}] {
-			if t.AtUS <= r.ArrivedUS {
-				last = t
+		for _, update := range updates[pair{attempt.Scheduler, attempt.Worker}] {
+			if update.AtUS <= attempt.ArrivedUS {
+				last = update
 			}
 		}
-		leaves, ends := last.Status == "draining" || last.Status == "removed", last.AtUS+graceUS(s)
-		if leaves && r.ArrivedUS > ends+slackUS && !delayedByCut(s, tries[r.ID], r, ends) {
-			bad = append(bad, fmt.Sprintf("%s from scheduler %d to table worker %d, %.3f s after %q", r.ID, r.Scheduler, r.Worker,
-				float64(r.ArrivedUS-last.AtUS)/1e6, last.Status))
+		isLeaving, graceEndUS := last.Status == "draining" || last.Status == "removed", last.AtUS+graceUS(s)
+		if isLeaving && attempt.ArrivedUS > graceEndUS+slackUS && !delayedByCut(s, tries[attempt.ID], attempt, graceEndUS) {
+			violations = append(violations, fmt.Sprintf("%s from scheduler %d to table worker %d, %.3f s after %q", attempt.ID, attempt.Scheduler, attempt.Worker,
+				float64(attempt.ArrivedUS-last.AtUS)/1e6, last.Status))
 		}
 	}
-	return newCheck("nothing new to a draining or gone table worker after the grace", len(bad), func(i int) string { return bad[i] })
+	return newCheck("nothing new to a draining or gone table worker after the grace", len(violations), func(i int) string { return violations[i] })
 }
 
-// pushedOver looks at the table workers that fell. It is the schedulers' doing where two thirds of the work that came
-// within the last while had been sent by those that were told of its start; others could not know that it was cold.
+// checkColdWorkers checks that schedulers do not overload cold workers. A collapse counts as a violation if at least two
+// thirds of the work that the worker received within TipAfterS came from schedulers to which its start had been announced;
+// the others could not know that the worker was cold.
 func checkColdWorkers(s *scenario.Scenario, rec *record.Records) Check {
 	type pair struct{ scheduler, worker int32 }
-	up := map[pair][]int64{}
-	for _, t := range rec.ListUpdates {
-		if t.Status == "up" {
-			up[pair{t.Scheduler, t.Worker}] = append(up[pair{t.Scheduler, t.Worker}], t.AtUS)
+	announced := map[pair][]int64{}
+	for _, update := range rec.ListUpdates {
+		if update.Status == "up" {
+			announced[pair{update.Scheduler, update.Worker}] = append(announced[pair{update.Scheduler, update.Worker}], update.AtUS)
 		}
 	}
-	work := make(map[string]float64, len(rec.Tries))
+	workByID := make(map[string]float64, len(rec.Tries))
 	for i := range rec.Tries {
-		work[rec.Tries[i].ID] = float64(rec.Tries[i].RunUS)
+		workByID[rec.Tries[i].ID] = float64(rec.Tries[i].RunUS)
 	}
-	var bad []string
-	for _, e := range rec.Events {
-		if e.Kind != "fell" {
+	var violations []string
+	for _, event := range rec.Events {
+		if event.Kind != "fell" {
 			continue
 		}
-		all, told := 0.0, 0.0
+		total, informed := 0.0, 0.0
 		for i := range rec.Attempts {
-			r := &rec.Attempts[i]
-			if r.Worker != e.Worker || r.ArrivedUS > e.AtUS || r.ArrivedUS < e.AtUS-int64(s.Workers.TipAfterS*1e6) {
+			attempt := &rec.Attempts[i]
+			if attempt.Worker != event.Worker || attempt.ArrivedUS > event.AtUS || attempt.ArrivedUS < event.AtUS-int64(s.Workers.TipAfterS*1e6) {
 				continue
 			}
-			all += work[r.ID]
-			if slices.ContainsFunc(up[pair{r.Scheduler, r.Worker}], func(at int64) bool { return at <= r.ArrivedUS }) {
-				told += work[r.ID]
+			total += workByID[attempt.ID]
+			if slices.ContainsFunc(announced[pair{attempt.Scheduler, attempt.Worker}], func(at int64) bool { return at <= attempt.ArrivedUS }) {
+				informed += workByID[attempt.ID]
 			}
 		}
-		if told >= all*2/3 {
-			bad = append(bad, fmt.Sprintf("table worker %d at %.1f s, %.0f %% of it by schedulers that were told", e.Worker, float64(e.AtUS)/1e6, 100*told/max(1, all)))
+		if informed >= total*2/3 {
+			violations = append(violations, fmt.Sprintf("table worker %d at %.1f s, %.0f %% of its work from schedulers that knew of its start", event.Worker, float64(event.AtUS)/1e6, 100*informed/max(1, total)))
 		}
 	}
-	return newCheck("no cold table worker pushed over", len(bad), func(i int) string { return bad[i] })
+	return newCheck("no cold table worker pushed over", len(violations), func(i int) string { return violations[i] })
 }
 
+// checkCrashes checks that no process crashed and the harness had no error.
 func checkCrashes(rec *record.Records) Check {
-	var bad []string
-	for _, e := range rec.Events {
-		if e.Kind == "crashed" || e.Kind == "rig" {
-			bad = append(bad, e.Text)
+	var violations []string
+	for _, event := range rec.Events {
+		if event.Kind == "crashed" || event.Kind == "rig" {
+			violations = append(violations, event.Text)
 		}
 	}
-	return newCheck("no process crashed", len(bad), func(i int) string { return bad[i] })
+	return newCheck("no process crashed", len(violations), func(i int) string { return violations[i] })
 }
 
+// checkLimits checks the limits of the scenario, each over its window or the whole run.
 func checkLimits(s *scenario.Scenario, analysis *Analysis) (checks []Check) {
-	for _, l := range s.Limits {
-		w := scenario.Window{Name: "the run", FromS: 0, ToS: s.Seconds}
-		for _, x := range s.Windows {
-			if x.Name == l.Window {
-				w = x
+	for _, limit := range s.Limits {
+		window := scenario.Window{Name: "the run", FromS: 0, ToS: s.Seconds}
+		for _, named := range s.Windows {
+			if named.Name == limit.Window {
+				window = named
 			}
 		}
-		class := slices.IndexFunc(s.Classes, func(c scenario.Class) bool { return c.Name == l.Class })
-		v := analysis.WindowFigures(w, class, -1).ByName(l.Figure)
-		name := fmt.Sprintf("%s, %s", l.Figure, w.Name)
+		class := slices.IndexFunc(s.Classes, func(c scenario.Class) bool { return c.Name == limit.Class })
+		value := analysis.WindowFigures(window, class, -1).ByName(limit.Figure)
+		name := fmt.Sprintf("%s, %s", limit.Figure, window.Name)
 		if class >= 0 {
-			name += ", " + l.Class
+			name += ", " + limit.Class
 		}
-		c := Check{Name: name, Passed: true, Text: fmt.Sprintf("%.3f", v)}
-		if l.Least != nil {
-			c.Passed, c.Text = v >= *l.Least, c.Text+fmt.Sprintf(", at least %.3f", *l.Least)
+		check := Check{Name: name, Passed: true, Text: fmt.Sprintf("%.3f", value)}
+		if limit.Least != nil {
+			check.Passed, check.Text = value >= *limit.Least, check.Text+fmt.Sprintf(", at least %.3f", *limit.Least)
 		}
-		if l.Most != nil {
-			c.Passed, c.Text = c.Passed && v <= *l.Most, c.Text+fmt.Sprintf(", at most %.3f", *l.Most)
+		if limit.Most != nil {
+			check.Passed, check.Text = check.Passed && value <= *limit.Most, check.Text+fmt.Sprintf(", at most %.3f", *limit.Most)
 		}
-		checks = append(checks, c)
+		checks = append(checks, check)
 	}
 	return checks
 }
--- a/internal/fleet/judge/judge_test.go
+++ b/internal/fleet/judge/judge_test.go
@@ -14,7 +14,7 @@
  "classes":[{"name":"view","share":0.5,"run_ms":100,"effect":"repeatable","aim_ms":500,"deadline_s":2,"worth":1,"late_worth":0.5},
             {"name":"settle","share":0.5,"run_ms":100,"effect":"once","aim_ms":500,"deadline_s":2,"worth":10}]}`
 
-// sound are the records of a run in which all holds.
+// faultlessRecords returns the records of a run in which all checks pass.
 func faultlessRecords(t *testing.T) *record.Records {
 	s, err := scenario.Parse([]byte(scenarioText))
 	require.NoError(t, err)
@@ -37,19 +37,19 @@
 	return rec
 }
 
-// hold has all schedulers held up for 0.15 s at a second of the run.
-func addPause(t *testing.T, rec *record.Records, at float64) {
+// addPause adds a pause of all schedulers of 0.15 s, atS seconds into the run.
+func addPause(t *testing.T, rec *record.Records, atS float64) {
 	s := &scenario.Scenario{}
 	require.NoError(t, json.Unmarshal(rec.About.Scenario, s))
-	s.Faults = append(s.Faults, scenario.Fault{AtS: at, ForS: 0.15, What: "hold-schedulers"})
+	s.Faults = append(s.Faults, scenario.Fault{AtS: atS, ForS: 0.15, What: "hold-schedulers"})
 	var err error
 	rec.About.Scenario, err = json.Marshal(s)
 	require.NoError(t, err)
 }
 
-// heldRun has the first request's attempt come 1.7 s later, told that so much time is left, to a worker that is out by hand
-// since 1.2 s and for a grace of 0.2 s; a cut begins at a second of the run.
-func delayAttempt(t *testing.T, rec *record.Records, leftMS int64, cutAtS float64) {
+// delayAttempt lets the first request's attempt, which states timeLeftMS, arrive 1.7 s after the request was sent, at a
+// worker that is disabled since 1.2 s with a grace of 0.2 s. A cut of the job path begins at cutAtS and lasts 1.55 s.
+func delayAttempt(t *testing.T, rec *record.Records, timeLeftMS int64, cutAtS float64) {
 	s := &scenario.Scenario{}
 	require.NoError(t, json.Unmarshal(rec.About.Scenario, s))
 	s.DrainGraceS = 0.2
@@ -57,43 +57,43 @@
 	var err error
 	rec.About.Scenario, err = json.Marshal(s)
 	require.NoError(t, err)
-	run, try := &rec.Attempts[0], &rec.Tries[0]
-	run.TimeLeftMS, run.ArrivedUS, run.StartedUS, run.EndedUS = leftMS, 2.7e6, 2.7e6, 2.8e6
+	attempt, try := &rec.Attempts[0], &rec.Tries[0]
+	attempt.TimeLeftMS, attempt.ArrivedUS, attempt.StartedUS, attempt.EndedUS = timeLeftMS, 2.7e6, 2.7e6, 2.8e6
 	try.EndedUS = 2.9e6
 	rec.Events = []record.Event{{AtUS: 1.2e6, Kind: "out", Scheduler: 0, Worker: 0}, {AtUS: 2.95e6, Kind: "back", Scheduler: 0, Worker: 0}}
 }
 
-// Each rule is broken once, in a double of the records, and the check of that rule alone finds it.
+// Each rule is violated once in the records of a faultless run, and exactly the check of that rule must fail.
 func TestEachCheckDetectsItsViolation(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		spoil func(*record.Records)
-		fails string
+		name   string
+		change func(*record.Records)
+		fails  string
 	}{
-		{"all holds", func(*record.Records) {}, ""},
+		{"no violation", func(*record.Records) {}, ""},
 		{"no answer", func(r *record.Records) { r.Tries[0].Status, r.Tries[0].End = 0, record.EndBroken }, "one final answer, in time, for all that was taken"},
 		{"a late answer", func(r *record.Records) { r.Tries[0].EndedUS += 3e6 }, "one final answer, in time, for all that was taken"},
-		{"an answer as late as a hold that is over by then", func(r *record.Records) {
+		{"an answer as late as a pause at another time would excuse", func(r *record.Records) {
 			addPause(t, r, 5)
 			r.Tries[0].EndedUS = r.Tries[0].SentUS + r.Tries[0].TimeLeftMS*1000 + 250_000
 		}, "one final answer, in time, for all that was taken"},
-		{"an answer as late as its scheduler was held up", func(r *record.Records) {
+		{"an answer as late as its scheduler was paused", func(r *record.Records) {
 			addPause(t, r, 1.1)
 			r.Tries[0].EndedUS = r.Tries[0].SentUS + r.Tries[0].TimeLeftMS*1000 + 250_000
 		}, ""},
-		{"an answer later than that", func(r *record.Records) {
+		{"an answer later than its scheduler was paused", func(r *record.Records) {
 			addPause(t, r, 1.1)
 			r.Tries[0].EndedUS = r.Tries[0].SentUS + r.Tries[0].TimeLeftMS*1000 + 350_000
 		}, "one final answer, in time, for all that was taken"},
-		{"no answer of a scheduler that was killed", func(r *record.Records) {
+		{"no answer from a scheduler that was killed", func(r *record.Records) {
 			r.Tries[0].Status, r.Tries[0].End = 0, record.EndBroken
 			r.Events = []record.Event{{AtUS: 1.1e6, Kind: "killed", Text: "n0", Scheduler: 0, Worker: -1}}
 		}, ""},
-		{"no answer of one that was back by then", func(r *record.Records) {
+		{"no answer from a scheduler that was ready again", func(r *record.Records) {
 			r.Tries[2].Status, r.Tries[2].End = 0, record.EndBroken
 			r.Events = []record.Event{{AtUS: 1e6, Kind: "killed", Text: "n0", Scheduler: 0, Worker: -1}, {AtUS: 2e6, Kind: "ready", Scheduler: 0, Worker: -1}}
 		}, "one final answer, in time, for all that was taken"},
-		{"an answer that no worker gave", func(r *record.Records) { r.Tries[1].IsCorrect = false }, "what is served is what a table worker made"},
+		{"an answer that no worker sent", func(r *record.Records) { r.Tries[1].IsCorrect = false }, "what is served is what a table worker made"},
 		{"a settle started twice", func(r *record.Records) {
 			twice := r.Attempts[1]
 			twice.Worker = 0
@@ -109,123 +109,123 @@
 			again.Worker = 1
 			r.Attempts = append(r.Attempts, again)
 		}, ""},
-		{"a view sent to a worker that still has it", func(r *record.Records) { r.Attempts = append(r.Attempts, r.Attempts[0]) },
+		{"a view sent again to a worker that still has it", func(r *record.Records) { r.Attempts = append(r.Attempts, r.Attempts[0]) },
 			"one attempt of a request at a table worker at a time"},
-		{"a view sent to a worker that had it", func(r *record.Records) {
+		{"a view sent again to a worker that has finished it", func(r *record.Records) {
 			again := r.Attempts[0]
 			again.ArrivedUS, again.EndedUS = again.EndedUS, again.EndedUS+1000
 			r.Attempts = append(r.Attempts, again)
 		}, ""},
-		{"a send to a worker that is out by hand", func(r *record.Records) {
+		{"an attempt at a disabled worker", func(r *record.Records) {
 			r.Events = []record.Event{{AtUS: 1.8e6, Kind: "out", Scheduler: 0, Worker: 0}}
 		}, "nothing new to a table worker that an operator took out"},
-		{"a send to one that is out for another scheduler", func(r *record.Records) {
+		{"an attempt at a worker that is disabled at another scheduler", func(r *record.Records) {
 			r.Events = []record.Event{{AtUS: 1.8e6, Kind: "out", Scheduler: 1, Worker: 0}}
 		}, ""},
-		{"a send to one that was called back", func(r *record.Records) {
+		{"an attempt at a worker that is enabled again", func(r *record.Records) {
 			r.Events = []record.Event{{AtUS: 1.5e6, Kind: "out", Scheduler: 0, Worker: 0}, {AtUS: 2.9e6, Kind: "back", Scheduler: 0, Worker: 0}}
 		}, ""},
-		{"a send to one whose call back was made after the call out, and before its yes", func(r *record.Records) {
+		{"an attempt at a worker that was enabled after the disable call and before its answer", func(r *record.Records) {
 			r.Events = []record.Event{{AtUS: 1.8e6, CalledUS: 1.4e6, Kind: "out", Scheduler: 0, Worker: 0}, {AtUS: 1.6e6, Kind: "back", Scheduler: 0, Worker: 0}}
 		}, ""},
-		{"a send to one that was taken out after a call back", func(r *record.Records) {
+		{"an attempt at a worker that was disabled after an enable call", func(r *record.Records) {
 			r.Events = []record.Event{{AtUS: 1.8e6, CalledUS: 1.7e6, Kind: "out", Scheduler: 0, Worker: 0}, {AtUS: 1.6e6, Kind: "back", Scheduler: 0, Worker: 0}}
 		}, "nothing new to a table worker that an operator took out"},
-		{"a send to one that is still out by an earlier call", func(r *record.Records) {
+		{"an attempt at a worker that an earlier call still disables", func(r *record.Records) {
 			r.Events = []record.Event{{AtUS: 1.3e6, CalledUS: 1.2e6, Kind: "out", Scheduler: 0, Worker: 0}, {AtUS: 1.8e6, CalledUS: 1.1e6, Kind: "out", Scheduler: 0, Worker: 0},
 				{AtUS: 1.15e6, Kind: "back", Scheduler: 0, Worker: 0}}
 		}, "nothing new to a table worker that an operator took out"},
-		{"a send to a worker out by hand that had left before, and was held by a cut", func(r *record.Records) { delayAttempt(t, r, 1950, 1.1) }, ""},
-		{"a send to a draining worker that had left before, and was held by a cut", func(r *record.Records) {
+		{"an attempt sent before its worker was disabled and delayed by a cut", func(r *record.Records) { delayAttempt(t, r, 1950, 1.1) }, ""},
+		{"an attempt sent before its worker drained and delayed by a cut", func(r *record.Records) {
 			delayAttempt(t, r, 1950, 1.1)
 			r.Events, r.ListUpdates = nil, []record.ListUpdate{{AtUS: 1.2e6, Scheduler: 0, Worker: 0, Status: "draining"}, {AtUS: 2.95e6, Scheduler: 0, Worker: 0, Status: "up"}}
 		}, ""},
-		{"one to a draining worker that left after the grace", func(r *record.Records) {
+		{"an attempt sent to a draining worker after the grace and delayed by a cut", func(r *record.Records) {
 			delayAttempt(t, r, 300, 1.1)
 			r.Events, r.ListUpdates = nil, []record.ListUpdate{{AtUS: 1.2e6, Scheduler: 0, Worker: 0, Status: "draining"}, {AtUS: 2.95e6, Scheduler: 0, Worker: 0, Status: "up"}}
 		}, "nothing new to a draining or gone table worker after the grace"},
-		{"one that left after the yes", func(r *record.Records) { delayAttempt(t, r, 300, 1.1) }, "nothing new to a table worker that an operator took out"},
-		{"one that nobody waits for", func(r *record.Records) {
+		{"an attempt sent to a disabled worker after the grace and delayed by a cut", func(r *record.Records) { delayAttempt(t, r, 300, 1.1) }, "nothing new to a table worker that an operator took out"},
+		{"an attempt delayed by a cut whose client no longer waits", func(r *record.Records) {
 			delayAttempt(t, r, 1950, 1.1)
 			r.Tries[0].EndedUS = r.Attempts[0].ArrivedUS - 1000
 		}, "nothing new to a table worker that an operator took out"},
-		{"a send of a scheduler that began anew", func(r *record.Records) {
+		{"an attempt of a scheduler that was restarted since the disable call", func(r *record.Records) {
 			r.Events = []record.Event{{AtUS: 1.5e6, Kind: "out", Scheduler: 0, Worker: 0}, {AtUS: 2e6, Kind: "killed", Text: "n0", Scheduler: 0, Worker: -1},
 				{AtUS: 2.5e6, Kind: "ready", Scheduler: 0, Worker: -1}}
 		}, ""},
-		{"a scheduler that says it is ready in a drain", func(r *record.Records) {
+		{"a scheduler that reports ready during a drain of its clients", func(r *record.Records) {
 			r.Events = []record.Event{{AtUS: 1e6, Kind: "still-ready", Text: "n0", Scheduler: 0, Worker: -1}}
 		}, "not ready while clients are sent away"},
-		{"an attempt for a client that has gone", func(r *record.Records) {
+		{"an attempt for a client that has disconnected", func(r *record.Records) {
 			r.Tries[0].End, r.Tries[0].Status, r.Tries[0].EndedUS = record.EndCancelled, 0, r.Tries[0].SentUS+100_000
 			r.Attempts[0].ArrivedUS = r.Tries[0].EndedUS + 300_000
 			r.Attempts[0].EndedUS = r.Attempts[0].ArrivedUS + 100_000
 		}, "no attempt for a client that has gone"},
-		{"a client that left before its time was over", func(r *record.Records) {
+		{"a client that disconnected before its deadline", func(r *record.Records) {
 			r.Tries[0].End, r.Tries[0].Status, r.Tries[0].EndedUS = record.EndCancelled, 0, r.Tries[0].SentUS+100_000
 		}, ""},
-		{"a client that was to leave before its time was over, and is seen to a little after", func(r *record.Records) {
+		{"a client drawn to disconnect before its deadline, recorded a little after it", func(r *record.Records) {
 			t := &r.Tries[0]
 			t.CancelUS = t.SentUS + t.TimeLeftMS*1000 - 1000
 			t.End, t.Status, t.EndedUS = record.EndCancelled, 0, t.SentUS+t.TimeLeftMS*1000+2000
 		}, ""},
-		{"a client that was not to leave, and had no answer a little after its time", func(r *record.Records) {
+		{"a client not drawn to disconnect, without an answer a little after its deadline", func(r *record.Records) {
 			t := &r.Tries[0]
 			t.End, t.Status, t.EndedUS = record.EndCancelled, 0, t.SentUS+t.TimeLeftMS*1000+2000
 		}, "one final answer, in time, for all that was taken"},
-		{"a client that was to leave and stayed for long", func(r *record.Records) {
+		{"a client drawn to disconnect that waited much longer", func(r *record.Records) {
 			t := &r.Tries[0]
 			t.CancelUS = t.SentUS + 1000
 			t.End, t.Status, t.EndedUS = record.EndCancelled, 0, t.SentUS+t.TimeLeftMS*1000+2000
 		}, "one final answer, in time, for all that was taken"},
-		{"more time told than there is", func(r *record.Records) { r.Attempts[0].TimeLeftMS = 2400 }, "no attempt is told more time than its client has"},
-		{"a request sent on and broken off, on a kept connection", func(r *record.Records) {
+		{"an attempt that states more time than its client has left", func(r *record.Records) { r.Attempts[0].TimeLeftMS = 2400 }, "no attempt is told more time than its client has"},
+		{"a request broken off on a reused connection, after it was sent to a worker", func(r *record.Records) {
 			r.Tries[0].Status, r.Tries[0].End, r.Tries[0].ReusedConn = 0, record.EndBroken, true
 		}, "one final answer, in time, for all that was taken"},
-		{"a kept connection's end that crossed a request", func(r *record.Records) {
+		{"a reused connection closed before the request was read", func(r *record.Records) {
 			r.Tries[0].Status, r.Tries[0].End, r.Tries[0].ReusedConn = 0, record.EndBroken, true
 			r.Attempts = r.Attempts[1:]
 		}, ""},
-		{"a request broken off after SIGTERM, while the process goes on", func(r *record.Records) {
+		{"a request broken off after SIGTERM, before the process has ended", func(r *record.Records) {
 			r.Tries[0].Status, r.Tries[0].End = 0, record.EndBroken
 			r.Events = []record.Event{{AtUS: 1e6, Kind: "terminated", Text: "n0", Scheduler: 0, Worker: -1}, {AtUS: 2e6, Kind: "ended", Text: "n0", Scheduler: 0, Worker: -1}}
 		}, "one final answer, in time, for all that was taken"},
-		{"a settle that came twice and started once", func(r *record.Records) {
+		{"a settle that arrived twice and started once", func(r *record.Records) {
 			again := r.Attempts[1]
 			again.StartedUS, again.Worker = 0, 0
 			r.Attempts = append(r.Attempts, again)
 		}, ""},
-		{"a send after the grace", func(r *record.Records) {
+		{"an attempt at a draining worker after the grace", func(r *record.Records) {
 			r.ListUpdates = []record.ListUpdate{{AtUS: 1.8e6, Scheduler: 0, Worker: 0, Status: "draining"}}
 		}, "nothing new to a draining or gone table worker after the grace"},
-		{"a send within the grace", func(r *record.Records) {
+		{"an attempt at a removed worker within the grace", func(r *record.Records) {
 			r.ListUpdates = []record.ListUpdate{{AtUS: 2.5e6, Scheduler: 0, Worker: 0, Status: "removed"}}
 		}, ""},
-		{"a send to one that is back", func(r *record.Records) {
+		{"an attempt at a worker that is listed again", func(r *record.Records) {
 			r.ListUpdates = []record.ListUpdate{{AtUS: 1.5e6, Scheduler: 0, Worker: 0, Status: "removed"}, {AtUS: 2.5e6, Scheduler: 0, Worker: 0, Status: "up"}}
 		}, ""},
-		{"a worker pushed over", func(r *record.Records) {
+		{"a cold worker overloaded by a scheduler that knew of its start", func(r *record.Records) {
 			r.Events = []record.Event{{AtUS: 1.1e6, Kind: "fell", Scheduler: -1, Worker: 0}}
 			r.ListUpdates = []record.ListUpdate{{AtUS: 0.5e6, Scheduler: 0, Worker: 0, Status: "up"}}
 		}, "no cold table worker pushed over"},
-		{"a worker pushed over by those that could not know", func(r *record.Records) {
+		{"a cold worker overloaded by schedulers that did not know of its start", func(r *record.Records) {
 			r.Events = []record.Event{{AtUS: 1.1e6, Kind: "fell", Scheduler: -1, Worker: 0}}
 			r.ListUpdates = []record.ListUpdate{{AtUS: 1.05e6, Scheduler: 0, Worker: 0, Status: "up"}}
 		}, ""},
 		{"a crash", func(r *record.Records) {
 			r.Events = []record.Event{{AtUS: 9e6, Kind: "crashed", Text: "n1", Scheduler: 1, Worker: -1}}
 		}, "no process crashed"},
-		{"a long message", func(r *record.Records) { r.About.OversizeMessages = 1 }, "messages within 256 bytes"},
+		{"an oversize peer message", func(r *record.Records) { r.About.OversizeMessages = 1 }, "messages within 256 bytes"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rec := faultlessRecords(t)
-			c.spoil(rec)
+			c.change(rec)
 			checks, _, err := Evaluate(rec)
 			require.NoError(t, err)
 			failed := ""
 			for _, x := range checks {
 				if !x.Passed {
-					require.Empty(t, failed, "one check finds it")
+					require.Empty(t, failed, "more than one check failed")
 					failed = x.Name
 				}
 			}
@@ -234,31 +234,32 @@
 	}
 }
 
-// Only a cut on the way to the workers, which began before the attempt came and ended as it did, brings one late.
+// Only a cut of the job path that begins before an attempt arrives and ends by then delays the attempt.
 func TestDelayedByCut(t *testing.T) {
 	try, run := &record.Try{SentUS: 1e6, TimeLeftMS: 2000, EndedUS: 2.9e6}, &record.Attempt{TimeLeftMS: 1950, ArrivedUS: 2.7e6}
 	for _, c := range []struct {
 		name  string
 		fault scenario.Fault
-		held  bool
+		want  bool
 	}{
-		{"a cut over both", scenario.Fault{AtS: 1.1, ForS: 1.55, What: "cut", Paths: []string{"job"}}, true},
+		{"a cut of the job path from send to arrival", scenario.Fault{AtS: 1.1, ForS: 1.55, What: "cut", Paths: []string{"job"}}, true},
 		{"a cut of all paths", scenario.Fault{AtS: 1.1, ForS: 1.55, What: "cut"}, true},
 		{"a cut of other paths", scenario.Fault{AtS: 1.1, ForS: 1.55, What: "cut", Paths: []string{"back"}}, false},
-		{"a cut that was over as it left", scenario.Fault{AtS: 0.5, ForS: 0.5, What: "cut"}, false},
-		{"a cut that begins after it came", scenario.Fault{AtS: 6, ForS: 1, What: "cut"}, false},
-		{"a cut that is on as it comes", scenario.Fault{AtS: 1.1, ForS: 4, What: "cut"}, false},
+		{"a cut that ended before the send", scenario.Fault{AtS: 0.5, ForS: 0.5, What: "cut"}, false},
+		{"a cut that begins after the arrival", scenario.Fault{AtS: 6, ForS: 1, What: "cut"}, false},
+		{"a cut that is still on at the arrival", scenario.Fault{AtS: 1.1, ForS: 4, What: "cut"}, false},
 		{"another fault", scenario.Fault{AtS: 1.1, ForS: 1.55, What: "slow-workers"}, false},
 	} {
-		require.Equal(t, c.held, delayedByCut(&scenario.Scenario{Faults: []scenario.Fault{c.fault}}, try, run, 1.4e6), c.name)
+		require.Equal(t, c.want, delayedByCut(&scenario.Scenario{Faults: []scenario.Fault{c.fault}}, try, run, 1.4e6), c.name)
 	}
 }
 
+// The figures of a small run with one late answer, one refusal and waiting jobs have the values computed by hand.
 func TestFigures(t *testing.T) {
 	rec := faultlessRecords(t)
-	rec.Tries[0].EndedUS += 1e6 // late: half of its worth
+	rec.Tries[0].EndedUS += 1e6 // late: half of its value
 	rec.Tries[1].Status = 503
-	for i := range rec.Samples { // one worker idle, at the other two jobs wait, for half of the time
+	for i := range rec.Samples { // for half of the time worker 1 is idle while two jobs wait at worker 0
 		if s := &rec.Samples[i]; s.Worker == 0 && s.AtUS < 5e6 {
 			s.Running, s.Waiting = 4, 2
 		}
@@ -269,14 +270,14 @@
 	f := analysis.WindowFigures(scenario.Window{ToS: 10}, -1, -1)
 	require.Equal(t, 3, f.Requests)
 	require.InDelta(t, 10.5/21, f.Worth, 1e-9)
-	require.InDelta(t, 1, f.Bound, 1e-9, "a planner serves all of them")
+	require.InDelta(t, 1, f.Bound, 1e-9, "the ideal planner serves all requests")
 	require.InDelta(t, 1.0/3, f.Refused, 1e-9)
 	require.InDelta(t, 2.0/8/2, f.IdleBesideWaiting, 1e-9)
 	require.InDelta(t, 1, f.QueueLong, 1e-9)
 	require.InDelta(t, 0.01, f.WaitMeanS, 1e-9)
 }
 
-// The planner serves the dear jobs where there is no room for all, and none while there is no worker.
+// With too little capacity for all jobs the ideal planner serves the most valuable ones, and none while no worker runs.
 func TestBound(t *testing.T) {
 	rec := faultlessRecords(t)
 	for i := range rec.Samples {
@@ -286,7 +287,7 @@
 		}
 	}
 	rec.Tries = nil
-	for i := range 6 { // six jobs of 0.4 s at once, within 0.5 s: there is time for one, and a late one
+	for i := range 6 { // six jobs of 0.4 s are due at once and the capacity lasts 0.5 s: one is in time, and a second one is late
 		rec.Tries = append(rec.Tries, record.Try{Request: int32(i), ID: string(rune('a' + i)), Class: int32(i) / 5, RunUS: 400_000, DueUS: 4e6, SentUS: 4e6,
 			EndedUS: 4.1e6, TimeLeftMS: 2000, Status: 503, End: record.EndAnswered, IsCorrect: true})
 	}
@@ -296,12 +297,12 @@
 	require.InDelta(t, 10.5/15, analysis.WindowFigures(scenario.Window{ToS: 10}, -1, -1).Bound, 1e-9)
 }
 
-// Each figure of crowding and order is moved by its own fault alone.
+// The herd index, the starved workers and the inverted share each change by the behaviour that they measure.
 func TestHerdStarvationAndInversionFigures(t *testing.T) {
 	all := scenario.Window{FromS: 0, ToS: 10}
-	figures := func(spoil func(*record.Records)) Figures {
+	figures := func(change func(*record.Records)) Figures {
 		rec := faultlessRecords(t)
-		spoil(rec)
+		change(rec)
 		_, analysis, err := Evaluate(rec)
 		require.NoError(t, err)
 		return analysis.WindowFigures(all, -1, -1)
@@ -329,5 +330,5 @@
 	})
 	require.InDelta(t, 1.0/3, f.InvertedShare, 1e-9)
 	f = figures(func(r *record.Records) { r.Tries[0].Status, r.Tries[1].SentUS = 503, r.Tries[0].SentUS+1000 })
-	require.Zero(t, f.InvertedShare, "a view gives way to a settle")
+	require.Zero(t, f.InvertedShare, "refusing a view while a settle is served is no inversion")
 }
--- a/internal/fleet/judge/operators.go
+++ b/internal/fleet/judge/operators.go
@@ -8,69 +8,75 @@
 	"cobaltflow/internal/fleet/scenario"
 )
 
-// graceUS is the time after which nothing new may go to a worker that drains, is gone or was taken out.
+// graceUS returns the time, in microseconds, after which schedulers may send nothing new to a worker that is draining,
+// removed or disabled.
 func graceUS(s *scenario.Scenario) int64 { return int64(s.DrainGraceS * 1e6) }
 
-// outage is a time in which a worker was out by hand, as one scheduler was told.
+// disabledTime is a time, in microseconds, in which a worker was disabled by an operator at one scheduler.
 type disabledTime struct{ from, to int64 }
 
+// schedulerWorker is a worker as one scheduler sees it.
 type schedulerWorker struct{ scheduler, worker int32 }
 
+// never is a time after every run.
 const never = int64(1) << 62
 
-// outages gives the times from an operator's yes to the call back. A call back undoes each call out that was made before
-// it, also one whose yes comes later. What a scheduler was told goes with its last process.
+// disabledTimes returns the times between the answer to a disable call and the enable call. An enable call undoes each
+// disable call that was made before it, also one that is answered later. A directive ends with the last process of its
+// scheduler.
 func disabledTimes(rec *record.Records) map[schedulerWorker][]disabledTime {
 	events := slices.Clone(rec.Events)
 	slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.AtUS - b.AtUS) })
-	all := map[schedulerWorker][]disabledTime{}
-	calledBack := map[schedulerWorker]int64{}
-	end := func(k schedulerWorker, at int64) {
-		if list := all[k]; len(list) > 0 && list[len(list)-1].to == never {
-			list[len(list)-1].to = at
+	times := map[schedulerWorker][]disabledTime{}
+	enabledUS := map[schedulerWorker]int64{}
+	endLast := func(key schedulerWorker, atUS int64) {
+		if list := times[key]; len(list) > 0 && list[len(list)-1].to == never {
+			list[len(list)-1].to = atUS
 		}
 	}
-	for _, e := range events {
-		k := schedulerWorker{e.Scheduler, e.Worker}
-		switch e.Kind {
+	for _, event := range events {
+		key := schedulerWorker{event.Scheduler, event.Worker}
+		switch event.Kind {
 		case "out":
-			if back, known := calledBack[k]; known && e.CalledUS > 0 && e.CalledUS <= back {
+			if enabled, isKnown := enabledUS[key]; isKnown && event.CalledUS > 0 && event.CalledUS <= enabled {
 				continue
 			}
-			end(k, e.AtUS)
-			all[k] = append(all[k], disabledTime{e.AtUS, never})
+			endLast(key, event.AtUS)
+			times[key] = append(times[key], disabledTime{event.AtUS, never})
 		case "back":
-			calledBack[k] = e.AtUS
-			end(k, e.AtUS)
+			enabledUS[key] = event.AtUS
+			endLast(key, event.AtUS)
 		case "killed", "ended", "crashed":
-			for k := range all {
-				if k.scheduler == e.Scheduler {
-					end(k, e.AtUS)
+			for key := range times {
+				if key.scheduler == event.Scheduler {
+					endLast(key, event.AtUS)
 				}
 			}
 		}
 	}
-	return all
+	return times
 }
 
-// outOfHand looks at what schedulers sent to workers that an operator had taken out, whichever process was told.
+// checkDisabled checks that a scheduler sends nothing to a worker that an operator has disabled, once the grace is over,
+// whichever of its processes received the call.
 func checkDisabled(s *scenario.Scenario, rec *record.Records) Check {
-	all := disabledTimes(rec)
+	times := disabledTimes(rec)
 	tries := triesByID(rec)
-	var bad []string
+	var violations []string
 	for i := range rec.Attempts {
-		r := &rec.Attempts[i]
-		for _, o := range all[schedulerWorker{r.Scheduler, r.Worker}] {
-			ends := o.from + graceUS(s)
-			if r.ArrivedUS > ends+slackUS && r.ArrivedUS < o.to && !delayedByCut(s, tries[r.ID], r, ends) {
-				bad = append(bad, fmt.Sprintf("%s from scheduler %d to table worker %d at %.3f s, out by hand since %.3f s", r.ID, r.Scheduler, r.Worker,
-					float64(r.ArrivedUS)/1e6, float64(o.from)/1e6))
+		attempt := &rec.Attempts[i]
+		for _, disabled := range times[schedulerWorker{attempt.Scheduler, attempt.Worker}] {
+			graceEndUS := disabled.from + graceUS(s)
+			if attempt.ArrivedUS > graceEndUS+slackUS && attempt.ArrivedUS < disabled.to && !delayedByCut(s, tries[attempt.ID], attempt, graceEndUS) {
+				violations = append(violations, fmt.Sprintf("%s from scheduler %d to table worker %d at %.3f s, disabled since %.3f s", attempt.ID, attempt.Scheduler, attempt.Worker,
+					float64(attempt.ArrivedUS)/1e6, float64(disabled.from)/1e6))
 			}
 		}
 	}
-	return newCheck("nothing new to a table worker that an operator took out", len(bad), func(i int) string { return bad[i] })
+	return newCheck("nothing new to a table worker that an operator took out", len(violations), func(i int) string { return violations[i] })
 }
 
+// triesByID returns the tries of a run by their IDs.
 func triesByID(rec *record.Records) map[string]*record.Try {
 	tries := make(map[string]*record.Try, len(rec.Tries))
 	for i := range rec.Tries {
@@ -79,96 +85,97 @@
 	return tries
 }
 
-// heldByACut tells of an attempt that had left its scheduler by a time, as the time that it tells to be left shows, and that
-// a cut of the network brought later. Its client waits for it: one that was given up is reset and never comes.
-func delayedByCut(s *scenario.Scenario, t *record.Try, r *record.Attempt, by int64) bool {
-	if t == nil || r.TimeLeftMS <= 0 {
+// delayedByCut reports whether an attempt left its scheduler by limitUS and arrived later because of a network cut. The time
+// left that the attempt states shows when it was sent. Its client must still wait: an attempt that was cancelled is reset,
+// and never arrives.
+func delayedByCut(s *scenario.Scenario, try *record.Try, attempt *record.Attempt, limitUS int64) bool {
+	if try == nil || attempt.TimeLeftMS <= 0 {
 		return false
 	}
-	leftAt := t.SentUS + (t.TimeLeftMS-r.TimeLeftMS)*1000
-	waits := t.EndedUS > r.ArrivedUS
-	if leftAt > by || !waits {
+	sentUS := try.SentUS + (try.TimeLeftMS-attempt.TimeLeftMS)*1000
+	clientWaits := try.EndedUS > attempt.ArrivedUS
+	if sentUS > limitUS || !clientWaits {
 		return false
 	}
-	return slices.ContainsFunc(s.Faults, func(f scenario.Fault) bool {
-		carriesJobs := len(f.Paths) == 0 || slices.Contains(f.Paths, "job")
-		from, to := int64(f.AtS*1e6), int64((f.AtS+f.ForS)*1e6)
-		return f.What == "cut" && carriesJobs && leftAt < to && r.ArrivedUS >= to && from < r.ArrivedUS
+	return slices.ContainsFunc(s.Faults, func(fault scenario.Fault) bool {
+		affectsJobs := len(fault.Paths) == 0 || slices.Contains(fault.Paths, "job")
+		cutUS, cutEndUS := int64(fault.AtS*1e6), int64((fault.AtS+fault.ForS)*1e6)
+		return fault.What == "cut" && affectsJobs && sentUS < cutEndUS && attempt.ArrivedUS >= cutEndUS && cutUS < attempt.ArrivedUS
 	})
 }
 
-// sentAway looks at schedulers that said they were ready while an operator had them send their clients away.
+// checkClientDrain checks that no scheduler reported ready while an operator drained its clients.
 func checkClientDrain(rec *record.Records) Check {
-	var bad []string
-	for _, e := range rec.Events {
-		if e.Kind == "still-ready" {
-			bad = append(bad, fmt.Sprintf("%s at %.3f s", e.Text, float64(e.AtUS)/1e6))
+	var violations []string
+	for _, event := range rec.Events {
+		if event.Kind == "still-ready" {
+			violations = append(violations, fmt.Sprintf("%s at %.3f s", event.Text, float64(event.AtUS)/1e6))
 		}
 	}
-	return newCheck("not ready while clients are sent away", len(bad), func(i int) string { return bad[i] })
+	return newCheck("not ready while clients are sent away", len(violations), func(i int) string { return violations[i] })
 }
 
-// goneUS is how long after its client's end an attempt may still begin.
+// maxLateStartUS is how long, in microseconds, an attempt may still begin after its client has disconnected.
 const maxLateStartUS = 100_000
 
-// afterTheClient looks at attempts that began when their client had gone.
+// checkCancelled checks that no attempt begins after its client has disconnected.
 func checkCancelled(s *scenario.Scenario, rec *record.Records) Check {
-	gone := absences(rec)
-	left := map[string]int64{}
+	absences := findAbsences(rec)
+	cancelledUS := map[string]int64{}
 	for i := range rec.Tries {
-		if t := &rec.Tries[i]; t.End == record.EndCancelled {
-			left[t.ID] = t.EndedUS
+		if try := &rec.Tries[i]; try.End == record.EndCancelled {
+			cancelledUS[try.ID] = try.EndedUS
 		}
 	}
-	var bad []string
+	var violations []string
 	for i := range rec.Attempts {
-		r := &rec.Attempts[i]
-		at, known := left[r.ID]
-		if !known || pathImpaired(s, "client", at, r.ArrivedUS) || pathImpaired(s, "job", at, r.ArrivedUS) || gone.overlaps(r.Scheduler, at, r.ArrivedUS) {
-			continue // the word of its leaving, or the attempt, was on its way for longer
+		attempt := &rec.Attempts[i]
+		atUS, isKnown := cancelledUS[attempt.ID]
+		if !isKnown || pathImpaired(s, "client", atUS, attempt.ArrivedUS) || pathImpaired(s, "job", atUS, attempt.ArrivedUS) || absences.overlaps(attempt.Scheduler, atUS, attempt.ArrivedUS) {
+			continue // the cancellation or the attempt may have been delayed on its path
 		}
-		if r.ArrivedUS > at+maxLateStartUS+slackUS+s.PausedUS(at, r.ArrivedUS) {
-			bad = append(bad, fmt.Sprintf("%s from scheduler %d, %.3f s after its client had gone", r.ID, r.Scheduler, float64(r.ArrivedUS-at)/1e6))
+		if attempt.ArrivedUS > atUS+maxLateStartUS+slackUS+s.PausedUS(atUS, attempt.ArrivedUS) {
+			violations = append(violations, fmt.Sprintf("%s from scheduler %d, %.3f s after its client disconnected", attempt.ID, attempt.Scheduler, float64(attempt.ArrivedUS-atUS)/1e6))
 		}
 	}
-	return newCheck("no attempt for a client that has gone", len(bad), func(i int) string { return bad[i] })
+	return newCheck("no attempt for a client that has gone", len(violations), func(i int) string { return violations[i] })
 }
 
-// timeLeft looks at the time that attempts told their workers: at most what the client had left.
+// checkTimeLeft checks that the time left that an attempt states to its worker is at most what its client has left.
 func checkTimeLeft(s *scenario.Scenario, rec *record.Records) Check {
-	gone, tries := absences(rec), triesByID(rec)
-	var bad []string
+	absences, tries := findAbsences(rec), triesByID(rec)
+	var violations []string
 	for i := range rec.Attempts {
-		r := &rec.Attempts[i]
-		t := tries[r.ID]
-		if t == nil || r.TimeLeftMS <= 0 || pathImpaired(s, "client", t.SentUS, r.ArrivedUS) || pathImpaired(s, "job", t.SentUS, r.ArrivedUS) ||
-			gone.overlaps(r.Scheduler, t.SentUS, r.ArrivedUS) {
-			continue // it was on its way for longer than a word takes
+		attempt := &rec.Attempts[i]
+		try := tries[attempt.ID]
+		if try == nil || attempt.TimeLeftMS <= 0 || pathImpaired(s, "client", try.SentUS, attempt.ArrivedUS) || pathImpaired(s, "job", try.SentUS, attempt.ArrivedUS) ||
+			absences.overlaps(attempt.Scheduler, try.SentUS, attempt.ArrivedUS) {
+			continue // the request or the attempt may have been delayed on its path
 		}
-		if end := t.SentUS + t.TimeLeftMS*1000; r.ArrivedUS+r.TimeLeftMS*1000 > end+2*slackUS {
-			bad = append(bad, fmt.Sprintf("%s from scheduler %d, told %d ms with %d ms left", r.ID, r.Scheduler, r.TimeLeftMS, (end-r.ArrivedUS)/1000))
+		if deadlineUS := try.SentUS + try.TimeLeftMS*1000; attempt.ArrivedUS+attempt.TimeLeftMS*1000 > deadlineUS+2*slackUS {
+			violations = append(violations, fmt.Sprintf("%s from scheduler %d, states %d ms left, its client has %d ms", attempt.ID, attempt.Scheduler, attempt.TimeLeftMS, (deadlineUS-attempt.ArrivedUS)/1000))
 		}
 	}
-	return newCheck("no attempt is told more time than its client has", len(bad), func(i int) string { return bad[i] })
+	return newCheck("no attempt is told more time than its client has", len(violations), func(i int) string { return violations[i] })
 }
 
-// oneAtATime looks for a second attempt of an id at a worker that still had the first.
+// checkOneAttemptAtATime checks that no worker receives a second attempt of a try while it still has the first.
 func checkOneAttemptAtATime(rec *record.Records) Check {
-	type at struct {
+	type idWorker struct {
 		id     string
 		worker int32
 	}
-	open := map[at]int64{}
-	runs := slices.Clone(rec.Attempts)
-	slices.SortStableFunc(runs, func(a, b record.Attempt) int { return int(a.ArrivedUS - b.ArrivedUS) })
-	var bad []string
-	for i := range runs {
-		r := &runs[i]
-		k := at{r.ID, r.Worker}
-		if end, known := open[k]; known && r.ArrivedUS < end {
-			bad = append(bad, fmt.Sprintf("%s at table worker %d, at %.3f s", r.ID, r.Worker, float64(r.ArrivedUS)/1e6))
+	endUS := map[idWorker]int64{}
+	attempts := slices.Clone(rec.Attempts)
+	slices.SortStableFunc(attempts, func(a, b record.Attempt) int { return int(a.ArrivedUS - b.ArrivedUS) })
+	var violations []string
+	for i := range attempts {
+		attempt := &attempts[i]
+		key := idWorker{attempt.ID, attempt.Worker}
+		if previousEndUS, isKnown := endUS[key]; isKnown && attempt.ArrivedUS < previousEndUS {
+			violations = append(violations, fmt.Sprintf("%s at table worker %d, at %.3f s", attempt.ID, attempt.Worker, float64(attempt.ArrivedUS)/1e6))
 		}
-		open[k] = max(open[k], r.EndedUS)
+		endUS[key] = max(endUS[key], attempt.EndedUS)
 	}
-	return newCheck("one attempt of a request at a table worker at a time", len(bad), func(i int) string { return bad[i] })
+	return newCheck("one attempt of a request at a table worker at a time", len(violations), func(i int) string { return violations[i] })
 }
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -22,8 +22,8 @@
 	"cobaltflow/internal/fleet/scenario"
 )
 
-// scheduler is one scheduler as the platform counts it: a process of the program, and beside it, during an upgrade, those
-// that it takes over from. All share its addresses and its folder for temporary files.
+// scheduler is one scheduler of the fleet: a process of the program, and during an upgrade also the processes that it
+// replaces. All of them share the scheduler's addresses and its directory for temporary files.
 type scheduler struct {
 	harness     *harness
 	index       int
@@ -32,21 +32,21 @@
 	peerAddress netip.AddrPort
 	dir         string
 
-	resumeCalls atomic.Int64 // calls to take clients again
+	resumeCalls atomic.Int64 // admin calls that ended a drain of clients
 
 	mu        sync.Mutex
-	processes []*process // that have been started and have not been seen to end, the latest last
+	processes []*process // started and not yet seen to exit, the latest last
 	starts    int
 	tempDir   string // $TMPDIR of its processes
 }
 
-// process is one start of the program. Its fields are guarded by its scheduler's mutex.
+// process is one started process of the program. Its scheduler's mutex guards its fields.
 type process struct {
 	cmd        *exec.Cmd
 	admin      netip.AddrPort
 	exited     chan struct{}
 	started    time.Time
-	terminated bool // to end: an end of it is no crash
+	terminated bool // SIGTERM or SIGKILL was sent, so its exit is no crash
 	isStopped  bool // by SIGSTOP
 }
 
@@ -56,14 +56,15 @@
 	adminHost     = [4]byte{127, 0, 5, 1}
 )
 
-// limits of one process. Over its memory it is ended by the runtime's own doing, slowly; the rig only bounds it.
+// Limits of one process, as the platform states them to it. The harness enforces no memory limit: over maxMemoryMB a
+// process is slowed down, and ended in the end, by its own runtime.
 const (
 	maxMemoryMB  = 192
 	maxSockets   = 1024
 	readyTimeout = 30 * time.Second
 )
 
-// start runs a process where none runs, with an empty folder, and waits until it is ready.
+// start starts a process with a new, empty temporary directory, and waits until it is ready. No process may be running.
 func (s *scheduler) start(ctx context.Context) error {
 	s.mu.Lock()
 	s.tempDir = filepath.Join(s.dir, fmt.Sprint("tmp", s.starts))
@@ -83,18 +84,18 @@
 	return nil
 }
 
-// upgrade starts a second process beside the one that runs. When it is ready the other is told to end, and killed as soon
-// as the platform may.
+// upgrade starts a new process beside the latest one. When the new process is ready the old one gets SIGTERM, and SIGKILL
+// after killDelay. It does nothing if no process runs.
 func (s *scheduler) upgrade(ctx context.Context) error {
 	old := s.latest()
 	if old == nil {
-		return nil // it is down just now
+		return nil // the scheduler is down
 	}
 	p, err := s.launch()
 	if err != nil {
 		return err
 	}
-	// A later upgrade may have ended it before it was seen to be ready.
+	// A later upgrade may have terminated the new process before this one saw it ready, which is no error.
 	if err := s.waitReady(ctx, p, p.admin); err != nil && !s.wasTerminated(p) {
 		return s.withLog(err)
 	}
@@ -103,34 +104,37 @@
 	return nil
 }
 
-// endInOrder has a process end by SIGTERM, and kills it as soon as the platform may.
+// terminate sends SIGTERM to a process, and SIGKILL after killDelay.
 func (s *scheduler) terminate(p *process) {
 	s.signalTo(p, syscall.SIGTERM)
 	time.AfterFunc(s.harness.killDelay(), func() { s.signalTo(p, syscall.SIGKILL) })
 }
 
+// wasTerminated reports whether p has been sent SIGTERM or SIGKILL.
 func (s *scheduler) wasTerminated(p *process) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return p.terminated
 }
 
-// killAfter is how soon after SIGTERM the platform may kill: the longest deadline, 3 s at most, and 0.7 s.
-func (r *harness) killDelay() time.Duration {
-	const most, later = 3.0, 0.7
+// killDelay returns the earliest time after SIGTERM at which the platform may kill a process: the longest deadline of all
+// classes, capped at 3 s, plus 0.7 s.
+func (h *harness) killDelay() time.Duration {
+	const maxDeadlineS, marginS = 3.0, 0.7
 	longest := 0.0
-	for _, c := range r.scenario.Classes {
+	for _, c := range h.scenario.Classes {
 		longest = max(longest, c.DeadlineS)
 	}
-	return time.Duration((min(longest, most) + later) * float64(time.Second))
+	return time.Duration((min(longest, maxDeadlineS) + marginS) * float64(time.Second))
 }
 
+// withLog adds the scheduler's name and log to an error.
 func (s *scheduler) withLog(err error) error {
 	text, _ := os.ReadFile(filepath.Join(s.dir, "log"))
 	return fmt.Errorf("%s: %w\n%s", s.name(), err, text)
 }
 
-// launch starts a process.
+// launch writes the configuration of a new process and starts it. It does not wait until the process is ready.
 func (s *scheduler) launch() (*process, error) {
 	admin, err := endpoints.FreePorts(adminHost, 1, false)
 	if err != nil {
@@ -156,7 +160,7 @@
 	p.cmd = exec.Command(s.harness.build.Binary, "serve", "--config", s.harness.configPath)
 	p.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path, "TMPDIR="+s.tempDir)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	// A process of the rig never outlives it, whatever ends the rig.
+	// The kernel kills the process if the harness dies, for whatever reason.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := s.harness.spawn(p.cmd); err != nil {
 		return nil, err
@@ -166,7 +170,7 @@
 	return p, nil
 }
 
-// await notes the end of a process.
+// waitForExit waits for a process to exit and records a crash, or the end of the scheduler's last process.
 func (s *scheduler) waitForExit(p *process) {
 	p.cmd.Wait()
 	s.mu.Lock()
@@ -181,9 +185,11 @@
 	close(p.exited)
 }
 
+// name returns the scheduler's name in configuration, logs and records.
 func (s *scheduler) name() string { return fmt.Sprint("n", s.index) }
 
-// ready waits until a process says at an address of its own that it is.
+// waitReady polls the readiness probe at an address of a process until it answers 200, the process exits, or readyTimeout
+// has passed.
 func (s *scheduler) waitReady(ctx context.Context, p *process, at netip.AddrPort) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -196,34 +202,34 @@
 			return nil
 		}
 		if last = err; err == nil {
-			last = fmt.Errorf("ready: status %d", status)
+			last = fmt.Errorf("readiness probe answered %d", status)
 		}
 		select {
 		case <-tick.C:
 		case <-p.exited:
-			return fmt.Errorf("ended before it was ready")
+			return fmt.Errorf("process exited before it was ready")
 		case <-ctx.Done():
-			return fmt.Errorf("not ready: %w", last)
+			return fmt.Errorf("process did not become ready: %w", last)
 		}
 	}
 }
 
-// ask makes a call on a connection of its own.
+// sendRequest sends an HTTP request without a body on a new connection, and returns the status of the answer.
 func sendRequest(ctx context.Context, method string, at netip.AddrPort, path string) (status int, err error) {
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+at.String()+path, nil)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+at.String()+path, nil)
 	if err != nil {
 		return 0, err
 	}
-	q.Close = true
-	r, err := http.DefaultClient.Do(q)
+	req.Close = true
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, err
 	}
-	io.Copy(io.Discard, r.Body)
-	return r.StatusCode, r.Body.Close()
+	io.Copy(io.Discard, resp.Body)
+	return resp.StatusCode, resp.Body.Close()
 }
 
-// latest is the process that was started last; nil: none runs.
+// latest returns the running process that was started last, or nil.
 func (s *scheduler) latest() *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,7 +239,7 @@
 	return s.processes[len(s.processes)-1]
 }
 
-// all are the processes that run, the latest last.
+// running returns the processes that run, the latest last.
 func (s *scheduler) running() []*process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,6 +253,7 @@
 	}
 }
 
+// signalTo sends a signal to one process, unless it has exited, and notes what the signal does to it.
 func (s *scheduler) signalTo(p *process, sig syscall.Signal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,14 +273,14 @@
 	p.cmd.Process.Signal(sig)
 }
 
-// live tells whether a process runs that takes clients.
+// isLive reports whether some process runs that is neither terminated nor stopped.
 func (s *scheduler) isLive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.ContainsFunc(s.processes, func(p *process) bool { return !p.terminated && !p.isStopped })
 }
 
-// end kills all processes and waits for their ends.
+// killAll kills all processes and waits until they have exited.
 func (s *scheduler) killAll() {
 	for _, p := range s.running() {
 		s.signalTo(p, syscall.SIGKILL)
@@ -281,23 +288,23 @@
 	}
 }
 
-// config is the platform's file for a scheduler.
+// config returns the content of the configuration file that the platform gives to a process.
 func (s *scheduler) config(admin netip.AddrPort) map[string]any {
-	r, sc := s.harness, s.harness.scenario
-	conf := map[string]any{
-		"name": s.name(), "listen": s.listen.String(), "admin": admin.String(), "discovery": r.discovery.Address(s.index),
-		"seed":   fmt.Sprintf("%016x", r.seed*1_000_003+uint64(s.index)*1009+uint64(s.starts)),
+	h, sc := s.harness, s.harness.scenario
+	config := map[string]any{
+		"name": s.name(), "listen": s.listen.String(), "admin": admin.String(), "discovery": h.discovery.Address(s.index),
+		"seed":   fmt.Sprintf("%016x", h.seed*1_000_003+uint64(s.index)*1009+uint64(s.starts)),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": maxMemoryMB, "sockets": maxSockets},
-		"known":  r.discovery.CurrentList(s.index), "settings": platformSettings(sc, s.index, s.site),
+		"known":  h.discovery.CurrentList(s.index), "settings": platformSettings(sc, s.index, s.site),
 	}
 	if sc.Peers.On {
-		each, all := r.peers.Addresses()
-		conf["peer_listen"], conf["peers"], conf["peers_all"] = s.peerAddress.String(), each, all
+		public, broadcast := h.peers.Addresses()
+		config["peer_listen"], config["peers"], config["peers_all"] = s.peerAddress.String(), public, broadcast
 	}
-	return conf
+	return config
 }
 
-// settings are the simulator's, as the platform tells them.
+// platformSettings returns the "settings" object of the platform's configuration file, with the simulator's values.
 func platformSettings(sc *scenario.Scenario, rank, site int) map[string]any {
 	us := func(s float64) int64 { return int64(s * 1e6) }
 	var zones, kinds []string
@@ -330,25 +337,26 @@
 	}
 }
 
-// merged puts one object over another, key by key.
-func mergeObjects(below, over map[string]any) map[string]any {
-	out := maps.Clone(below)
+// mergeObjects returns a copy of under with the keys of over set; objects in both are merged recursively.
+func mergeObjects(under, over map[string]any) map[string]any {
+	out := maps.Clone(under)
 	if out == nil {
 		out = map[string]any{}
 	}
-	for k, v := range over {
-		a, isA := out[k].(map[string]any)
-		b, isB := v.(map[string]any)
-		if isA && isB {
-			out[k] = mergeObjects(a, b)
+	for key, value := range over {
+		base, baseIsObject := out[key].(map[string]any)
+		overlay, overlayIsObject := value.(map[string]any)
+		if baseIsObject && overlayIsObject {
+			out[key] = mergeObjects(base, overlay)
 		} else {
-			out[k] = v
+			out[key] = value
 		}
 	}
 	return out
 }
 
-// front knows which schedulers take clients. It notices late.
+// balancer chooses the scheduler for each try among those that it believes to be up. Callers set a scheduler down late,
+// as a real load balancer notices a failure late.
 type balancer struct {
 	mu     sync.Mutex
 	sites  []int
@@ -356,38 +364,41 @@
 	weight []float64
 }
 
+// newBalancer returns a balancer for schedulers at these sites. If unlike is above 0, each tenth scheduler has that weight
+// instead of 1.
 func newBalancer(sites []int, unlike float64) *balancer {
-	f := &balancer{sites: sites, isUp: make([]bool, len(sites)), weight: make([]float64, len(sites))}
-	for i := range f.weight {
-		if f.weight[i] = 1; unlike > 0 && i%10 == 0 {
-			f.weight[i] = unlike
+	b := &balancer{sites: sites, isUp: make([]bool, len(sites)), weight: make([]float64, len(sites))}
+	for i := range b.weight {
+		if b.weight[i] = 1; unlike > 0 && i%10 == 0 {
+			b.weight[i] = unlike
 		}
 	}
-	return f
+	return b
 }
 
-func (f *balancer) setUp(scheduler int, up bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.isUp[scheduler] = up
+// setUp sets whether a scheduler may be chosen.
+func (b *balancer) setUp(index int, up bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.isUp[index] = up
 }
 
-// choose gives a scheduler of the site, by a number from 0 to under 1; of any site where it has none, and below 0 where
-// there is none at all.
-func (f *balancer) choose(site int, draw float64) int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, own := range []bool{true, false} {
+// choose returns a scheduler of the site, picked by weight with draw in [0, 1). If none of the site is up it picks among
+// those of all sites; it returns -1 if none is up at all.
+func (b *balancer) choose(site int, draw float64) int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, ownSite := range []bool{true, false} {
 		sum := 0.0
-		for i, up := range f.isUp {
-			if up && (f.sites[i] == site || !own) {
-				sum += f.weight[i]
+		for i, up := range b.isUp {
+			if up && (b.sites[i] == site || !ownSite) {
+				sum += b.weight[i]
 			}
 		}
-		at := draw * sum
-		for i, up := range f.isUp {
-			if up && (f.sites[i] == site || !own) {
-				if at -= f.weight[i]; at < 0 {
+		remaining := draw * sum
+		for i, up := range b.isUp {
+			if up && (b.sites[i] == site || !ownSite) {
+				if remaining -= b.weight[i]; remaining < 0 {
 					return i
 				}
 			}
--- a/internal/fleet/record/record.go
+++ b/internal/fleet/record/record.go
@@ -1,5 +1,6 @@
-// Package record holds what a run of the rig wrote down: tries of clients, runs at table workers, how full each was, and
-// the faults. It is kept as Parquet files, one a table, beside the scenario.
+// Package record defines the records of a run: tries of clients, attempts at table workers, load samples, worker list
+// updates and events. Packages fleet and endpoints fill them, and soak and experiment save them: one Parquet file for each
+// table, beside about.json.
 package record
 
 import (
@@ -10,72 +11,73 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Try is one request of a client, or a repeat of it. Times are microseconds from the moment at which clients began.
+// Try is one HTTP request that a client sent; a retry is a try of its own. Times are in microseconds since the clients
+// began.
 type Try struct {
-	Request       int32  `parquet:"request"`
-	Number        int32  `parquet:"number"`
+	Request       int32  `parquet:"request"` // index of the request, the same for its retries
+	Number        int32  `parquet:"number"`  // 0: the first try of the request
 	ID            string `parquet:"id"`
 	Class         int32  `parquet:"class,dict"`
 	Site          int32  `parquet:"site,dict"` // of the client
 	Scheduler     int32  `parquet:"scheduler,dict"`
 	Key           int32  `parquet:"key"`
-	RunUS         int64  `parquet:"run_us"` // at speed 1
-	DueUS         int64  `parquet:"due_us"` // of the request, not of the repeat
+	RunUS         int64  `parquet:"run_us"` // running time at speed 1
+	DueUS         int64  `parquet:"due_us"` // of the request, not of the retry
 	SentUS        int64  `parquet:"sent_us"`
 	EndedUS       int64  `parquet:"ended_us"`
-	TimeLeftMS    int64  `parquet:"left_ms"`   // for which the client waits
-	CancelUS      int64  `parquet:"leaves_us"` // when it was drawn to leave, before its time is over; 0: it was not
-	Status        int32  `parquet:"status"`    // of the answer; 0: none
+	TimeLeftMS    int64  `parquet:"left_ms"`   // until the client's deadline
+	CancelUS      int64  `parquet:"leaves_us"` // time drawn for the client to disconnect before its deadline; 0: none
+	Status        int32  `parquet:"status"`    // of the answer; 0: no answer
 	End           string `parquet:"end,dict"`
-	Error         string `parquet:"fault,dict"` // what went wrong, where there is no answer
+	Error         string `parquet:"fault,dict"` // error of a try without an answer
 	RetryAfterMS  int64  `parquet:"after_ms"`   // Retry-After; below 0: none
-	IsCorrect     bool   `parquet:"right"`      // the answer is what a table worker gave for it
-	ReusedConn    bool   `parquet:"reused"`     // it went on a connection that had been used before
-	ClientAddress string `parquet:"from"`       // the client's end of its connection
+	IsCorrect     bool   `parquet:"right"`      // the answer is the result that a table worker sent for this try
+	ReusedConn    bool   `parquet:"reused"`     // the connection had been used before
+	ClientAddress string `parquet:"from"`       // of the connection
 }
 
-// Ends of tries that got no answer.
+// Values of Try.End.
 const (
 	EndAnswered    = "answered"
-	EndUnreachable = "unreachable" // no connection came up
+	EndUnreachable = "unreachable" // no connection was established
 	EndBroken      = "broken"      // the connection ended without an answer
-	EndCancelled   = "left"        // the client's time was over
+	EndCancelled   = "left"        // the client disconnected, at its deadline or before
 )
 
-// Run is one attempt at a table worker.
+// Attempt is one attempt at a table worker. Times are as in Try.
 type Attempt struct {
 	ID          string `parquet:"id"`
 	Worker      int32  `parquet:"worker"`
 	Scheduler   int32  `parquet:"scheduler"`
 	ArrivedUS   int64  `parquet:"arrived_us"`
-	StartedUS   int64  `parquet:"started_us"` // 0: never
+	StartedUS   int64  `parquet:"started_us"` // 0: not started
 	EndedUS     int64  `parquet:"ended_us"`
-	QueueLength int32  `parquet:"waiting"` // jobs that waited as it came
-	TimeLeftMS  int64  `parquet:"left_ms"` // that it was told to be left; below 0: it was told nothing
+	QueueLength int32  `parquet:"waiting"` // jobs that waited on its arrival
+	TimeLeftMS  int64  `parquet:"left_ms"` // stated by the scheduler; below 0: not stated
 	FetchedKey  bool   `parquet:"fetched"`
 	Outcome     string `parquet:"how,dict"`
 }
 
-// How runs ended.
+// Values of Attempt.Outcome.
 const (
 	OutcomeDone      = "done"
 	OutcomeFailed    = "failed"
 	OutcomeQueueFull = "full"
-	OutcomeCancelled = "withdrawn" // given up before its start
-	OutcomeLost      = "lost"      // with its worker
-	OutcomeOpen      = "open"      // when the run of the rig ended
+	OutcomeCancelled = "withdrawn" // before its start
+	OutcomeLost      = "lost"      // the worker crashed, collapsed or became silent
+	OutcomeOpen      = "open"      // still waiting or running when the run ended
 )
 
-// Sample is how full a table worker was.
+// Sample is the load of a table worker at a time.
 type Sample struct {
 	AtUS        int64   `parquet:"at_us"`
 	Worker      int32   `parquet:"worker"`
 	Running     float32 `parquet:"running"`
 	Waiting     int32   `parquet:"waiting"`
-	UsableSlots float32 `parquet:"room"` // slots that it can use now; 0: it is gone
+	UsableSlots float32 `parquet:"room"` // slots, reduced while the worker is cold; 0: down or silent
 }
 
-// Told is a change of the list as a scheduler was told it.
+// ListUpdate is a worker list update that was sent to a scheduler.
 type ListUpdate struct {
 	AtUS      int64  `parquet:"at_us"`
 	Scheduler int32  `parquet:"scheduler"`
@@ -83,7 +85,7 @@
 	Status    string `parquet:"status,dict"`
 }
 
-// Event is a fault, its end, or what a process did.
+// Event is the start or end of a fault, or an event of a process, a worker or an operator's call.
 type Event struct {
 	AtUS      int64  `parquet:"at_us"`
 	Kind      string `parquet:"what,dict"`
@@ -91,10 +93,10 @@
 	Scheduler int32  `parquet:"scheduler"` // below 0: none
 	Worker    int32  `parquet:"worker"`    // below 0: none
 	IsEnd     bool   `parquet:"ends"`
-	CalledUS  int64  `parquet:"called_us"` // of what an operator's call brought about: when it was made; else 0
+	CalledUS  int64  `parquet:"called_us"` // time of the operator's call that caused the event; 0: none
 }
 
-// Records are those of one run.
+// Records holds the records of one run.
 type Records struct {
 	Tries       []Try
 	Attempts    []Attempt
@@ -104,7 +106,7 @@
 	About       About
 }
 
-// About says what was played.
+// About describes a run and holds its totals.
 type About struct {
 	Scenario         json.RawMessage        `json:"scenario"`
 	Seed             uint64                 `json:"seed"`
@@ -112,15 +114,15 @@
 	Arm              string                 `json:"arm"`
 	Paths            map[string]PathTraffic `json:"paths"`
 	Probes           int64                  `json:"probes"`
-	CollapsedWorkers []int32                `json:"fallen"` // table workers that were pushed over
+	CollapsedWorkers []int32                `json:"fallen"` // overloaded while cold, and not started again
 	Messages         uint64                 `json:"messages"`
-	OversizeMessages uint64                 `json:"too_long"`
+	OversizeMessages uint64                 `json:"too_long"` // peer messages over 256 bytes
 }
 
-// Path is what passed on a kind of path.
+// PathTraffic is the traffic on a kind of path.
 type PathTraffic struct{ Opened, Messages, Bytes uint64 }
 
-// Save writes the records into a directory.
+// Save writes the records into a directory, which it creates if necessary.
 func (r *Records) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -141,20 +143,20 @@
 	return err
 }
 
-// Open reads the records of a directory.
+// Open reads the records that Save has written into a directory.
 func Open(dir string) (*Records, error) {
 	r := &Records{}
 	text, err := os.ReadFile(filepath.Join(dir, "about.json"))
 	if err == nil {
 		err = json.Unmarshal(text, &r.About)
 	}
-	for _, read := range []func() error{
+	for _, readTable := range []func() error{
 		func() (err error) { r.Tries, err = read[Try](dir, "tries"); return }, func() (err error) { r.Attempts, err = read[Attempt](dir, "runs"); return },
 		func() (err error) { r.Samples, err = read[Sample](dir, "samples"); return }, func() (err error) { r.ListUpdates, err = read[ListUpdate](dir, "told"); return },
 		func() (err error) { r.Events, err = read[Event](dir, "events"); return },
 	} {
 		if err == nil {
-			err = read()
+			err = readTable()
 		}
 	}
 	return r, err
--- a/internal/fleet/record/record_test.go
+++ b/internal/fleet/record/record_test.go
@@ -6,15 +6,16 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Records that are saved and opened again are the same.
 func TestSavedRecordsReadBack(t *testing.T) {
-	r := &Records{Tries: []Try{{Request: 3, ID: "x", Status: 200, End: EndAnswered, IsCorrect: true, RetryAfterMS: -1}}, Attempts: []Attempt{{ID: "x", Worker: 2, Outcome: OutcomeDone}},
+	records := &Records{Tries: []Try{{Request: 3, ID: "x", Status: 200, End: EndAnswered, IsCorrect: true, RetryAfterMS: -1}}, Attempts: []Attempt{{ID: "x", Worker: 2, Outcome: OutcomeDone}},
 		Samples: []Sample{{AtUS: 5, UsableSlots: 1.5}}, ListUpdates: []ListUpdate{{Status: "up"}}, Events: []Event{{Kind: "cut", IsEnd: true}},
 		About: About{Scenario: []byte(`{"name": "a"}`), Seed: 9, Paths: map[string]PathTraffic{"job": {Opened: 1}}}}
 	dir := t.TempDir()
-	require.NoError(t, r.Save(dir))
+	require.NoError(t, records.Save(dir))
 	got, err := Open(dir)
 	require.NoError(t, err)
-	require.JSONEq(t, string(r.About.Scenario), string(got.About.Scenario))
-	got.About.Scenario = r.About.Scenario
-	require.Equal(t, r, got)
+	require.JSONEq(t, string(records.About.Scenario), string(got.About.Scenario))
+	got.About.Scenario = records.About.Scenario
+	require.Equal(t, records, got)
 }
--- a/internal/fleet/relay/conn.go
+++ b/internal/fleet/relay/conn.go
@@ -10,38 +10,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// Path is from where to where a connection was opened.
+// Path is the kind of a connection, and the sites between which it was opened.
 type Path struct {
 	Kind     Kind
 	From, To int
 }
 
-// Conn is a connection of the rig's end. What is read has come from the other end, what is written goes there; each
-// takes its time, and is held as long as its direction is cut.
+// Conn is a connection that this process holds one end of. Data read and written is delayed as the path of its direction
+// is, and held while that direction is cut.
 type Conn struct {
 	net.Conn
 	network   *Network
 	path      Path
-	isOpener  bool // this end is the one that opened it
-	listener  *Listener
-	closed    chan struct{}
+	isOpener  bool          // this process opened the connection
+	listener  *Listener     // that accepted the connection; nil: none
+	closed    chan struct{} // closed by Close
 	closeOnce sync.Once
 }
 
-// Wrap puts a connection on a path. opener tells whether the rig opened it.
-func (n *Network) Wrap(c net.Conn, p Path, opener bool) *Conn {
-	w := &Conn{Conn: c, network: n, path: p, isOpener: opener, closed: make(chan struct{})}
+// Wrap returns a connection whose data is impaired as the path is. isOpener says whether this process opened it.
+func (n *Network) Wrap(c net.Conn, p Path, isOpener bool) *Conn {
+	wrapped := &Conn{Conn: c, network: n, path: p, isOpener: isOpener, closed: make(chan struct{})}
 	n.mu.Lock()
-	n.conns[w] = struct{}{}
+	n.conns[wrapped] = struct{}{}
 	n.traffic[p.Kind].Opened++
 	n.mu.Unlock()
-	return w
+	return wrapped
 }
 
-// Path tells from where to where it goes.
+// Path returns the path of the connection.
 func (c *Conn) Path() Path { return c.path }
 
-// Read gives what has arrived, once it has had its time.
+// Read returns received data after its transit time. It fails with ECONNRESET if a cut held the data and the other end has
+// reset the connection meanwhile.
 func (c *Conn) Read(b []byte) (int, error) {
 	size, err := c.Conn.Read(b)
 	if size > 0 {
@@ -49,20 +50,20 @@
 		if !c.isOpener {
 			from, to = to, from
 		}
-		held := c.waitTransit(from, to, size)
+		isHeld := c.waitTransit(from, to, size)
 		select {
 		case <-c.closed:
 			return 0, net.ErrClosed
 		default:
 		}
-		if held && c.wasReset() {
+		if isHeld && c.wasReset() {
 			return 0, syscall.ECONNRESET
 		}
 	}
 	return size, err
 }
 
-// Write has what is written take its time before it leaves.
+// Write sends data after its transit time.
 func (c *Conn) Write(b []byte) (int, error) {
 	from, to := c.path.From, c.path.To
 	if !c.isOpener {
@@ -72,8 +73,8 @@
 	return c.Conn.Write(b)
 }
 
-// wasReset tells whether the other end has reset the connection. What a cut has held of it by then never comes: whoever
-// resets sends nothing again. Behind an orderly end it does come.
+// wasReset reports whether the other end has reset the connection. Data that a cut still held is then lost, as nothing is
+// retransmitted after a reset; data before an orderly close (FIN) does arrive.
 func (c *Conn) wasReset() (reset bool) {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
@@ -84,37 +85,37 @@
 		return false
 	}
 	err = raw.Control(func(fd uintptr) {
-		ends := []unix.PollFd{{Fd: int32(fd)}}
-		_, err := unix.Poll(ends, 0)
-		reset = err == nil && ends[0].Revents&unix.POLLERR != 0
+		fds := []unix.PollFd{{Fd: int32(fd)}}
+		_, err := unix.Poll(fds, 0)
+		reset = err == nil && fds[0].Revents&unix.POLLERR != 0
 	})
 	return err == nil && reset
 }
 
-// pass waits until a segment has passed from one site to another, or the connection ends, and tells whether it was held
-// by a cut meanwhile.
-func (c *Conn) waitTransit(from, to, size int) (held bool) {
+// waitTransit waits until a segment has passed from one site to another, or the connection is closed, and reports whether a
+// cut has held it.
+func (c *Conn) waitTransit(from, to, size int) (isHeld bool) {
 	if c.listener != nil {
-		for quiet := c.listener.currentSilence(); quiet != nil; quiet = c.listener.currentSilence() { // its machine has vanished, or it hangs
+		for silence := c.listener.currentSilence(); silence != nil; silence = c.listener.currentSilence() { // the machine is silent, or its process hangs
 			select {
-			case <-quiet:
+			case <-silence:
 			case <-c.closed:
-				return held
+				return isHeld
 			}
 		}
 	}
-	wait, t, changed := c.network.transit(c.path.Kind, from, to, size)
-	for t.Cuts > 0 {
-		held = true
+	wait, impairment, changed := c.network.transit(c.path.Kind, from, to, size)
+	for impairment.Cuts > 0 {
+		isHeld = true
 		select {
 		case <-changed:
 		case <-c.closed:
-			return held
+			return isHeld
 		}
-		wait, t, changed = c.network.transit(c.path.Kind, from, to, size)
+		wait, impairment, changed = c.network.transit(c.path.Kind, from, to, size)
 	}
 	if wait < 50*time.Microsecond {
-		return held
+		return isHeld
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -122,10 +123,10 @@
 	case <-timer.C:
 	case <-c.closed:
 	}
-	return held
+	return isHeld
 }
 
-// Close ends it; what waits is let go.
+// Close closes the connection and ends the waits of pending reads and writes.
 func (c *Conn) Close() error {
 	c.closeOnce.Do(func() {
 		close(c.closed)
@@ -136,7 +137,7 @@
 	return c.Conn.Close()
 }
 
-// Abort resets it: the other end is told that the process is gone.
+// Abort closes the connection with a reset, as the end of the process does.
 func (c *Conn) Abort() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -144,13 +145,13 @@
 	c.Close()
 }
 
-// Dial opens a connection on a path. Where the path is cut it waits, as one waits for a machine that says nothing.
+// Dial opens a connection on a path. While the path is cut it waits until ctx is done, as a dial to a silent machine does.
 func (n *Network) Dial(ctx context.Context, p Path, address string) (net.Conn, error) {
 	for {
 		n.mu.Lock()
-		open, changed := n.impairment(p.Kind, p.From, p.To).Cuts == 0 && n.impairment(p.Kind, p.To, p.From).Cuts == 0, n.changed
+		isOpen, changed := n.impairment(p.Kind, p.From, p.To).Cuts == 0 && n.impairment(p.Kind, p.To, p.From).Cuts == 0, n.changed
 		n.mu.Unlock()
-		if open {
+		if isOpen {
 			break
 		}
 		select {
