--- a/internal/fleet/relay/listener.go
+++ b/internal/fleet/relay/listener.go
@@ -12,29 +12,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener takes connections of one path at an address of its own. It can fall silent, as a machine that vanishes does:
-// then a connection that is asked for neither comes up nor is refused. The kernel drops the first message of a
-// connection where a listener's queue is full, so a silent one has its queue cut to one place, and fills that itself.
+// Listener accepts the connections of one path. It can become silent like a machine that has lost power: a connection
+// attempt then neither succeeds nor is refused. The kernel drops SYN segments while a listener's accept queue is full, so a
+// silent listener shrinks its backlog to one place and fills it with connections of its own.
 type Listener struct {
 	network *Network
 	path    Path
 	fd      int
-	file    *os.File // keeps fd
+	file    *os.File // owns fd
 	ln      net.Listener
 
 	mu        sync.Mutex
-	isSilent  bool          // by itself, whatever its path suffers
-	isHung    bool          // silent, but its machine's kernel still takes connections
-	silence   chan struct{} // closed when what is silent hears again; nil: it does
-	isBlocked bool          // the queue is blocked now
-	fillers   []int
-	unblocked chan struct{} // closed while connections are taken
+	isSilent  bool          // set by SetSilent, apart from cuts of the path
+	isHung    bool          // silent, but the kernel still accepts connections
+	silence   chan struct{} // closed when the silence ends; nil: not silent
+	isBlocked bool          // the backlog is filled now
+	fillers   []int         // connections that fill the backlog
+	unblocked chan struct{} // closed while connections are accepted
 	isClosed  bool
 }
 
 const backlog = 4096
 
-// Listen opens a listener of a path at an IPv4 address; port 0 has the kernel choose one.
+// Listen opens a listener of a path at an IPv4 address. With port 0 the kernel chooses the port.
 func (n *Network) Listen(p Path, at netip.AddrPort) (*Listener, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -49,7 +49,8 @@
 		unix.Close(fd)
 		return nil, err
 	}
-	// FileListener duplicates the descriptor: both name one socket, and listen on ours changes the queue of both.
+	// FileListener duplicates the descriptor. Both descriptors name one socket, so that listen(2) on fd changes the backlog
+	// of ln.
 	file := os.NewFile(uintptr(fd), "listener")
 	ln, err := net.FileListener(file)
 	if err != nil {
@@ -64,13 +65,13 @@
 	return l, nil
 }
 
-// Silence has the listener fall silent, or hear again. Where only the process hangs, its machine's kernel goes on taking
-// connections and what comes on them: nobody reads it.
-func (l *Listener) SetSilent(on, hung bool) {
+// SetSilent starts or ends the silence of the listener and its connections. With isHung only the process hangs: the kernel
+// still accepts connections and data, which the process does not read.
+func (l *Listener) SetSilent(isSilent, isHung bool) {
 	l.mu.Lock()
-	if l.isSilent, l.isHung = on, on && hung; on && l.silence == nil {
+	if l.isSilent, l.isHung = isSilent, isSilent && isHung; isSilent && l.silence == nil {
 		l.silence = make(chan struct{})
-	} else if !on && l.silence != nil {
+	} else if !isSilent && l.silence != nil {
 		close(l.silence)
 		l.silence = nil
 	}
@@ -78,17 +79,17 @@
 	l.updateBacklog()
 }
 
-// check brings the queue into the state that the listener and its path are in.
+// updateBacklog blocks or unblocks the backlog as the state of the listener and its path demands.
 func (l *Listener) updateBacklog() {
-	open := l.network.IsOpen(l.path)
+	isOpen := l.network.IsOpen(l.path)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	mute := l.isSilent && !l.isHung || !open
-	if mute == l.isBlocked || l.isClosed {
+	isBlocked := l.isSilent && !l.isHung || !isOpen
+	if isBlocked == l.isBlocked || l.isClosed {
 		return
 	}
-	l.isBlocked = mute
-	if !mute {
+	l.isBlocked = isBlocked
+	if !isBlocked {
 		unix.Listen(l.fd, backlog)
 		l.ln.(*net.TCPListener).SetDeadline(time.Time{})
 		for _, fd := range l.fillers {
@@ -100,51 +101,51 @@
 		return
 	}
 	l.unblocked = make(chan struct{})
-	// An Accept that stands would take what fills the queue, and leave a place for whoever comes next.
+	// A pending Accept would take a filling connection from the backlog and leave a place for the next client.
 	l.ln.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
 	unix.Listen(l.fd, 0)
-	for tries, refused := 0, 0; tries < maxFillers && refused < minFailedFills; tries++ {
-		if refused++; l.fillBacklog() {
-			refused = 0
+	for fills, failedFills := 0, 0; fills < maxFillers && failedFills < minFailedFills; fills++ {
+		if failedFills++; l.fillBacklog() {
+			failedFills = 0
 		}
 	}
 }
 
 const (
 	maxFillers     = 24
-	minFailedFills = 3 // connections in a row that do not come up: now and then a single one does not, and the next one does
-	connectWaitMS  = 5 // milliseconds in which a connection on loopback comes up, if it does
+	minFailedFills = 3 // in a row: now and then a single connection fails and the next one succeeds
+	connectWaitMS  = 5 // within which a connection on loopback is established, if the backlog has a place
 )
 
-// fill takes a place in the listener's own queue, and tells whether there was one.
+// fillBacklog connects to the listener itself, and reports whether the backlog had a place for the connection.
 func (l *Listener) fillBacklog() bool {
-	to, _ := unix.Getsockname(l.fd)
+	address, _ := unix.Getsockname(l.fd)
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		return false
 	}
-	unix.Connect(fd, to)
+	unix.Connect(fd, address)
 	l.fillers = append(l.fillers, fd)
-	up, _ := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLOUT}}, connectWaitMS)
-	return up > 0
+	ready, _ := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLOUT}}, connectWaitMS)
+	return ready > 0
 }
 
-// Accept gives the next connection. One that the kernel took while the listener was silent is reset.
+// Accept returns the next connection. It resets connections that the kernel accepted while the backlog was being filled.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		l.mu.Lock()
-		ready := l.unblocked
+		unblocked := l.unblocked
 		l.mu.Unlock()
-		<-ready
+		<-unblocked
 		c, err := l.ln.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			continue // it has fallen silent, or hears again since
+			continue // the backlog has been blocked; it may be unblocked again by now
 		}
 		if err != nil {
 			return nil, err
 		}
 		l.mu.Lock()
-		if l.isBlocked { // it came as the listener fell silent: its place in the queue is free again
+		if l.isBlocked { // accepted while the backlog was being filled: its place is free again
 			l.fillBacklog()
 			l.mu.Unlock()
 			c.(*net.TCPConn).SetLinger(0)
@@ -152,20 +153,21 @@
 			continue
 		}
 		l.mu.Unlock()
-		w := l.network.Wrap(c, l.path, false)
-		w.listener = l
-		return w, nil
+		conn := l.network.Wrap(c, l.path, false)
+		conn.listener = l
+		return conn, nil
 	}
 }
 
-// quiet gives what is closed as long as the listener hears: its connections are as silent as it is.
+// currentSilence returns a channel that is closed when the current silence ends, or nil if the listener is not silent. The
+// connections of a silent listener are silent too.
 func (l *Listener) currentSilence() chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.silence
 }
 
-// Close ends the listener: connections are refused from now on.
+// Close closes the listener, so that connections are refused.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	if l.isClosed {
@@ -188,5 +190,5 @@
 	return l.ln.Close()
 }
 
-// Addr is where it listens.
+// Addr returns the address of the listener.
 func (l *Listener) Addr() net.Addr { return l.ln.Addr() }
--- a/internal/fleet/relay/net.go
+++ b/internal/fleet/relay/net.go
@@ -1,6 +1,6 @@
-// Package relay stands on every path between the processes of a rig: it delays, loses, cuts, resets and trickles what
-// passes, by the pair of sites and the kind of path. One end of each path is the rig's own, so that a relay is a
-// connection that holds back what it carries, and a listener that can fall silent. Datagrams pass a socket between.
+// Package relay simulates the network between the processes of a fleet: it delays, drops, cuts, resets and throttles
+// traffic by the pair of sites and the kind of path. Packages fleet and endpoints, which hold one end of each path, use its
+// connections and listeners; peer datagrams pass a relay socket.
 package relay
 
 import (
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// Kind is what a path carries.
+// Kind is the kind of traffic on a path.
 type Kind uint8
 
 // The kinds of paths, from the side that opens the connection.
 const (
-	Client   Kind = iota // clients to schedulers
-	Job                  // schedulers to table workers
-	Callback             // table workers to schedulers
-	List                 // schedulers to discovery
-	Peer                 // schedulers to schedulers
-	KindCount
+	Client    Kind = iota // clients to schedulers
+	Job                   // schedulers to table workers
+	Callback              // table workers to schedulers
+	List                  // schedulers to discovery
+	Peer                  // schedulers to schedulers
+	KindCount             // number of kinds
 )
 
 var kindNames = [KindCount]string{"client", "job", "back", "list", "peer"}
 
-// String is a kind's name in scenario files and records.
+// String returns the kind's name in scenario files and records.
 func (k Kind) String() string { return kindNames[k] }
 
-// KindOf gives a kind by its name; Kinds: there is none of it.
+// ParseKind returns a kind by its name, or KindCount if there is none of that name.
 func ParseKind(name string) Kind {
 	if k := slices.Index(kindNames[:], name); k >= 0 {
 		return Kind(k)
@@ -36,18 +36,18 @@
 	return KindCount
 }
 
-// Trouble is what a path suffers in one direction. Several at once add up.
+// Impairment is the impairment of a path in one direction. Concurrent faults add up.
 type Impairment struct {
-	Cuts      int           // above 0: nothing passes
+	Cuts      int           // number of cuts; above 0: nothing passes
 	Delay     time.Duration // added
-	LossRate  float64       // part of the segments that come a retransmission later, and of datagrams that never do
-	Throttles int           // above 0: 64 bytes at a time, 20 ms apart
+	LossRate  float64       // part of the segments that are delayed by RetransmitDelay, and of the datagrams that are dropped
+	Throttles int           // number of throttles; above 0: 64 bytes pass each 20 ms
 }
 
-// Retransmit is how much later a lost segment of a connection comes.
+// RetransmitDelay is the additional delay of a lost segment of a connection.
 const RetransmitDelay = 200 * time.Millisecond
 
-// Net is the network between sites. Its methods may be called from any goroutine.
+// Network is the network between sites. It is safe for concurrent use.
 type Network struct {
 	siteCount      int
 	sameSiteDelay  [2]time.Duration
@@ -61,22 +61,24 @@
 	traffic        [KindCount]Traffic
 }
 
-// Traffic is what has passed on a kind of path.
+// Traffic counts the connections, segments or datagrams, and bytes of a kind of path.
 type Traffic struct{ Opened, Messages, Bytes uint64 }
 
-// New makes a network of so many sites; same and cross are the least and the most time one way.
-func New(sites int, same, cross [2]time.Duration, seed uint64) *Network {
-	return &Network{siteCount: sites, sameSiteDelay: same, crossSiteDelay: cross, rng: rand.New(rand.NewPCG(seed, 0x72656c6179)),
-		impairments: make([]Impairment, int(KindCount)*sites*sites), changed: make(chan struct{}), conns: map[*Conn]struct{}{}}
+// New returns a network between sites without impairments. The delays are the least and the greatest one-way delay within
+// a site and between sites.
+func New(siteCount int, sameSiteDelay, crossSiteDelay [2]time.Duration, seed uint64) *Network {
+	return &Network{siteCount: siteCount, sameSiteDelay: sameSiteDelay, crossSiteDelay: crossSiteDelay, rng: rand.New(rand.NewPCG(seed, 0x72656c6179)),
+		impairments: make([]Impairment, int(KindCount)*siteCount*siteCount), changed: make(chan struct{}), conns: map[*Conn]struct{}{}}
 }
 
+// impairment returns the impairment of a path. The caller holds mu.
 func (n *Network) impairment(k Kind, from, to int) *Impairment {
 	return &n.impairments[(int(k)*n.siteCount+from)*n.siteCount+to]
 }
 
-// Change alters what the paths suffer from one site to another, below 0 for any, for the kinds named or all. With both
-// directions the way back is altered too.
-func (n *Network) UpdateImpairments(kinds []Kind, from, to int, both bool, f func(*Impairment)) {
+// UpdateImpairments applies update to the impairments of the paths from one site to another, where a site below 0 stands
+// for all, of the given kinds or of all. bothWays includes the opposite direction.
+func (n *Network) UpdateImpairments(kinds []Kind, from, to int, bothWays bool, update func(*Impairment)) {
 	n.mu.Lock()
 	for k := Kind(0); k < KindCount; k++ {
 		if len(kinds) > 0 && !slices.Contains(kinds, k) {
@@ -85,9 +87,9 @@
 		for a := range n.siteCount {
 			for b := range n.siteCount {
 				forth := (from < 0 || a == from) && (to < 0 || b == to)
-				back := both && (from < 0 || b == from) && (to < 0 || a == to)
+				back := bothWays && (from < 0 || b == from) && (to < 0 || a == to)
 				if forth || back {
-					f(n.impairment(k, a, b))
+					update(n.impairment(k, a, b))
 				}
 			}
 		}
@@ -101,7 +103,8 @@
 	}
 }
 
-// Reset breaks the open connections of the paths, in both directions, a share of them (0: all).
+// ResetConns resets open connections between the sites, whichever opened them, and returns their number. share is the
+// probability for each connection; 0 stands for all.
 func (n *Network) ResetConns(kinds []Kind, from, to int, share float64) int {
 	n.mu.Lock()
 	var hit []*Conn
@@ -120,42 +123,43 @@
 	return len(hit)
 }
 
-// Open tells whether a connection can come up on a path: its first message and the answer to it both have to pass.
+// IsOpen reports whether a connection can be established on a path, for which SYN and SYN-ACK have to pass.
 func (n *Network) IsOpen(p Path) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.impairment(p.Kind, p.From, p.To).Cuts == 0 && n.impairment(p.Kind, p.To, p.From).Cuts == 0
 }
 
-// way gives what a segment from one site to another takes now, whether it is cut off, and what tells of a change.
-func (n *Network) transit(k Kind, from, to, size int) (wait time.Duration, t Impairment, changed chan struct{}) {
+// transit counts a segment and returns its transit time from one site to another, the current impairment, and a channel that
+// is closed at the next change of impairments.
+func (n *Network) transit(k Kind, from, to, size int) (wait time.Duration, impairment Impairment, changed chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	t = *n.impairment(k, from, to)
-	ends := n.sameSiteDelay
+	impairment = *n.impairment(k, from, to)
+	delay := n.sameSiteDelay
 	if from != to {
-		ends = n.crossSiteDelay
+		delay = n.crossSiteDelay
 	}
-	wait = ends[0] + time.Duration(n.rng.Float64()*float64(ends[1]-ends[0])) + t.Delay
-	if t.LossRate > 0 && n.rng.Float64() < t.LossRate && k != Peer {
+	wait = delay[0] + time.Duration(n.rng.Float64()*float64(delay[1]-delay[0])) + impairment.Delay
+	if impairment.LossRate > 0 && n.rng.Float64() < impairment.LossRate && k != Peer {
 		wait += RetransmitDelay
 	}
-	if t.Throttles > 0 {
+	if impairment.Throttles > 0 {
 		wait += time.Duration(size/64) * 20 * time.Millisecond
 	}
 	n.traffic[k].Messages++
 	n.traffic[k].Bytes += uint64(size)
-	return wait, t, n.changed
+	return wait, impairment, n.changed
 }
 
-// Traffic tells what has passed on a kind of path.
+// Traffic returns the traffic so far on a kind of path.
 func (n *Network) Traffic(k Kind) Traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.traffic[k]
 }
 
-// chance draws.
+// drawChance returns true with probability p.
 func (n *Network) drawChance(p float64) bool {
 	if p <= 0 {
 		return false
--- a/internal/fleet/relay/peers.go
+++ b/internal/fleet/relay/peers.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Peers relays the datagrams of schedulers. Each is known by an address of ours, from which the others hear it, and
-// hears at an address of its own.
+// PeerRelay relays the peer datagrams of schedulers. Each scheduler has a public address at the relay, which the others send
+// to and receive from, and listens at an address of its own.
 type PeerRelay struct {
 	network       *Network
 	sites         []int
@@ -25,9 +25,10 @@
 	tooLong   uint64
 }
 
-// NewPeers opens the addresses of schedulers at sites, whose own addresses are own.
-func (n *Network) NewPeerRelay(sites []int, own []netip.AddrPort, lost, twice float64, delay func() time.Duration) (*PeerRelay, error) {
-	p := &PeerRelay{network: n, sites: sites, lossRate: lost, duplicateRate: twice, delay: delay, schedulers: own, ranks: map[netip.AddrPort]int{}}
+// NewPeerRelay opens a public address for each scheduler, given by its site and its own address. lossRate and duplicateRate
+// are probabilities for each datagram; delay returns a delay that is added to that of the path.
+func (n *Network) NewPeerRelay(sites []int, schedulers []netip.AddrPort, lossRate, duplicateRate float64, delay func() time.Duration) (*PeerRelay, error) {
+	p := &PeerRelay{network: n, sites: sites, lossRate: lossRate, duplicateRate: duplicateRate, delay: delay, schedulers: schedulers, ranks: map[netip.AddrPort]int{}}
 	open := func() (*net.UDPConn, error) {
 		return net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	}
@@ -35,8 +36,8 @@
 	if p.broadcast, err = open(); err != nil {
 		return nil, err
 	}
-	for i, a := range own {
-		p.ranks[a] = i
+	for i, address := range schedulers {
+		p.ranks[address] = i
 		c, err := open()
 		if err != nil {
 			p.Close()
@@ -57,7 +58,9 @@
 	return p, nil
 }
 
-func (p *PeerRelay) receive(c *net.UDPConn, to func(from int, data []byte)) {
+// receive reads datagrams from c until it is closed, and forwards those that a scheduler has sent. It counts and drops
+// datagrams over 256 bytes.
+func (p *PeerRelay) receive(c *net.UDPConn, forward func(from int, data []byte)) {
 	buf := make([]byte, 2048)
 	for {
 		size, from, err := c.ReadFromUDPAddrPort(buf)
@@ -74,20 +77,21 @@
 			p.mu.Unlock()
 			continue
 		}
-		to(rank, append([]byte(nil), buf[:size]...))
+		forward(rank, append([]byte(nil), buf[:size]...))
 	}
 }
 
+// forward sends a datagram to a scheduler after the delay of the path, unless it is lost, and maybe twice.
 func (p *PeerRelay) forward(from, to int, data []byte) {
-	wait, t, _ := p.network.transit(Peer, p.sites[from], p.sites[to], len(data))
-	if t.Cuts > 0 || p.network.drawChance(p.lossRate) || p.network.drawChance(t.LossRate) {
+	wait, impairment, _ := p.network.transit(Peer, p.sites[from], p.sites[to], len(data))
+	if impairment.Cuts > 0 || p.network.drawChance(p.lossRate) || p.network.drawChance(impairment.LossRate) {
 		return
 	}
-	times := 1
+	copies := 1
 	if p.network.drawChance(p.duplicateRate) {
-		times = 2
+		copies = 2
 	}
-	for range times {
+	for range copies {
 		time.AfterFunc(wait+p.delay(), func() {
 			p.mu.Lock()
 			p.delivered++
@@ -97,7 +101,7 @@
 	}
 }
 
-// Addresses are those by which the schedulers know one another, and the one that reaches all.
+// Addresses returns the public addresses of the schedulers, and the broadcast address that reaches all others.
 func (p *PeerRelay) Addresses() (each []string, all string) {
 	for _, c := range p.public {
 		each = append(each, c.LocalAddr().String())
@@ -105,14 +109,14 @@
 	return each, p.broadcast.LocalAddr().String()
 }
 
-// Counts are the datagrams that were delivered, and those over 256 bytes, which never should be.
+// Counts returns the number of delivered datagrams, and of those over 256 bytes, which no scheduler should send.
 func (p *PeerRelay) Counts() (passed, tooLong uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.delivered, p.tooLong
 }
 
-// Close ends the relaying.
+// Close closes all sockets of the relay.
 func (p *PeerRelay) Close() {
 	p.broadcast.Close()
 	for _, c := range p.public {
--- a/internal/fleet/relay/relay_test.go
+++ b/internal/fleet/relay/relay_test.go
@@ -20,7 +20,7 @@
 
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// echo answers each byte on the connections of a listener.
+// echo sends back all data on the connections of a listener.
 func echo(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -31,8 +31,9 @@
 	}
 }
 
-func roundTrip(c net.Conn, patience time.Duration) error {
-	c.SetDeadline(time.Now().Add(patience))
+// roundTrip sends a byte and reads the echo, within a limit.
+func roundTrip(c net.Conn, limit time.Duration) error {
+	c.SetDeadline(time.Now().Add(limit))
 	if _, err := c.Write([]byte{1}); err != nil {
 		return err
 	}
@@ -44,7 +45,8 @@
 	return net.DialTimeout("tcp", l.Addr().String(), wait)
 }
 
-// A vanished machine says nothing: new connections neither come up nor are refused, open ones stay open.
+// A silent listener neither accepts nor refuses new connections, and does not answer on open ones, as a machine without
+// power does.
 func TestSilentListener(t *testing.T) {
 	n := New(2, noDelay(), noDelay(), 1)
 	l, err := n.Listen(Path{Job, 0, 1}, anyPort)
@@ -56,10 +58,10 @@
 	require.NoError(t, roundTrip(c, timeout))
 
 	l.SetSilent(true, false)
-	var late net.Error
+	var netErr net.Error
 	_, err = dial(l, 100*time.Millisecond)
-	require.ErrorAs(t, err, &late)
-	require.True(t, late.Timeout(), "not refused, not up: %v", err)
+	require.ErrorAs(t, err, &netErr)
+	require.True(t, netErr.Timeout(), "the dial must time out: %v", err)
 	require.ErrorIs(t, roundTrip(c, 50*time.Millisecond), os.ErrDeadlineExceeded)
 
 	l.SetSilent(false, false)
@@ -68,7 +70,7 @@
 	require.NoError(t, roundTrip(again, timeout))
 }
 
-// Where only the process hangs its kernel goes on taking connections.
+// With only the process hung the kernel still accepts connections, and their data is read when the process continues.
 func TestHungListener(t *testing.T) {
 	n := New(1, noDelay(), noDelay(), 1)
 	l, err := n.Listen(Path{Job, 0, 0}, anyPort)
@@ -82,23 +84,23 @@
 	l.SetSilent(false, false)
 	c.SetDeadline(time.Now().Add(timeout))
 	_, err = io.ReadFull(c, make([]byte, 1))
-	require.NoError(t, err, "what came meanwhile is read in the end")
+	require.NoError(t, err, "data that arrived meanwhile is read")
 }
 
-// A cut in one direction holds what goes that way alone, and lets no connection come up.
+// A cut in one direction holds the data of that direction only, and prevents new connections.
 func TestCutOneWay(t *testing.T) {
 	n := New(2, noDelay(), noDelay(), 1)
 	l, err := n.Listen(Path{Job, 0, 1}, anyPort)
 	require.NoError(t, err)
 	defer l.Close()
-	got := make(chan net.Conn, 1)
+	accepted := make(chan net.Conn, 1)
 	go func() {
 		c, _ := l.Accept()
-		got <- c
+		accepted <- c
 	}()
 	near, err := dial(l, timeout)
 	require.NoError(t, err)
-	far := <-got
+	far := <-accepted
 
 	n.UpdateImpairments(nil, 0, 1, false, func(t *Impairment) { t.Cuts++ })
 	_, err = dial(l, 100*time.Millisecond)
@@ -107,7 +109,7 @@
 	require.NoError(t, err)
 	near.SetDeadline(time.Now().Add(timeout))
 	_, err = io.ReadFull(near, make([]byte, 4))
-	require.NoError(t, err, "the other direction goes on")
+	require.NoError(t, err, "the other direction is not cut")
 	read := make(chan int, 1)
 	go func() {
 		size, _ := far.Read(make([]byte, 16))
@@ -116,14 +118,15 @@
 	near.Write([]byte("forth"))
 	select {
 	case <-read:
-		t.Fatal("it passed a cut")
+		t.Fatal("data passed a cut")
 	case <-time.After(50 * time.Millisecond):
 	}
 	n.UpdateImpairments(nil, 0, 1, false, func(t *Impairment) { t.Cuts-- })
 	require.Equal(t, 5, <-read)
 }
 
-// What a cut has held when its sender resets the connection never comes; behind an orderly end it does.
+// Data that a cut holds is lost when its sender resets the connection, and arrives when its sender closes the connection
+// with a FIN.
 func TestDataHeldByCutAfterClose(t *testing.T) {
 	for _, reset := range []bool{true, false} {
 		n := New(1, noDelay(), noDelay(), 1)
@@ -132,36 +135,36 @@
 		defer l.Close()
 		c, err := dial(l, timeout)
 		require.NoError(t, err)
-		taken, err := l.Accept()
+		accepted, err := l.Accept()
 		require.NoError(t, err)
 		n.UpdateImpairments([]Kind{Job}, -1, -1, true, func(t *Impairment) { t.Cuts++ })
-		type got struct {
+		type result struct {
 			text string
 			err  error
 		}
-		came := make(chan got, 1)
+		results := make(chan result, 1)
 		go func() {
-			text, err := io.ReadAll(taken)
-			came <- got{string(text), err}
+			text, err := io.ReadAll(accepted)
+			results <- result{string(text), err}
 		}()
 		_, err = c.Write([]byte("held"))
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return n.Traffic(Job).Messages > 0 }, timeout, time.Millisecond, "the cut holds it")
+		require.Eventually(t, func() bool { return n.Traffic(Job).Messages > 0 }, timeout, time.Millisecond, "the cut holds the data")
 		if reset {
 			require.NoError(t, c.(*net.TCPConn).SetLinger(0))
 		}
 		require.NoError(t, c.Close())
 		n.UpdateImpairments([]Kind{Job}, -1, -1, true, func(t *Impairment) { t.Cuts-- })
-		all := <-came
+		got := <-results
 		if reset {
-			require.Equal(t, got{"", syscall.ECONNRESET}, got{all.text, errnoOf(all.err)})
+			require.Equal(t, result{"", syscall.ECONNRESET}, result{got.text, errnoOf(got.err)})
 		} else {
-			require.Equal(t, got{"held", nil}, all)
+			require.Equal(t, result{"held", nil}, got)
 		}
 	}
 }
 
-// underlying is the system's error in another.
+// errnoOf returns the system's error that err wraps, or err.
 func errnoOf(err error) error {
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
@@ -170,6 +173,7 @@
 	return err
 }
 
+// A dial on a cut path waits until its context is done; a dial on another path succeeds.
 func TestDialWaitsAtACut(t *testing.T) {
 	n := New(2, noDelay(), noDelay(), 1)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -187,20 +191,20 @@
 	c.Close()
 }
 
-// A reset is seen as one, and only on the paths that it is meant for.
+// ResetConns resets the connections of the given path, and no others.
 func TestReset(t *testing.T) {
 	n := New(2, noDelay(), noDelay(), 1)
-	hit, err := n.Listen(Path{Job, 0, 1}, anyPort)
+	target, err := n.Listen(Path{Job, 0, 1}, anyPort)
 	require.NoError(t, err)
-	defer hit.Close()
-	spared, err := n.Listen(Path{Job, 0, 0}, anyPort)
+	defer target.Close()
+	other, err := n.Listen(Path{Job, 0, 0}, anyPort)
 	require.NoError(t, err)
-	defer spared.Close()
-	go echo(hit)
-	go echo(spared)
-	a, err := dial(hit, timeout)
+	defer other.Close()
+	go echo(target)
+	go echo(other)
+	a, err := dial(target, timeout)
 	require.NoError(t, err)
-	b, err := dial(spared, timeout)
+	b, err := dial(other, timeout)
 	require.NoError(t, err)
 	require.NoError(t, roundTrip(a, timeout))
 	require.NoError(t, roundTrip(b, timeout))
@@ -209,6 +213,7 @@
 	require.NoError(t, roundTrip(b, timeout))
 }
 
+// A delay of a path applies in each direction.
 func TestDelay(t *testing.T) {
 	n := New(1, noDelay(), noDelay(), 1)
 	l, err := n.Listen(Path{Job, 0, 0}, anyPort)
@@ -223,26 +228,27 @@
 	require.GreaterOrEqual(t, time.Since(from), 60*time.Millisecond)
 }
 
-// Datagrams come from the sender's public address, to all but itself; a cut loses them; long ones are counted and held.
+// A broadcast datagram reaches all schedulers but its sender, from the sender's public address. A cut drops it, and an
+// oversize datagram is counted and dropped.
 func TestPeerRelay(t *testing.T) {
 	n := New(2, noDelay(), noDelay(), 1)
 	var socks []*net.UDPConn
-	var own []netip.AddrPort
+	var addresses []netip.AddrPort
 	for range 3 {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		require.NoError(t, err)
 		defer c.Close()
-		socks, own = append(socks, c), append(own, netip.MustParseAddrPort(c.LocalAddr().String()))
+		socks, addresses = append(socks, c), append(addresses, netip.MustParseAddrPort(c.LocalAddr().String()))
 	}
-	p, err := n.NewPeerRelay([]int{0, 0, 1}, own, 0, 0, func() time.Duration { return 0 })
+	p, err := n.NewPeerRelay([]int{0, 0, 1}, addresses, 0, 0, func() time.Duration { return 0 })
 	require.NoError(t, err)
 	defer p.Close()
-	each, all := p.Addresses()
-	say := func(from int, text string) {
-		_, err := socks[from].WriteToUDPAddrPort([]byte(text), netip.MustParseAddrPort(all))
+	public, broadcast := p.Addresses()
+	send := func(from int, text string) {
+		_, err := socks[from].WriteToUDPAddrPort([]byte(text), netip.MustParseAddrPort(broadcast))
 		require.NoError(t, err)
 	}
-	hear := func(at int) (string, string) {
+	receive := func(at int) (string, string) {
 		buf := make([]byte, 300)
 		socks[at].SetReadDeadline(time.Now().Add(timeout))
 		size, from, err := socks[at].ReadFromUDPAddrPort(buf)
@@ -250,16 +256,16 @@
 		return string(buf[:size]), from.String()
 	}
 	n.UpdateImpairments([]Kind{Peer}, 0, 1, true, func(t *Impairment) { t.Cuts++ })
-	say(0, "one")
-	text, from := hear(1)
+	send(0, "one")
+	text, from := receive(1)
 	require.Equal(t, "one", text)
-	require.Equal(t, each[0], from)
+	require.Equal(t, public[0], from)
 	n.UpdateImpairments([]Kind{Peer}, 0, 1, true, func(t *Impairment) { t.Cuts-- })
-	say(0, string(make([]byte, 257)))
-	say(1, "two")
-	text, from = hear(2)
-	require.Equal(t, "two", text, "the first was lost at the cut, the second is too long")
-	require.Equal(t, each[1], from)
+	send(0, string(make([]byte, 257)))
+	send(1, "two")
+	text, from = receive(2)
+	require.Equal(t, "two", text, "the cut dropped the first datagram, the second is oversize")
+	require.Equal(t, public[1], from)
 	_, tooLong := p.Counts()
 	require.EqualValues(t, 1, tooLong)
 }
--- a/internal/fleet/report/report.go
+++ b/internal/fleet/report/report.go
@@ -1,4 +1,5 @@
-// Package report makes one HTML file of a run's records: charts and tables that open without a network.
+// Package report renders the records of runs as one self-contained HTML file with tables and charts, which needs no network
+// to be opened. Package experiment calls it.
 package report
 
 import (
@@ -28,7 +29,7 @@
 
 var pageTemplate = template.Must(template.New("report").Parse(page))
 
-// Run is one run as the report shows it.
+// Run holds the data of one run that the template shows.
 type Run struct {
 	Title  string
 	About  string
@@ -38,13 +39,13 @@
 	Faults []string
 }
 
-// Row is a window of the run.
+// Row holds the figures of one window of a run.
 type Row struct {
 	Name    string
 	Figures judge.Figures
 }
 
-// Write makes the file of the records that stand in directories.
+// Write writes the report of the records in dirs, each the directory of one run, to the file path.
 func Write(path string, dirs []string) error {
 	var runs []Run
 	for _, dir := range dirs {
@@ -65,6 +66,7 @@
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
+// newRun evaluates the records of a run and draws its charts.
 func newRun(rec *record.Records) (run Run, err error) {
 	s := &scenario.Scenario{}
 	if err := json.Unmarshal(rec.About.Scenario, s); err != nil {
@@ -76,39 +78,39 @@
 	}
 	run.Title = fmt.Sprintf("%s, build %s, seed %d", s.Name, rec.About.Build, rec.About.Seed)
 	run.About = s.About
-	for _, w := range append(slices.Clone(s.Windows), scenario.Window{Name: "all", ToS: s.Seconds}) {
-		run.Rows = append(run.Rows, Row{w.Name, analysis.WindowFigures(w, -1, -1)})
+	for _, window := range append(slices.Clone(s.Windows), scenario.Window{Name: "all", ToS: s.Seconds}) {
+		run.Rows = append(run.Rows, Row{window.Name, analysis.WindowFigures(window, -1, -1)})
 	}
 	var marks []float64
-	for _, e := range rec.Events {
-		if e.Scheduler >= 0 || e.Worker >= 0 && e.Kind != "fell" {
+	for _, event := range rec.Events {
+		if event.Scheduler >= 0 || event.Worker >= 0 && event.Kind != "fell" {
 			continue
 		}
-		marks = append(marks, float64(e.AtUS)/1e6)
-		what := e.Kind
-		if e.IsEnd {
-			what += " ends"
+		marks = append(marks, float64(event.AtUS)/1e6)
+		kind := event.Kind
+		if event.IsEnd {
+			kind += " ends"
 		}
-		run.Faults = append(run.Faults, fmt.Sprintf("%.1f s: %s %s", float64(e.AtUS)/1e6, what, e.Text))
+		run.Faults = append(run.Faults, fmt.Sprintf("%.1f s: %s %s", float64(event.AtUS)/1e6, kind, event.Text))
 	}
 	charts := []func() (*plot.Plot, error){
 		func() (*plot.Plot, error) { return chartValue(s, analysis, marks) }, func() (*plot.Plot, error) { return chartUnservedTries(s, rec, marks) },
 		func() (*plot.Plot, error) { return chartLoad(s, rec, marks) },
 	}
 	for _, chart := range charts {
-		p, err := chart()
+		figure, err := chart()
 		if err != nil {
 			return run, err
 		}
-		c := vgsvg.New(22*vg.Centimeter, 8*vg.Centimeter)
-		p.Draw(draw.New(c))
+		canvas := vgsvg.New(22*vg.Centimeter, 8*vg.Centimeter)
+		figure.Draw(draw.New(canvas))
 		var svg bytes.Buffer
-		if _, err := c.WriteTo(&svg); err != nil {
+		if _, err := canvas.WriteTo(&svg); err != nil {
 			return run, err
 		}
 		text := svg.String()
-		if at := strings.Index(text, "<svg"); at > 0 {
-			text = text[at:]
+		if start := strings.Index(text, "<svg"); start > 0 {
+			text = text[start:]
 		}
 		run.Charts = append(run.Charts, template.HTML(text))
 	}
@@ -118,18 +120,18 @@
 var lineColours = []color.Color{color.RGBA{31, 119, 180, 255}, color.RGBA{214, 94, 20, 255}, color.RGBA{44, 140, 44, 255}, color.RGBA{148, 103, 189, 255},
 	color.RGBA{140, 86, 75, 255}, color.RGBA{20, 150, 170, 255}, color.RGBA{110, 110, 110, 255}, color.RGBA{190, 20, 60, 255}}
 
-// chart makes an empty one with the faults marked.
-func newChart(title, y string, seconds, most float64, marks []float64) (*plot.Plot, error) {
+// newChart returns an empty chart with the times of the faults marked. maxY is the upper end of the y axis; 0: automatic.
+func newChart(title, yLabel string, seconds, maxY float64, marks []float64) (*plot.Plot, error) {
 	p := plot.New()
-	p.X.Min, p.X.Max = 0, seconds*1.22 // room for the legend
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
+	p.X.Min, p.X.Max = 0, seconds*1.22 // space for the legend
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", yLabel
 	p.Y.Min, p.Legend.Top = 0, false
-	if most > 0 {
-		p.Y.Max = most
+	if maxY > 0 {
+		p.Y.Max = maxY
 	}
 	p.Add(plotter.NewGrid())
-	for _, at := range marks {
-		line, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: max(most, 1)}})
+	for _, mark := range marks {
+		line, err := plotter.NewLine(plotter.XYs{{X: mark, Y: 0}, {X: mark, Y: max(maxY, 1)}})
 		if err != nil {
 			return nil, err
 		}
@@ -139,127 +141,128 @@
 	return p, nil
 }
 
-func addLine(p *plot.Plot, name string, i int, points plotter.XYs) error {
+// addLine adds a line with a legend entry to a chart, in the colour of index.
+func addLine(p *plot.Plot, name string, index int, points plotter.XYs) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
 		return err
 	}
-	line.Color, line.Width = lineColours[i%len(lineColours)], vg.Points(1.5)
+	line.Color, line.Width = lineColours[index%len(lineColours)], vg.Points(1.5)
 	p.Add(line)
 	p.Legend.Add(name, line)
 	return nil
 }
 
-// served is the part of the worth that is earned, second by second, by site and by class.
+// chartValue draws the part of the value that is earned in each second, by site and by class.
 func chartValue(s *scenario.Scenario, analysis *judge.Analysis, marks []float64) (*plot.Plot, error) {
 	p, err := newChart("Worth earned within what was asked for, by when it was due", "part", s.Seconds, 1, marks)
 	if err != nil {
 		return nil, err
 	}
-	line := 0
-	over := func(name string, class, site int) error {
+	lines := 0
+	addValueLine := func(name string, classIndex, siteIndex int) error {
 		var points plotter.XYs
-		for at := 0.0; at+1 <= s.Seconds; at++ {
-			if f := analysis.ClientFigures(scenario.Window{FromS: at, ToS: at + 1}, class, site); f.Requests > 0 {
-				points = append(points, plotter.XY{X: at + 0.5, Y: f.Worth})
+		for atS := 0.0; atS+1 <= s.Seconds; atS++ {
+			if f := analysis.ClientFigures(scenario.Window{FromS: atS, ToS: atS + 1}, classIndex, siteIndex); f.Requests > 0 {
+				points = append(points, plotter.XY{X: atS + 0.5, Y: f.Worth})
 			}
 		}
-		line++
-		return addLine(p, name, line-1, points)
+		lines++
+		return addLine(p, name, lines-1, points)
 	}
-	for i, x := range s.Sites {
-		if err := over("clients of "+x.Name, -1, i); err != nil {
+	for i, site := range s.Sites {
+		if err := addValueLine("clients of "+site.Name, -1, i); err != nil {
 			return nil, err
 		}
 	}
-	for i, c := range s.Classes {
-		if err := over(c.Name, i, -1); err != nil {
+	for i, class := range s.Classes {
+		if err := addValueLine(class.Name, i, -1); err != nil {
 			return nil, err
 		}
 	}
 	return p, nil
 }
 
-// ends are the tries that were not served, second by second, by how they ended.
+// chartUnservedTries draws the number of unserved tries in each second, by how they ended.
 func chartUnservedTries(s *scenario.Scenario, rec *record.Records, marks []float64) (*plot.Plot, error) {
 	count := map[string][]float64{}
-	most := 1.0
+	maxCount := 1.0
 	for i := range rec.Tries {
-		t := &rec.Tries[i]
-		how := t.End
+		try := &rec.Tries[i]
+		end := try.End
 		switch {
-		case t.Status == 200:
+		case try.Status == 200:
 			continue
-		case t.Status == 429 || t.Status == 503:
-			how = "refused"
-		case t.Status > 0:
-			how = "failed"
+		case try.Status == 429 || try.Status == 503:
+			end = "refused"
+		case try.Status > 0:
+			end = "failed"
 		}
-		if count[how] == nil {
-			count[how] = make([]float64, int(s.Seconds)+1)
+		if count[end] == nil {
+			count[end] = make([]float64, int(s.Seconds)+1)
 		}
-		at := min(max(0, int(t.SentUS/1e6)), int(s.Seconds))
-		count[how][at]++
-		most = max(most, count[how][at])
+		second := min(max(0, int(try.SentUS/1e6)), int(s.Seconds))
+		count[end][second]++
+		maxCount = max(maxCount, count[end][second])
 	}
-	p, err := newChart("Tries that were not served, by when they were sent", "a second", s.Seconds, most, marks)
+	p, err := newChart("Tries that were not served, by when they were sent", "a second", s.Seconds, maxCount, marks)
 	if err != nil {
 		return nil, err
 	}
-	line := 0
-	for _, how := range []string{"refused", "failed", record.EndUnreachable, record.EndBroken, record.EndCancelled} {
-		if count[how] == nil {
+	lines := 0
+	for _, end := range []string{"refused", "failed", record.EndUnreachable, record.EndBroken, record.EndCancelled} {
+		if count[end] == nil {
 			continue
 		}
 		var points plotter.XYs
-		for at, n := range count[how] {
-			points = append(points, plotter.XY{X: float64(at) + 0.5, Y: n})
+		for second, tries := range count[end] {
+			points = append(points, plotter.XY{X: float64(second) + 0.5, Y: tries})
 		}
-		if err := addLine(p, how, line, points); err != nil {
+		if err := addLine(p, end, lines, points); err != nil {
 			return nil, err
 		}
-		line++
+		lines++
 	}
 	return p, nil
 }
 
-// load is how many jobs run and wait at the workers of each site, and the longest queue anywhere.
+// chartLoad draws the running and waiting jobs at the workers of each site, and the longest queue of any worker.
 func chartLoad(s *scenario.Scenario, rec *record.Records, marks []float64) (*plot.Plot, error) {
-	var site []int
-	for i, x := range s.Sites {
-		for range x.Workers {
-			site = append(site, i)
+	var workerSite []int
+	for i, site := range s.Sites {
+		for range site.Workers {
+			workerSite = append(workerSite, i)
 		}
 	}
 	running, waiting := make([]plotter.XYs, len(s.Sites)), make([]plotter.XYs, len(s.Sites))
 	var longest plotter.XYs
-	var at int64 = -1
-	most := 1.0
+	var atUS int64 = -1
+	maxJobs := 1.0
 	for i := range rec.Samples {
-		x := &rec.Samples[i]
-		if x.AtUS != at {
-			at = x.AtUS
-			for k := range s.Sites {
-				running[k] = append(running[k], plotter.XY{X: float64(at) / 1e6})
-				waiting[k] = append(waiting[k], plotter.XY{X: float64(at) / 1e6})
+		sample := &rec.Samples[i]
+		if sample.AtUS != atUS {
+			atUS = sample.AtUS
+			for site := range s.Sites {
+				running[site] = append(running[site], plotter.XY{X: float64(atUS) / 1e6})
+				waiting[site] = append(waiting[site], plotter.XY{X: float64(atUS) / 1e6})
 			}
-			longest = append(longest, plotter.XY{X: float64(at) / 1e6})
+			longest = append(longest, plotter.XY{X: float64(atUS) / 1e6})
 		}
-		k := site[x.Worker]
-		running[k][len(running[k])-1].Y += float64(x.Running)
-		waiting[k][len(waiting[k])-1].Y += float64(x.Waiting)
-		longest[len(longest)-1].Y = max(longest[len(longest)-1].Y, float64(x.Waiting))
-		most = max(most, running[k][len(running[k])-1].Y, waiting[k][len(waiting[k])-1].Y)
+		site := workerSite[sample.Worker]
+		running[site][len(running[site])-1].Y += float64(sample.Running)
+		waiting[site][len(waiting[site])-1].Y += float64(sample.Waiting)
+		longest[len(longest)-1].Y = max(longest[len(longest)-1].Y, float64(sample.Waiting))
+		maxJobs = max(maxJobs, running[site][len(running[site])-1].Y, waiting[site][len(waiting[site])-1].Y)
 	}
-	p, err := newChart("Jobs at the table workers", "jobs", s.Seconds, most, marks)
+	p, err := newChart("Jobs at the table workers", "jobs", s.Seconds, maxJobs, marks)
 	if err != nil {
 		return nil, err
 	}
-	for i, x := range s.Sites {
-		if err := addLine(p, "running, "+x.Name, 2*i, running[i]); err != nil {
+	for i, site := range s.Sites {
+		if err := addLine(p, "running, "+site.Name, 2*i, running[i]); err != nil {
 			return nil, err
 		}
-		if err := addLine(p, "waiting, "+x.Name, 2*i+1, waiting[i]); err != nil {
+		if err := addLine(p, "waiting, "+site.Name, 2*i+1, waiting[i]); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/fleet/report/report_test.go
+++ b/internal/fleet/report/report_test.go
@@ -11,7 +11,7 @@
 	"cobaltflow/internal/fleet/record"
 )
 
-// One file, with all charts, the faults that were played and the checks, and nothing fetched from elsewhere.
+// The report has all charts, the faults and the checks, escapes HTML in texts, and refers to no external resource.
 func TestReportIsSelfContained(t *testing.T) {
 	rec := &record.Records{
 		Tries: []record.Try{{ID: "a", RunUS: 1000, DueUS: 1e6, SentUS: 1e6, EndedUS: 1.1e6, TimeLeftMS: 1000, Status: 200, End: record.EndAnswered, IsCorrect: true},
@@ -33,7 +33,7 @@
 	require.Contains(t, string(text), "1.5 s: lose-site")
 	require.Contains(t, string(text), "passed: no effect twice")
 	require.Contains(t, string(text), "&lt;b&gt;")
-	for _, far := range []string{"<script", "src=", "@import"} {
-		require.NotContains(t, string(text), far)
+	for _, external := range []string{"<script", "src=", "@import"} {
+		require.NotContains(t, string(text), external)
 	}
 }
--- a/internal/fleet/scenario/scenario.go
+++ b/internal/fleet/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads what the rig is to play: sites with schedulers and table workers, clients, the network between
-// them, and faults with their times. It checks and draws; it starts nothing.
+// Package scenario defines, reads and checks scenario files: sites with schedulers and table workers, clients, the network
+// between them, and faults with their times. Packages fleet, judge, soak and experiment work from its Scenario.
 package scenario
 
 import (
@@ -23,7 +23,8 @@
 //go:embed scenario.schema.json
 var Schema []byte
 
-// Scenario is one file. Times are seconds from the moment at which clients begin, unless the name tells another unit.
+// Scenario is the content of a scenario file; its fields have the names of the file's keys. Times are in seconds since the
+// clients began, unless the name states another unit.
 type Scenario struct {
 	Name    string `json:"name"`
 	About   string `json:"about"`
@@ -39,29 +40,29 @@
 	Discovery Discovery
 	Peers     Peers
 	Prices    Costs
-	Tries     int `json:"tries"` // attempts of the schedulers for a request
-	// DrainGraceS is how long schedulers may go on sending to a draining, removed or disabled worker.
+	Tries     int `json:"tries"` // maximum number of a scheduler's attempts for a request
+	// DrainGraceS is how long schedulers may still send to a worker that is draining, removed or disabled.
 	DrainGraceS float64 `json:"drain_grace_s"`
 
 	Faults  []Fault
 	Windows []Window
 	Limits  []Limit
-	// Own is put over the project's own configuration file of each scheduler.
+	// Own is merged over the program's own configuration file of each scheduler.
 	Own map[string]any
 }
 
-// Site is a place with schedulers and table workers of its own.
+// Site is a site with its schedulers and table workers.
 type Site struct {
 	Name       string
 	Schedulers int
 	Workers    int
-	Share      float64 // of the clients; 0: by its workers
+	Share      float64 // part of the clients; 0: in proportion to the workers
 }
 
-// Range is a figure that is drawn anew each time, evenly.
+// Range is a value that is drawn for each use, uniformly in [Min, Max).
 type Range struct{ Min, Max float64 }
 
-// UnmarshalJSON takes one number or a pair.
+// UnmarshalJSON accepts a number or a pair of numbers.
 func (r *Range) UnmarshalJSON(text []byte) error {
 	var pair [2]float64
 	if len(text) > 0 && text[0] == '[' {
@@ -74,35 +75,35 @@
 	return err
 }
 
-// MarshalJSON writes the pair.
+// MarshalJSON writes the range as a pair of numbers.
 func (r Range) MarshalJSON() ([]byte, error) { return json.Marshal([2]float64{r.Min, r.Max}) }
 
-// Draw gives a value.
+// Draw returns a random value of the range.
 func (r Range) Draw(rng *rand.Rand) float64 { return r.Min + (r.Max-r.Min)*rng.Float64() }
 
-// Network is what messages take.
+// Network holds the delays of the network.
 type Network struct {
-	SameMS  Range `json:"same_ms"`  // one way within a site
-	CrossMS Range `json:"cross_ms"` // one way between sites
+	SameMS  Range `json:"same_ms"`  // one-way delay within a site
+	CrossMS Range `json:"cross_ms"` // one-way delay between sites
 }
 
-// Workers are the table workers, alike but for their kind.
+// Workers holds the settings of all table workers, which differ in their kind only.
 type Workers struct {
 	Slots          int
-	Queue          int // jobs that wait at most; one more is turned away
+	Queue          int // maximum number of waiting jobs; more are answered 503
 	Kinds          []Kind
 	ColdFrom       float64 `json:"cold_from"`
 	WarmS          float64 `json:"warm_s"`
 	OverloadFactor float64 `json:"overload_factor"`
 	TipAfterS      float64 `json:"tip_after_s"`
-	ReportS        Range   `json:"report_s"`       // figures are made anew this often
-	ReportDelayS   Range   `json:"report_delay_s"` // and seen so much later
-	Noise          float64 // of a report's figures, as a part of them
-	Connections    int     // held at most, each worker
-	ConnectMS      float64 `json:"connect_ms"`     // the first request on a new connection takes so much longer
-	KeptKeys       int     `json:"kept_keys"`      // 0: keys cost nothing
-	FetchMS        float64 `json:"fetch_ms"`       // a key that is not kept takes so much longer
-	IdleS          float64 `json:"idle_connect_s"` // idle connections are closed after it
+	ReportS        Range   `json:"report_s"`       // interval between load reports
+	ReportDelayS   Range   `json:"report_delay_s"` // delay until a load report is visible
+	Noise          float64 // greatest relative error of a report's figures
+	Connections    int     // maximum per worker
+	ConnectMS      float64 `json:"connect_ms"`     // additional running time of the first request on a new connection
+	KeptKeys       int     `json:"kept_keys"`      // size of a worker's cache of keys; 0: keys cost nothing
+	FetchMS        float64 `json:"fetch_ms"`       // additional running time for a key that is not cached
+	IdleS          float64 `json:"idle_connect_s"` // time after which workers close idle connections
 	Probes         bool
 }
 
@@ -110,115 +111,115 @@
 type Kind struct {
 	Name  string
 	Share float64
-	Speed float64 // running times are divided by it
+	Speed float64 // divisor of the running times
 }
 
 // Class is a class of jobs.
 type Class struct {
 	Name      string
 	Share     float64
-	RunMS     float64 `json:"run_ms"` // mean at speed 1
-	Spread    string  // exponential (the default), fixed
-	Effect    string  // once, by_key, repeatable
+	RunMS     float64 `json:"run_ms"` // mean running time at speed 1
+	Spread    string  // of the running times: exponential (the default) or fixed
+	Effect    string  // once, by_key or repeatable
 	AimMS     float64 `json:"aim_ms"`
-	Stretch   float64 // the aim grows by this multiple of the job's own running time
+	Stretch   float64 // the latency target grows by this multiple of the job's own running time
 	DeadlineS float64 `json:"deadline_s"`
 	Worth     float64
 	LateWorth float64 `json:"late_worth"`
 	Priority  int
 }
 
-// Clients ask in an open loop: they come whether or not others were answered.
+// Clients holds the settings of the clients, which send requests in an open loop: regardless of the answers to others.
 type Clients struct {
-	Load      float64 // of what all table workers together can do, at speed 1
-	Rate      []Step  // multiples of it from a time on
+	Load      float64 // offered load, as part of the capacity of all table workers
+	Rate      []Step  // multiples of Load, each from a time on
 	Keys      int
-	Skew      float64 // of keys: 0 even, else the exponent of a Zipf law
-	Unlike    float64 // of schedulers: a tenth of them get so many times what the others get; 0: alike
+	Skew      float64 // exponent of the Zipf distribution of keys; 0: uniform
+	Unlike    float64 // multiple of the requests that each tenth scheduler gets; 0: all get the same
 	Retries   int
 	BackoffMS Range   `json:"backoff_ms"`
-	Honour    float64 // part of them that keeps to Retry-After
-	Leave     float64 // part of the requests whose client leaves before its time is over
-	Repeats   bool    // clients ask again where the schedulers could not be reached
+	Honour    float64 // part of the clients that honour Retry-After
+	Leave     float64 // part of the requests whose client disconnects before its deadline
+	Repeats   bool    // clients retry when a scheduler cannot be reached, and repeatable requests after other failures
 }
 
-// Step is a change of load.
+// Step is a change of the load.
 type Step struct {
 	AtS   float64 `json:"at_s"`
 	Times float64
 }
 
-// Front spreads clients over schedulers of their site.
+// Front holds the settings of the load balancer, which spreads clients over the schedulers of their site.
 type Front struct {
-	NoticeS Range `json:"notice_s"` // a dead scheduler is noticed so much later
+	NoticeS Range `json:"notice_s"` // delay until it notices that a scheduler is down
 }
 
-// Discovery tells the schedulers of the list.
+// Discovery holds the settings of the service that sends the worker list to the schedulers.
 type Discovery struct {
-	Mode    string // push, ask
-	NoticeS Range  `json:"notice_s"` // a process's end is told so much later, drawn for each scheduler
-	SilentS Range  `json:"silent_s"` // a silent machine is dropped so much later; at most 0: never
-	AddS    Range  `json:"add_s"`    // a start is told so much later
+	Mode    string // push or ask
+	NoticeS Range  `json:"notice_s"` // delay until a crashed worker is removed, drawn for each scheduler
+	SilentS Range  `json:"silent_s"` // delay until a silent worker is removed; at most 0: never
+	AddS    Range  `json:"add_s"`    // delay until a worker's start is announced
 }
 
-// Peers are messages between schedulers.
+// Peers holds the settings of the messages between schedulers.
 type Peers struct {
 	On    bool
 	Lost  float64
 	Twice float64
-	MS    Range // delay
+	MS    Range // additional delay
 }
 
-// Prices are those of the settings.
+// Costs holds the costs that the platform's settings state.
 type Costs struct {
 	CrossZone float64 `json:"cross_zone"`
 	Probe     float64
 	Peer      float64
 }
 
-// Fault is something that breaks at a time, for a time.
+// Fault is a fault that occurs at a time and lasts for a time.
 type Fault struct {
 	AtS    float64 `json:"at_s"`
 	ForS   float64 `json:"for_s"` // 0: to the end
-	What   string  // see the schema
-	Site   string  // of workers or schedulers, or the near side of a path; empty: any
-	To     string  // the far side of a path; empty: any
+	What   string  // kind of fault, see the schema
+	Site   string  // of the workers or schedulers, or one end of a path; empty: any
+	To     string  // other end of a path; empty: any
 	Paths  []string
-	Share  float64 // of those that it could meet; 0: all of them
-	Count  int     // instead of share
+	Share  float64 // part of the candidates that are affected; 0: all
+	Count  int     // number of affected candidates, at most those of Share
 	OneWay bool    `json:"one_way"`
-	Factor float64 // of slow: running times are multiplied by it
+	Factor float64 // of slow-workers: factor of the running times
 	MS     float64 // of delay
-	Every  float64 `json:"every_s"` // starts again after so long, until until_s
+	Every  float64 `json:"every_s"` // interval of repetitions, until until_s; 0: none
 	Until  float64 `json:"until_s"`
-	StepS  float64 `json:"step_s"` // of a release: one after the other
-	Back   string  // how what was lost returns: cold (the default), warm, never
-	Hung   bool    // of silent workers: their machines' kernels still take connections
-	LaterS float64 `json:"later_s"` // schedulers of a site that was lost return so much after the workers (below 0: before)
+	StepS  float64 `json:"step_s"` // interval between the single schedulers or signals
+	Back   string  // how lost workers return: cold (the default), warm or never
+	Hung   bool    // of silent workers: the kernel still accepts connections
+	LaterS float64 `json:"later_s"` // of lose-site: schedulers return this long after the workers; below 0: before them
 }
 
-// Window is a part of the run that the table shows by itself.
+// Window is a part of the run with figures of its own.
 type Window struct {
 	Name  string
 	FromS float64 `json:"from_s"`
 	ToS   float64 `json:"to_s"`
 }
 
-// Limit is a check of the scenario's own.
+// Limit is a bound of a figure that a run is checked against.
 type Limit struct {
 	Figure string
 	Window string // empty: the whole run
-	Class  string // empty: all
+	Class  string // empty: all classes
 	Least  *float64
 	Most   *float64
 }
 
-// Error is a fault of a scenario, at a key.
+// Error is an error in a scenario file, at a key such as faults.0.to.
 type Error struct{ Key, Text string }
 
 func (e *Error) Error() string { return e.Key + ": " + e.Text }
 
-// Load reads and checks a file.
+// Load reads and checks a scenario file. The error of an invalid one wraps an *Error.
 func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -231,7 +232,7 @@
 	return s, nil
 }
 
-// Parse reads and checks a scenario.
+// Parse reads and checks the text of a scenario file and sets defaults. The error of an invalid one is an *Error.
 func Parse(text []byte) (*Scenario, error) {
 	if err := validateSchema(text); err != nil {
 		return nil, err
@@ -243,6 +244,7 @@
 	return s, s.checkValues()
 }
 
+// defaults returns a scenario with the default values.
 func defaults() *Scenario {
 	return &Scenario{
 		Seed: 1, Tries: 4, DrainGraceS: 1,
@@ -257,6 +259,7 @@
 	}
 }
 
+// checkValues checks what the schema cannot, and sets defaults that depend on other values.
 func (s *Scenario) checkValues() error {
 	if len(s.Workers.Kinds) == 0 {
 		s.Workers.Kinds = []Kind{{Name: "gen1", Share: 1, Speed: 1}}
@@ -267,145 +270,146 @@
 		workers += s.Sites[i].Workers
 	}
 	if schedulers < 1 || schedulers > MaxSchedulers {
-		return &Error{"sites", fmt.Sprintf("%d schedulers in all are not from 1 to %d", schedulers, MaxSchedulers)}
+		return &Error{"sites", fmt.Sprintf("total number of schedulers %d is not from 1 to %d", schedulers, MaxSchedulers)}
 	}
 	if workers < 1 || workers > MaxWorkers {
-		return &Error{"sites", fmt.Sprintf("%d table workers in all are not from 1 to %d", workers, MaxWorkers)}
+		return &Error{"sites", fmt.Sprintf("total number of table workers %d is not from 1 to %d", workers, MaxWorkers)}
 	}
 	for i := range s.Sites {
 		if s.Sites[i].Share == 0 {
 			s.Sites[i].Share = float64(s.Sites[i].Workers) / float64(workers)
 		}
 		if s.SiteIndex(s.Sites[i].Name) != i {
-			return &Error{fmt.Sprintf("sites.%d.name", i), fmt.Sprintf("%q stands twice", s.Sites[i].Name)}
+			return &Error{fmt.Sprintf("sites.%d.name", i), fmt.Sprintf("duplicate site name %q", s.Sites[i].Name)}
 		}
 	}
 	for i := range s.Classes {
-		c := &s.Classes[i]
-		if c.AimMS/1000 > c.DeadlineS {
-			return &Error{fmt.Sprintf("classes.%d.aim_ms", i), "over deadline_s"}
+		class := &s.Classes[i]
+		if class.AimMS/1000 > class.DeadlineS {
+			return &Error{fmt.Sprintf("classes.%d.aim_ms", i), "exceeds deadline_s"}
 		}
 	}
-	for i, f := range s.Faults {
-		at := fmt.Sprintf("faults.%d.", i)
-		for key, name := range map[string]string{"site": f.Site, "to": f.To} {
+	for i, fault := range s.Faults {
+		prefix := fmt.Sprintf("faults.%d.", i)
+		for key, name := range map[string]string{"site": fault.Site, "to": fault.To} {
 			if name != "" && s.SiteIndex(name) < 0 {
-				return &Error{at + key, fmt.Sprintf("%q is no site", name)}
+				return &Error{prefix + key, fmt.Sprintf("site %q does not exist", name)}
 			}
 		}
-		if f.AtS > s.Seconds {
-			return &Error{at + "at_s", fmt.Sprintf("%v is after the end, %v", f.AtS, s.Seconds)}
+		if fault.AtS > s.Seconds {
+			return &Error{prefix + "at_s", fmt.Sprintf("%v s is after the end of the run, %v s", fault.AtS, s.Seconds)}
 		}
-		if f.Every > 0 && f.Until <= f.AtS {
-			return &Error{at + "until_s", "missing, or not after at_s"}
+		if fault.Every > 0 && fault.Until <= fault.AtS {
+			return &Error{prefix + "until_s", "missing or not after at_s"}
 		}
 	}
-	for i, l := range s.Limits {
-		if l.Window != "" && !slices.ContainsFunc(s.Windows, func(w Window) bool { return w.Name == l.Window }) {
-			return &Error{fmt.Sprintf("limits.%d.window", i), fmt.Sprintf("%q is no window", l.Window)}
+	for i, limit := range s.Limits {
+		if limit.Window != "" && !slices.ContainsFunc(s.Windows, func(w Window) bool { return w.Name == limit.Window }) {
+			return &Error{fmt.Sprintf("limits.%d.window", i), fmt.Sprintf("window %q does not exist", limit.Window)}
 		}
-		if l.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == l.Class }) {
-			return &Error{fmt.Sprintf("limits.%d.class", i), fmt.Sprintf("%q is no class", l.Class)}
+		if limit.Class != "" && !slices.ContainsFunc(s.Classes, func(class Class) bool { return class.Name == limit.Class }) {
+			return &Error{fmt.Sprintf("limits.%d.class", i), fmt.Sprintf("class %q does not exist", limit.Class)}
 		}
-		if l.Least == nil && l.Most == nil {
-			return &Error{fmt.Sprintf("limits.%d", i), "neither least nor most"}
+		if limit.Least == nil && limit.Most == nil {
+			return &Error{fmt.Sprintf("limits.%d", i), "neither least nor most is set"}
 		}
 	}
 	return nil
 }
 
-// Bounds of a scenario: what one machine of 4 cores and 24 GB bears.
+// Bounds of the size of a scenario, which one machine with 4 cores and 24 GB of memory can run.
 const (
 	MaxSchedulers = 300
 	MaxWorkers    = 200
 )
 
-// WindowS is how long a repeat of a by_key class is dropped by its group of workers.
+// DedupWindowS is how long, in seconds, a group of workers drops repeats of a request of a by_key class.
 const DedupWindowS = 5
 
-// Site gives a site's number; -1: there is none of that name.
+// SiteIndex returns the index of a site, or -1 if there is none of that name.
 func (s *Scenario) SiteIndex(name string) int {
-	return slices.IndexFunc(s.Sites, func(x Site) bool { return x.Name == name })
+	return slices.IndexFunc(s.Sites, func(site Site) bool { return site.Name == name })
 }
 
-// HeldUS is for how long, in microseconds, schedulers are held up (hold-schedulers) at some time from one to another of the
-// run. Answers may come so much later: the operators' terms bear a process that is held up for 0.15 s.
-func (s *Scenario) PausedUS(fromUS, toUS int64) (held int64) {
-	for _, f := range s.Faults {
-		begins, ends := int64(f.AtS*1e6), int64((f.AtS+f.ForS)*1e6)
-		if f.What == "hold-schedulers" && fromUS <= ends && toUS >= begins {
-			held += ends - begins
+// PausedUS returns the total duration, in microseconds, of the pauses of schedulers (hold-schedulers) that overlap a time of
+// the run. Answers may be that much later: the operators' terms allow for a process that is paused for 0.15 s.
+func (s *Scenario) PausedUS(fromUS, toUS int64) (pausedUS int64) {
+	for _, fault := range s.Faults {
+		startUS, endUS := int64(fault.AtS*1e6), int64((fault.AtS+fault.ForS)*1e6)
+		if fault.What == "hold-schedulers" && fromUS <= endUS && toUS >= startUS {
+			pausedUS += endUS - startUS
 		}
 	}
-	return held
+	return pausedUS
 }
 
-// Schedulers gives the site of each scheduler.
+// SchedulerSites returns the site index of each scheduler.
 func (s *Scenario) SchedulerSites() (sites []int) {
-	for i, x := range s.Sites {
-		for range x.Schedulers {
+	for i, site := range s.Sites {
+		for range site.Schedulers {
 			sites = append(sites, i)
 		}
 	}
 	return sites
 }
 
-// MeanRunS is the mean running time of a job, at speed 1.
+// MeanRunS returns the mean running time of a job in seconds, at speed 1.
 func (s *Scenario) MeanRunS() float64 {
 	share, run := 0.0, 0.0
-	for _, c := range s.Classes {
-		share += c.Share
-		run += c.Share * c.RunMS / 1000
+	for _, class := range s.Classes {
+		share += class.Share
+		run += class.Share * class.RunMS / 1000
 	}
 	return run / share
 }
 
-// Speed is the mean speed of a table worker.
+// MeanSpeed returns the mean speed of the table workers.
 func (s *Scenario) MeanSpeed() float64 {
 	share, speed := 0.0, 0.0
-	for _, k := range s.Workers.Kinds {
-		share += k.Share
-		speed += k.Share * k.Speed
+	for _, kind := range s.Workers.Kinds {
+		share += kind.Share
+		speed += kind.Share * kind.Speed
 	}
 	return speed / share
 }
 
-// RatePerS is how many jobs a second all clients together ask for at load 1 times Clients.Load.
+// RatePerS returns the number of requests per second of all clients together, before the steps of Clients.Rate.
 func (s *Scenario) RatePerS() float64 {
 	workers := 0
-	for _, x := range s.Sites {
-		workers += x.Workers
+	for _, site := range s.Sites {
+		workers += site.Workers
 	}
 	return s.Clients.Load * float64(workers*s.Workers.Slots) * s.MeanSpeed() / s.MeanRunS()
 }
 
+// validateSchema checks the text of a scenario file against Schema. The error names the key of the innermost violation.
 func validateSchema(text []byte) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(Schema))
 	if err != nil {
 		return err
 	}
-	c := jsonschema.NewCompiler()
-	if err := c.AddResource("scenario.schema.json", doc); err != nil {
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource("scenario.schema.json", doc); err != nil {
 		return err
 	}
-	schema, err := c.Compile("scenario.schema.json")
+	schema, err := compiler.Compile("scenario.schema.json")
 	if err != nil {
 		return err
 	}
-	file, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
+	instance, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
 		return &Error{"scenario", err.Error()}
 	}
-	var bad *jsonschema.ValidationError
-	if err := schema.Validate(file); errors.As(err, &bad) {
-		for len(bad.Causes) > 0 {
-			bad = bad.Causes[len(bad.Causes)-1]
+	var invalid *jsonschema.ValidationError
+	if err := schema.Validate(instance); errors.As(err, &invalid) {
+		for len(invalid.Causes) > 0 {
+			invalid = invalid.Causes[len(invalid.Causes)-1]
 		}
-		key := strings.Join(bad.InstanceLocation, ".")
+		key := strings.Join(invalid.InstanceLocation, ".")
 		if key == "" {
 			key = "scenario"
 		}
-		return &Error{key, bad.ErrorKind.LocalizedString(message.NewPrinter(language.English))}
+		return &Error{key, invalid.ErrorKind.LocalizedString(message.NewPrinter(language.English))}
 	}
 	return err
 }
--- a/internal/fleet/scenario/scenario_test.go
+++ b/internal/fleet/scenario/scenario_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Each scenario file of the project can be loaded.
 func TestScenarioFilesLoad(t *testing.T) {
 	files, err := filepath.Glob("../../../scenarios/*.json")
 	require.NoError(t, err)
@@ -17,7 +18,7 @@
 	}
 }
 
-// A bad scenario is refused with the key that is at fault.
+// An invalid scenario is rejected with an error that names the invalid key.
 func TestErrorsNameTheKey(t *testing.T) {
 	const class = `{"name":"v","share":1,"run_ms":1,"effect":"once","aim_ms":5,"deadline_s":1,"worth":1}`
 	for _, c := range []struct{ text, key string }{
@@ -30,8 +31,8 @@
 		{`{"name":"a","seconds":0,"sites":[{"name":"a","schedulers":1,"workers":1}],"classes":[` + class + `]}`, "seconds"},
 	} {
 		_, err := Parse([]byte(c.text))
-		var fault *Error
-		require.ErrorAs(t, err, &fault)
-		require.Equal(t, c.key, fault.Key, fault.Text)
+		var invalid *Error
+		require.ErrorAs(t, err, &invalid)
+		require.Equal(t, c.key, invalid.Key, invalid.Text)
 	}
 }
--- a/internal/fleet/soak/soak.go
+++ b/internal/fleet/soak/soak.go
@@ -17,34 +17,35 @@
 	"cobaltflow/internal/fleet/scenario"
 )
 
-// Options of a soak.
+// Options holds the settings of a soak.
 type Options struct {
 	Binary    string
 	FirstSeed uint64 // the first seed
 	SeedCount int
-	Parallel  int    // runs side by side; 0: 1
-	Dir       string // keeps the records and logs of runs that fail; empty: none are kept
-	Reduce    bool   // cut the schedules of seeds that fail down
+	Parallel  int    // number of parallel runs; 0: 1
+	Dir       string // directory that keeps the records and logs of failed runs; empty: none are kept
+	Reduce    bool   // reduce the fault schedules of failed seeds
 	Output    io.Writer
 }
 
-// Outcome is what became of a seed.
+// Outcome is the result of a seed.
 type Outcome struct {
 	Seed         uint64
 	Scenario     *scenario.Scenario
-	FailedChecks []judge.Check // empty: all holds
+	FailedChecks []judge.Check // empty: all checks passed
 	Served       int
 	Tries        int
-	Reduced      *scenario.Scenario // the least schedule that still fails; nil: it was not looked for, or none did again
+	Reduced      *scenario.Scenario // scenario with the reduced schedule that still fails; nil: not reduced, or the failure did not recur
 }
 
-// Run plays the seeds. An error says that one could not be played.
+// Run runs the scenarios of all seeds, and returns their outcomes by seed. An error means that a scenario could not be run,
+// or that ctx was cancelled; a failed check is no error.
 func Run(ctx context.Context, o Options) ([]Outcome, error) {
 	var (
-		mu    sync.Mutex
-		all   []Outcome
-		fault error
-		group sync.WaitGroup
+		mu       sync.Mutex
+		outcomes []Outcome
+		runErr   error
+		group    sync.WaitGroup
 	)
 	seeds := make(chan uint64)
 	for range max(1, o.Parallel) {
@@ -53,9 +54,9 @@
 				outcome, err := runSeed(ctx, o, seed, &mu)
 				mu.Lock()
 				if err != nil {
-					fault = fmt.Errorf("seed %d: %w", seed, err)
+					runErr = fmt.Errorf("seed %d: %w", seed, err)
 				} else {
-					all = append(all, outcome)
+					outcomes = append(outcomes, outcome)
 				}
 				mu.Unlock()
 			}
@@ -69,13 +70,15 @@
 	}
 	close(seeds)
 	group.Wait()
-	slices.SortFunc(all, func(a, b Outcome) int { return int(a.Seed) - int(b.Seed) })
-	if fault == nil {
-		fault = ctx.Err()
+	slices.SortFunc(outcomes, func(a, b Outcome) int { return int(a.Seed) - int(b.Seed) })
+	if runErr == nil {
+		runErr = ctx.Err()
 	}
-	return all, fault
+	return outcomes, runErr
 }
 
+// runSeed draws, runs and evaluates the scenario of a seed, reduces its schedule if asked, and writes the outcome. mu guards
+// the output.
 func runSeed(ctx context.Context, o Options, seed uint64, mu *sync.Mutex) (Outcome, error) {
 	s, err := DrawScenario(seed)
 	if err != nil {
@@ -86,29 +89,30 @@
 	if o.Dir != "" {
 		dir = filepath.Join(o.Dir, s.Name)
 	}
-	rec, broken, err := play(ctx, o.Binary, s, dir)
+	rec, failed, err := play(ctx, o.Binary, s, dir)
 	if err != nil {
 		return outcome, err
 	}
-	outcome.FailedChecks, outcome.Tries = broken, len(rec.Tries)
+	outcome.FailedChecks, outcome.Tries = failed, len(rec.Tries)
 	for i := range rec.Tries {
 		if rec.Tries[i].Status == 200 {
 			outcome.Served++
 		}
 	}
-	if len(broken) > 0 && o.Reduce {
-		outcome.Reduced = reduce(ctx, o.Binary, s, broken[0].Name)
+	if len(failed) > 0 && o.Reduce {
+		outcome.Reduced = reduce(ctx, o.Binary, s, failed[0].Name)
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	writeOutcome(o.Output, &outcome, rec)
-	if dir != "" && len(broken) == 0 {
+	if dir != "" && len(failed) == 0 {
 		os.RemoveAll(dir)
 	}
 	return outcome, nil
 }
 
-// play plays a scenario and gives the checks that failed.
+// play runs a scenario and returns its records and the failed checks. It saves the records of a failed run in dir, unless
+// dir is empty.
 func play(ctx context.Context, binary string, s *scenario.Scenario, dir string) (*record.Records, []judge.Check, error) {
 	rec, err := fleet.Play(ctx, s, fleet.Build{Name: "soak", Binary: binary}, fleet.Options{Seed: s.Seed, LogDir: dir})
 	if err != nil {
@@ -118,23 +122,24 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	broken := slices.DeleteFunc(checks, func(c judge.Check) bool { return c.Passed })
-	if dir != "" && len(broken) > 0 {
+	failed := slices.DeleteFunc(checks, func(c judge.Check) bool { return c.Passed })
+	if dir != "" && len(failed) > 0 {
 		err = rec.Save(dir)
 	}
-	return rec, broken, err
+	return rec, failed, err
 }
 
-// reduce leaves faults out, one at a time, as long as the same check still fails. Real processes do not repeat themselves
-// to the millisecond: a schedule counts as failing if it does in one of some plays.
+// reduce removes faults from the schedule, one at a time, as long as the same check still fails. Runs with real processes
+// are not deterministic, so a schedule counts as failing if one of several runs fails. It returns nil if the whole schedule
+// does not fail again.
 func reduce(ctx context.Context, binary string, s *scenario.Scenario, check string) *scenario.Scenario {
-	const plays = 2
+	const runsPerSchedule = 2
 	fails := func(faults []scenario.Fault) bool {
-		tried := *s
-		tried.Faults = faults
-		for range plays {
-			_, broken, err := play(ctx, binary, &tried, "")
-			if err == nil && slices.ContainsFunc(broken, func(c judge.Check) bool { return c.Name == check }) {
+		candidate := *s
+		candidate.Faults = faults
+		for range runsPerSchedule {
+			_, failed, err := play(ctx, binary, &candidate, "")
+			if err == nil && slices.ContainsFunc(failed, func(c judge.Check) bool { return c.Name == check }) {
 				return true
 			}
 		}
@@ -152,13 +157,13 @@
 			i++
 		}
 	}
-	least := *s
-	least.Faults = faults
-	return &least
+	reduced := *s
+	reduced.Faults = faults
+	return &reduced
 }
 
-// report writes what became of a seed; of one that fails, the rules, the way of the request that broke each, and the
-// command that plays it again.
+// writeOutcome writes the outcome of a seed. For a failed one it adds the failed checks, the history of the first request
+// that violated each, and the command that runs the seed again.
 func writeOutcome(out io.Writer, o *Outcome, rec *record.Records) {
 	if out == nil {
 		return
@@ -169,26 +174,28 @@
 		return
 	}
 	fmt.Fprintf(out, "seed %d: BROKEN; play it again with: cobaltflow fleet soak --seeds 1 --from %d\n  faults: %s\n", o.Seed, o.Seed, formatSchedule(o.Scenario))
-	for _, c := range o.FailedChecks {
-		fmt.Fprintf(out, "  %s: %s\n", c.Name, c.Text)
-		writeRequestHistory(out, rec, c.Text)
+	for _, check := range o.FailedChecks {
+		fmt.Fprintf(out, "  %s: %s\n", check.Name, check.Text)
+		writeRequestHistory(out, rec, check.Text)
 	}
 	if o.Reduced != nil {
 		fmt.Fprintf(out, "  the least that still fails: %s\n", formatSchedule(o.Reduced))
 	}
 }
 
+// formatSchedule returns the times and kinds of all faults.
 func formatSchedule(s *scenario.Scenario) string {
 	var parts []string
-	for _, f := range s.Faults {
-		parts = append(parts, fmt.Sprintf("%.2f %s", f.AtS, f.What))
+	for _, fault := range s.Faults {
+		parts = append(parts, fmt.Sprintf("%.2f %s", fault.AtS, fault.What))
 	}
 	return strings.Join(parts, ", ")
 }
 
-// way writes all that is known of the request that a check's text names first.
+// writeRequestHistory writes the tries and attempts of the request that a check's text names first, and the events around
+// them.
 func writeRequestHistory(out io.Writer, rec *record.Records, text string) {
-	const context = 2 * time.Second
+	const eventMargin = 2 * time.Second
 	_, named, found := strings.Cut(text, "the first: ")
 	id, _, _ := strings.Cut(named, " ")
 	id = strings.TrimSuffix(id, ",")
@@ -198,21 +205,21 @@
 	seconds := func(us int64) float64 { return float64(us) / 1e6 }
 	var from, to int64
 	for i := range rec.Tries {
-		if t := &rec.Tries[i]; t.ID == id {
-			from, to = t.SentUS, t.EndedUS
-			fmt.Fprintf(out, "    client: class %d to scheduler %d, sent %.3f, would wait %d ms, ended %.3f: %s %d %s\n", t.Class, t.Scheduler,
-				seconds(t.SentUS), t.TimeLeftMS, seconds(t.EndedUS), t.End, t.Status, t.Error)
+		if try := &rec.Tries[i]; try.ID == id {
+			from, to = try.SentUS, try.EndedUS
+			fmt.Fprintf(out, "    client: class %d to scheduler %d, sent %.3f, would wait %d ms, ended %.3f: %s %d %s\n", try.Class, try.Scheduler,
+				seconds(try.SentUS), try.TimeLeftMS, seconds(try.EndedUS), try.End, try.Status, try.Error)
 		}
 	}
 	for i := range rec.Attempts {
-		if r := &rec.Attempts[i]; r.ID == id {
-			fmt.Fprintf(out, "    worker %d: from scheduler %d, came %.3f, began %.3f, ended %.3f: %s\n", r.Worker, r.Scheduler, seconds(r.ArrivedUS),
-				seconds(r.StartedUS), seconds(r.EndedUS), r.Outcome)
+		if attempt := &rec.Attempts[i]; attempt.ID == id {
+			fmt.Fprintf(out, "    worker %d: from scheduler %d, came %.3f, began %.3f, ended %.3f: %s\n", attempt.Worker, attempt.Scheduler, seconds(attempt.ArrivedUS),
+				seconds(attempt.StartedUS), seconds(attempt.EndedUS), attempt.Outcome)
 		}
 	}
-	for _, e := range rec.Events {
-		if from > 0 && e.AtUS > from-context.Microseconds() && e.AtUS < to+context.Microseconds() {
-			fmt.Fprintf(out, "    %.3f %s %s\n", seconds(e.AtUS), e.Kind, e.Text)
+	for _, event := range rec.Events {
+		if from > 0 && event.AtUS > from-eventMargin.Microseconds() && event.AtUS < to+eventMargin.Microseconds() {
+			fmt.Fprintf(out, "    %.3f %s %s\n", seconds(event.AtUS), event.Kind, event.Text)
 		}
 	}
 }
--- a/internal/fleet/soak/soak_test.go
+++ b/internal/fleet/soak/soak_test.go
@@ -15,12 +15,13 @@
 	"cobaltflow/internal/fleet/scenario"
 )
 
-// ciSeeds are played in each run of the tests: the first few, and each that ever broke a rule by hand. More are played by
-// hand.
+// ciSeeds are run in each run of the tests: the first few, and each seed that has failed in a manual soak. Further seeds are
+// run manually.
 var ciSeeds = []uint64{1, 2, 3, 4, 1011, 2012, 2030, 2034, 3005}
 
-const ciParallel = 3 // runs side by side
+const ciParallel = 3 // parallel runs
 
+// buildBinary builds the program and returns its path.
 func buildBinary(t *testing.T) string {
 	binary := filepath.Join(t.TempDir(), "cobaltflow")
 	out, err := exec.Command("go", "build", "-o", binary, "cobaltflow/cmd/cobaltflow").CombinedOutput()
@@ -28,15 +29,15 @@
 	return binary
 }
 
-// Some seeds of the soak hold all rules.
+// The scenarios of ciSeeds pass all checks.
 func TestSoak(t *testing.T) {
 	binary := buildBinary(t)
-	places := make(chan struct{}, ciParallel)
+	slots := make(chan struct{}, ciParallel)
 	for _, seed := range ciSeeds {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			t.Parallel()
-			places <- struct{}{}
-			defer func() { <-places }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			var out bytes.Buffer
 			outcomes, err := Run(context.Background(), Options{Binary: binary, FirstSeed: seed, SeedCount: 1, Dir: os.Getenv("SOAK_DIR"), Output: &out})
 			require.NoError(t, err)
@@ -48,10 +49,11 @@
 	}
 }
 
-// Over many seeds everything that is to be drawn is, and a seed gives the same scenario each time.
+// A seed always gives the same scenario, within the bounds. Over many seeds each kind of fault, short deadlines, large
+// fleets and quiet starts occur.
 func TestDrawScenario(t *testing.T) {
 	const seeds = 300
-	kinds, short, crowded, quiet := map[string]int{}, 0, 0, 0
+	kinds, shortDeadlines, largeFleets, quietStarts := map[string]int{}, 0, 0, 0
 	for seed := range uint64(seeds) {
 		s, err := DrawScenario(seed)
 		require.NoError(t, err, "seed %d", seed)
@@ -68,13 +70,13 @@
 		}
 		require.Len(t, effects, 3, "a class of each effect")
 		if longest < 1 {
-			short++
+			shortDeadlines++
 		}
 		if len(s.SchedulerSites()) > 10 {
-			crowded++
+			largeFleets++
 		}
 		if s.Faults[0].AtS > quietFraction*s.Seconds-2 {
-			quiet++
+			quietStarts++
 		}
 		for _, f := range s.Faults {
 			kinds[f.What]++
@@ -84,12 +86,12 @@
 		"drain-clients", "drain-workers", "crash-workers", "silence-workers", "slow-workers", "failing-workers", "reset", "cut", "silence-discovery", "kill-schedulers"} {
 		assert.Positive(t, kinds[what], what)
 	}
-	assert.Greater(t, short, seeds/10, "runs with short deadlines")
-	assert.Greater(t, crowded, seeds/20, "runs with many schedulers")
-	assert.Greater(t, quiet, seeds/10, "runs with a long quiet time")
+	assert.Greater(t, shortDeadlines, seeds/10, "runs with short deadlines")
+	assert.Greater(t, largeFleets, seeds/20, "runs with many schedulers")
+	assert.Greater(t, quietStarts, seeds/10, "runs with a long quiet time")
 }
 
-// A schedule is cut down to the faults without which a check would hold: here a limit that no run can keep.
+// reduce removes all faults that a failed check does not need: here all of them, as no run can meet the limit.
 func TestReduceRemovesNeedlessFaults(t *testing.T) {
 	s, err := scenario.Parse([]byte(`{"name":"cut","seconds":2,"sites":[{"name":"a","schedulers":1,"workers":2}],
 		"classes":[{"name":"view","share":1,"run_ms":20,"effect":"repeatable","aim_ms":200,"deadline_s":0.5,"worth":1,"late_worth":0.5}],
@@ -97,8 +99,8 @@
 		"faults":[{"at_s":0.5,"what":"reload-schedulers"},{"at_s":1,"what":"reload-schedulers"}],
 		"limits":[{"figure":"worth","least":1.5}]}`))
 	require.NoError(t, err)
-	least := reduce(context.Background(), buildBinary(t), s, "worth, the run")
-	require.NotNil(t, least)
-	assert.Empty(t, least.Faults)
+	reduced := reduce(context.Background(), buildBinary(t), s, "worth, the run")
+	require.NotNil(t, reduced)
+	assert.Empty(t, reduced.Faults)
 	assert.Len(t, s.Faults, 2)
 }
