--- a/cmd/cobaltflow/scale.go
+++ b/cmd/cobaltflow/scale.go
@@ -30,7 +30,7 @@
 		Use: "scale", Short: "Measure resource use, growth and recovery of schedulers with tens of thousands of workers", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if list {
-				_, err := fmt.Fprintln(c.OutOrStdout(), strings.Join(scale.Names(), "\n"))
+				_, err := fmt.Fprintln(c.OutOrStdout(), strings.Join(scale.DescribeCases(), "\n"))
 				return err
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
@@ -47,14 +47,14 @@
 			return err
 		},
 	}
-	c.Flags().BoolVar(&o.Full, "full", false, "run all cases at all points, three times each")
+	c.Flags().BoolVar(&o.FullSet, "full", false, "run all cases at all points, three times each")
 	c.Flags().StringArrayVar(&o.Cases, "case", nil, "the `name` of a case; may be given several times")
 	c.Flags().StringArrayVar(&programs, "program", nil, "`LABEL=PATH` of a build to measure; default: this one, as \"now\"; may be given several times")
 	c.Flags().StringArrayVar(&sections, "own", nil, "`LABEL=FILE` with sections of the project's own file for the build of that label; may be given several times")
-	c.Flags().IntVar(&o.Runs, "runs", 0, "number of `runs` of each point; 0: three with --full, else one")
+	c.Flags().IntVar(&o.RunsPerPoint, "runs", 0, "number of `runs` of each point; 0: three with --full, else one")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "`seed` of the first run of each point")
 	c.Flags().StringVar(&o.Revision, "revision", revision(), "`revision` to record in the results")
-	c.Flags().BoolVar(&o.Alone, "alone", false, "record that nothing else runs on the machine")
+	c.Flags().BoolVar(&o.Exclusive, "alone", false, "record that nothing else runs on the machine")
 	c.Flags().StringVar(&out, "out", "", "`file` for the results as JSON; Parquet and charts are written next to it")
 	c.Flags().BoolVar(&add, "add", false, "keep the runs that the file of --out holds already, and append the new ones")
 	c.Flags().Float64SliceVar(&o.Points, "point", nil, "`values` of the parameter to measure at, instead of the case's own")
@@ -67,7 +67,7 @@
 	if add {
 		earlier, err := result.Read(path)
 		if err == nil {
-			scale.Join(earlier, file)
+			scale.Merge(earlier, file)
 		} else if !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
@@ -109,7 +109,7 @@
 		if at < 0 {
 			return nil, fmt.Errorf("--own: no --program is labelled %q", label)
 		}
-		if list[at].Own, err = os.ReadFile(path); err != nil {
+		if list[at].Sections, err = os.ReadFile(path); err != nil {
 			return nil, err
 		}
 	}
--- a/cmd/cobaltflow/scale_test.go
+++ b/cmd/cobaltflow/scale_test.go
@@ -15,7 +15,7 @@
 	require.NoError(t, os.WriteFile(sections, []byte(`{"log":{}}`), 0o600))
 	list, err := scalePrograms([]string{"before=/a", "now=/b"}, []string{"now=" + sections})
 	require.NoError(t, err)
-	require.Equal(t, []scale.Program{{Label: "before", Path: "/a"}, {Label: "now", Path: "/b", Own: []byte(`{"log":{}}`)}}, list)
+	require.Equal(t, []scale.Program{{Label: "before", Path: "/a"}, {Label: "now", Path: "/b", Sections: []byte(`{"log":{}}`)}}, list)
 
 	list, err = scalePrograms(nil, nil)
 	require.NoError(t, err)
--- a/internal/scale/capacity/capacity.go
+++ b/internal/scale/capacity/capacity.go
@@ -23,7 +23,7 @@
 
 func (e *Error) Error() string { return e.Key + ": " + e.Text }
 
-func fault(key, format string, arguments ...any) error {
+func errorAt(key, format string, arguments ...any) error {
 	return &Error{Key: key, Text: fmt.Sprintf(format, arguments...)}
 }
 
@@ -37,7 +37,7 @@
 		return err
 	}
 	view := newView(targets, results)
-	functions := template.FuncMap{"cell": cell, "join": strings.Join}
+	functions := template.FuncMap{"cell": escapeCell, "join": strings.Join}
 	page, err := template.New("page").Funcs(functions).Parse(pageTemplate)
 	if err != nil {
 		return err
@@ -51,6 +51,6 @@
 }
 
 // cell makes a text fit into a cell of a Markdown table.
-func cell(text string) string {
+func escapeCell(text string) string {
 	return strings.ReplaceAll(strings.ReplaceAll(text, "|", "\\|"), "\n", " ")
 }
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -13,7 +13,7 @@
 )
 
 // inputs are the made-up targets and results of the tests.
-func inputs(t *testing.T) (*Targets, *result.File) {
+func loadInputs(t *testing.T) (*Targets, *result.File) {
 	t.Helper()
 	targets, err := ReadTargets("testdata/targets.json")
 	require.NoError(t, err)
@@ -22,7 +22,7 @@
 	return targets, results
 }
 
-func page(t *testing.T, targets *Targets, results ...*result.File) string {
+func renderPage(t *testing.T, targets *Targets, results ...*result.File) string {
 	t.Helper()
 	var text strings.Builder
 	require.NoError(t, Write(&text, targets, results...))
@@ -40,88 +40,88 @@
 }
 
 func TestFiguresAreSlopesTimesSizes(t *testing.T) {
-	targets, results := inputs(t)
-	scheduler := section(t, page(t, targets, results), "### Scheduler")
+	targets, results := loadInputs(t)
+	scheduler := section(t, renderPage(t, targets, results), "### Scheduler")
 	assert.Contains(t, scheduler, "| workers known | before | 30,000 × 1 KB | 30 MB |  |  | E1 |")
 	assert.Contains(t, scheduler, "| at rest | before |  | 0.09 core | 0.03 core | over, ×3 | E2, ×3 outside the range |")
 	assert.Contains(t, scheduler, "| with all tasks in hand | before |  | 460 MB | 200 MB | over, ×2.3 | E4, ×5 outside the range |")
 }
 
 func TestMeasuredPointTakesThePlaceOfWhatIsNoLine(t *testing.T) {
-	targets, results := inputs(t)
-	text := page(t, targets, results)
+	targets, results := loadInputs(t)
+	text := renderPage(t, targets, results)
 	assert.Contains(t, section(t, text, "### Scheduler"), "| at rest | now |  | 0.03 core | 0.03 core | within, ×1 | E3 |")
 	assert.Contains(t, section(t, text, "## Evidence"), "| E3 | real | workers | now | cpu_at_rest_cores | mean 0.03, 0.02 to 0.04 | measured point | workers 30,000 | 2 runs, 2 seeds |")
 }
 
 // What is within the budget at a smaller size need not be at the planned one.
 func TestBudgetIsNotJudgedByAFarSize(t *testing.T) {
-	targets, results := inputs(t)
+	targets, results := loadInputs(t)
 	row := &targets.Roles[0].Rows[3]
 	row.Total.Figure.Use = UsePoint
 	results.Runs = results.Runs[:5] // without those that tried the size and missed
-	assert.Contains(t, section(t, page(t, targets, results), "### Scheduler"),
+	assert.Contains(t, section(t, renderPage(t, targets, results), "### Scheduler"),
 		"| with all tasks in hand | before |  | 140 MB at tasks 4,000 | 200 MB | not told: ×0.7 there | E4, ×5 outside the range |")
 }
 
 // A case that was run at one size alone has no line.
 func TestMeasuredPointTakesThePlaceOfALineThatIsMissing(t *testing.T) {
-	targets, results := inputs(t)
+	targets, results := loadInputs(t)
 	results.Slopes = results.Slopes[:2]
-	assert.Contains(t, section(t, page(t, targets, results), "### Scheduler"), "| at rest | now |  | 0.03 core | 0.03 core | within, ×1 | E3 |")
+	assert.Contains(t, section(t, renderPage(t, targets, results), "### Scheduler"), "| at rest | now |  | 0.03 core | 0.03 core | within, ×1 | E3 |")
 }
 
 // Where a run at the size itself missed, a figure of another size would hide it.
 func TestPointOfASizeThatWasMissedIsUnknown(t *testing.T) {
-	targets, results := inputs(t)
+	targets, results := loadInputs(t)
 	results.Runs = append(results.Runs, result.Run{Case: "gangs", Kind: result.Real, Seed: 3, Program: "today",
-		Parameters: map[string]float64{"gang": 1024}, Missed: `too many: time=2000-01-01T00:00:00Z level=WARN msg="full"`})
-	text := page(t, targets, results)
+		Parameters: map[string]float64{"gang": 1024}, MissedReason: `too many: time=2000-01-01T00:00:00Z level=WARN msg="full"`})
+	text := renderPage(t, targets, results)
 	assert.Contains(t, section(t, text, "### Gangs"), "| tasks sent |  | 1,024 × | not measured |")
 	assert.Contains(t, section(t, text, "## Not measured"), `| Gangs: tasks sent | now | missed at this size: too many: level=WARN msg="full" |`)
 }
 
 func TestBaseIsAddedToWhatTheItemsNeed(t *testing.T) {
-	targets, results := inputs(t)
+	targets, results := loadInputs(t)
 	row := &targets.Roles[0].Rows[3]
 	row.Base, row.Total = &Term{Figure: &Source{Kind: result.Real, Case: "workers", Figure: "rss_bytes", Parameter: "workers", Use: UseIntercept}}, nil
-	row.Count = &Term{Times: []string{"tasks_in_hand"}}
+	row.Count = &Term{Factors: []string{"tasks_in_hand"}}
 	row.Each = &Term{Figure: &Source{Kind: result.Real, Case: "tasks", Figure: "rss_bytes", Parameter: "tasks", Use: UseSlope}}
-	assert.Contains(t, section(t, page(t, targets, results), "### Scheduler"),
+	assert.Contains(t, section(t, renderPage(t, targets, results), "### Scheduler"),
 		"| memory | with all tasks in hand | before | 40 MB + 20,000 × 20 KB | 440 MB | 200 MB | over, ×2.2 | E1, E4 |")
 }
 
 func TestFigureOverAnotherFigure(t *testing.T) {
-	targets, results := inputs(t)
+	targets, results := loadInputs(t)
 	term := targets.Roles[1].Rows[1].Total
-	term.Over = &Source{Kind: result.Real, Case: "gangs", Figure: "jobs", Parameter: "gang", Use: UsePoint, At: "gang"}
-	assert.Contains(t, section(t, page(t, targets, results), "### Gangs"), "| tasks sent |  | 1,024 × | not measured |")
+	term.Denominator = &Source{Kind: result.Real, Case: "gangs", Figure: "jobs", Parameter: "gang", Use: UsePoint, At: "gang"}
+	assert.Contains(t, section(t, renderPage(t, targets, results), "### Gangs"), "| tasks sent |  | 1,024 × | not measured |")
 	for i := range results.Runs {
 		if results.Runs[i].Case == "gangs" {
 			results.Runs[i].Figures["jobs"] = 100
 		}
 	}
-	assert.Contains(t, section(t, page(t, targets, results), "### Gangs"), "| tasks sent | now | 1,024 × 0.00391 | 4 at gang 128 |  |  | E5, E6, ×8 outside the range |")
-	term.Over.Case = ""
+	assert.Contains(t, section(t, renderPage(t, targets, results), "### Gangs"), "| tasks sent | now | 1,024 × 0.00391 | 4 at gang 128 |  |  | E5, E6, ×8 outside the range |")
+	term.Denominator.Case = ""
 	require.ErrorContains(t, Write(&strings.Builder{}, targets, results), "targets.roles.gangs.rows.gang_messages.total.over: case or figure is missing")
 }
 
 // Where the files lay on the machine that was measured is nobody's business.
 func TestCommandIsShownWithoutDirectories(t *testing.T) {
-	targets, results := inputs(t)
+	targets, results := loadInputs(t)
 	results.Command = "measure scale --program old=/a/b/cobaltflow --out ../c/results.json"
-	assert.Contains(t, page(t, targets, results), "| 1: `measure scale --program old=cobaltflow --out results.json` |")
+	assert.Contains(t, renderPage(t, targets, results), "| 1: `measure scale --program old=cobaltflow --out results.json` |")
 }
 
 func TestNearestPointTellsHowFarItIs(t *testing.T) {
-	targets, results := inputs(t)
-	gangs := section(t, page(t, targets, results), "### Gangs")
+	targets, results := loadInputs(t)
+	gangs := section(t, renderPage(t, targets, results), "### Gangs")
 	assert.Contains(t, gangs, "| tasks sent | now | 1,024 × 0.391 | 400 at gang 128 |  |  | E5, ×8 outside the range |")
 }
 
 func TestMissingResultIsSaid(t *testing.T) {
-	targets, results := inputs(t)
-	text := page(t, targets, results)
+	targets, results := loadInputs(t)
+	text := renderPage(t, targets, results)
 	assert.Contains(t, section(t, text, "### Gangs"), "| a gang |  |  | not measured |")
 	unmeasured := section(t, text, "## Not measured")
 	assert.Contains(t, unmeasured, `| Gangs: a gang | before, now | no result of cpu_seconds in the hollow case "gangs" |`)
@@ -130,8 +130,8 @@
 }
 
 func TestRankingGivesTheFirstMissingMechanism(t *testing.T) {
-	targets, results := inputs(t)
-	text := section(t, page(t, targets, results), "## Furthest over budget, with no mechanism that carries it")
+	targets, results := loadInputs(t)
+	text := section(t, renderPage(t, targets, results), "## Furthest over budget, with no mechanism that carries it")
 	before := section(t, text, "### before")
 	assert.Contains(t, before, "The mechanism that is missing first, by the figures: **sharding**.")
 	assert.Contains(t, before, "| 1 | ×3 | Scheduler: at rest | 0.09 core | 0.03 core | sharding |")
@@ -141,17 +141,17 @@
 
 // A row further over its budget goes first, whatever the order of the rows.
 func TestRankingIsSorted(t *testing.T) {
-	targets, results := inputs(t)
+	targets, results := loadInputs(t)
 	targets.Roles[0].Rows[3].Mechanism = "reservation"
 	results.Slopes[3].Slope *= 10
-	before := section(t, page(t, targets, results), "### before")
+	before := section(t, renderPage(t, targets, results), "### before")
 	assert.Contains(t, before, "first, by the figures: **reservation with lease**.")
 	assert.Less(t, strings.Index(before, "with all tasks in hand"), strings.Index(before, "at rest"))
 }
 
 func TestNumberOfSchedulers(t *testing.T) {
-	targets, results := inputs(t)
-	text := section(t, page(t, targets, results), "## How many schedulers")
+	targets, results := loadInputs(t)
+	text := section(t, renderPage(t, targets, results), "## How many schedulers")
 	assert.Contains(t, text, "| memory | before | 600,000 × 20 KB / (200 MB − 70 MB) | E1, E4, ×3 outside the range |")
 	assert.Contains(t, text, "| the planned one | before | 93 | memory | memory: 93 |") // 12 GB over 130 MB
 	assert.Contains(t, text, "| a tenth | before | 8 | memory | memory: 8 |")           // 1.2 GB over 157 MB
@@ -159,17 +159,17 @@
 }
 
 func TestNoNumberOfSchedulersWhereTheFixedPartIsOver(t *testing.T) {
-	targets, results := inputs(t)
+	targets, results := loadInputs(t)
 	results.Slopes[0].Intercept = 250e6
-	text := section(t, page(t, targets, results), "## How many schedulers")
+	text := section(t, renderPage(t, targets, results), "## How many schedulers")
 	assert.Contains(t, text, "| the planned one | before | no number | memory: what each scheduler needs anyway is over the budget | memory: none |")
 }
 
 func TestEachOperatorNumberHasItsLine(t *testing.T) {
-	targets, results := inputs(t)
-	text := section(t, page(t, targets, results), "## The operators' numbers")
+	targets, results := loadInputs(t)
+	text := section(t, renderPage(t, targets, results), "## The operators' numbers")
 	for _, size := range targets.Sizes {
-		if size.Operator {
+		if size.FromOperators {
 			assert.Contains(t, text, "\n| "+size.Text+" | ")
 		}
 	}
@@ -177,10 +177,10 @@
 }
 
 func TestSameInputsGiveTheSameBytes(t *testing.T) {
-	targets, results := inputs(t)
-	first := page(t, targets, results)
+	targets, results := loadInputs(t)
+	first := renderPage(t, targets, results)
 	for range 5 {
-		require.Equal(t, first, page(t, targets, results))
+		require.Equal(t, first, renderPage(t, targets, results))
 	}
 }
 
@@ -236,7 +236,7 @@
 }
 
 func TestFaultyResultsNameTheKey(t *testing.T) {
-	targets, _ := inputs(t)
+	targets, _ := loadInputs(t)
 	for _, c := range []struct {
 		name   string
 		change func(f *result.File)
@@ -245,7 +245,7 @@
 		{"case of a run", func(f *result.File) { f.Runs[2].Case = "" }, "results.0.runs.2.case: missing"},
 		{"kind of a run", func(f *result.File) { f.Runs[2].Kind = "solid" }, `results.0.runs.2.kind: "solid" is not one of real, hollow`},
 		{"program of a run", func(f *result.File) { f.Runs[2].Program = "" }, "results.0.runs.2.program: missing"},
-		{"run without figures", func(f *result.File) { f.Runs[5].Missed = "" }, "results.0.runs.5.figures: there are none, and missed doesn't say why"},
+		{"run without figures", func(f *result.File) { f.Runs[5].MissedReason = "" }, "results.0.runs.5.figures: there are none, and missed doesn't say why"},
 		{"case of a slope", func(f *result.File) { f.Slopes[1].Case = "" }, "results.0.slopes.1.case: missing"},
 		{"parameter of a slope", func(f *result.File) { f.Slopes[1].Parameter = "" }, "results.0.slopes.1.parameter: missing"},
 		{"figure of a slope", func(f *result.File) { f.Slopes[1].Figure = "" }, "results.0.slopes.1.figure: missing"},
@@ -256,7 +256,7 @@
 		{"twice", func(f *result.File) { f.Slopes = append(f.Slopes, f.Slopes[0]) }, `results.0.slopes.4: rss_bytes of case "workers" along "workers", program "old", stands in results.0 already`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, results := inputs(t)
+			_, results := loadInputs(t)
 			c.change(results)
 			var text strings.Builder
 			err := Write(&text, targets, results)
@@ -278,55 +278,55 @@
 		{Seconds, 188, "188 s"}, {Number, 33_000, "33,000"}, {Number, 1_234_567, "1,230,000"}, {Number, -1234, "-1,230"},
 		{PerSecond, 103.125, "103/s"}, {PerDay, 16_000, "16,000 a day"}, {PerJob, 2.9, "2.9 a job"}, {Descriptors, 5_100, "5,100"},
 	} {
-		assert.Equal(t, c.want, c.unit.computed(c.value))
+		assert.Equal(t, c.want, c.unit.formatRounded(c.value))
 	}
-	assert.Equal(t, "12,345", Number.show(12_345)) // a size is shown as it is
+	assert.Equal(t, "12,345", Number.format(12_345)) // a size is shown as it is
 }
 
 // A results file that was written can be read back and gives the same page.
 func TestPageOfAFileReadBack(t *testing.T) {
-	targets, results := inputs(t)
+	targets, results := loadInputs(t)
 	text, err := json.Marshal(results)
 	require.NoError(t, err)
 	var again result.File
 	require.NoError(t, json.Unmarshal(text, &again))
-	assert.Equal(t, page(t, targets, results), page(t, targets, &again))
+	assert.Equal(t, renderPage(t, targets, results), renderPage(t, targets, &again))
 }
 
 func TestFigureOfALineThatIsNoneIsMarked(t *testing.T) {
-	targets, results := inputs(t)
-	results.Slopes[0].NotALine = "it bends"
-	text := page(t, targets, results)
+	targets, results := loadInputs(t)
+	results.Slopes[0].PoorFitReason = "it bends"
+	text := renderPage(t, targets, results)
 	assert.Contains(t, section(t, text, "### Scheduler"), "| workers known | before | 30,000 × 1 KB | 30 MB |  |  | E1, not a line |")
 	assert.Contains(t, section(t, text, "## Evidence"), "not a line: it bends")
 }
 
 func TestRowOfSizesAloneHasOneLine(t *testing.T) {
-	targets, results := inputs(t)
+	targets, results := loadInputs(t)
 	row := &targets.Roles[1].Rows[3]
-	row.NotMeasured, row.Total, row.Unit = "", &Term{Times: []string{"tasks_in_hand"}}, Number
-	assert.Equal(t, 1, strings.Count(page(t, targets, results), "| memory | a gang |  |  | 20,000 |  |  | sizes alone |"))
+	row.NotMeasured, row.Total, row.Unit = "", &Term{Factors: []string{"tasks_in_hand"}}, Number
+	assert.Equal(t, 1, strings.Count(renderPage(t, targets, results), "| memory | a gang |  |  | 20,000 |  |  | sizes alone |"))
 }
 
 func TestSlopeNotToldFromZeroGivesAnUpperBound(t *testing.T) {
-	targets, results := inputs(t)
+	targets, results := loadInputs(t)
 	results.Slopes[0].Low = -500
-	text := page(t, targets, results)
+	text := renderPage(t, targets, results)
 	assert.Contains(t, section(t, text, "### Scheduler"), "| workers known | before | 30,000 × 1.01 KB | at most 30.3 MB |  |  | E1 |")
 	assert.Contains(t, section(t, text, "## Evidence"), "no slope seen: the interval holds 0")
 
 	// A bound over the budget proves nothing, and is not ranked.
 	targets.Roles[0].Rows[3].Total.Figure.Use = UseSlope
 	results.Slopes[3].Low = -1
-	text = page(t, targets, results)
+	text = renderPage(t, targets, results)
 	assert.Contains(t, section(t, text, "### Scheduler"), "| with all tasks in hand | before |  | at most 420 MB | 200 MB | not told: at most ×2.1 |")
 	assert.NotContains(t, section(t, text, "### before"), "with all tasks in hand")
 }
 
 func TestPointNearEnoughTakesThePlaceOfWhatIsNoLine(t *testing.T) {
-	targets, results := inputs(t)
+	targets, results := loadInputs(t)
 	*targets.Sizes[0].Value = 31_000
-	assert.Contains(t, section(t, page(t, targets, results), "### Scheduler"), "| at rest | now |  | 0.03 core | 0.03 core | within, ×1 | E3, ×1.03 outside the range |")
+	assert.Contains(t, section(t, renderPage(t, targets, results), "### Scheduler"), "| at rest | now |  | 0.03 core | 0.03 core | within, ×1 | E3, ×1.03 outside the range |")
 	*targets.Sizes[0].Value = 40_000
-	assert.Contains(t, section(t, page(t, targets, results), "### Scheduler"), "E3, not a line, ×1.33 outside the range |")
+	assert.Contains(t, section(t, renderPage(t, targets, results), "### Scheduler"), "E3, not a line, ×1.33 outside the range |")
 }
--- a/internal/scale/capacity/check.go
+++ b/internal/scale/capacity/check.go
@@ -10,10 +10,10 @@
 // check finds the first fault of the targets.
 func (t *Targets) check() error {
 	if t.Version != FormatVersion {
-		return fault("targets.version", "%d is not %d", t.Version, FormatVersion)
+		return errorAt("targets.version", "%d is not %d", t.Version, FormatVersion)
 	}
 	c := checker{targets: t, sizes: map[string]*Size{}, mechanisms: map[string]bool{}}
-	for _, step := range []func() error{c.programs, c.sizesDefined, c.mechanismsDefined, c.roles, c.constraints, c.fleets, c.answered} {
+	for _, step := range []func() error{c.checkPrograms, c.checkSizes, c.checkMechanisms, c.checkRoles, c.checkConstraints, c.checkFleets, c.checkOperatorNumbers} {
 		if err := step(); err != nil {
 			return err
 		}
@@ -28,19 +28,19 @@
 	mechanisms map[string]bool
 }
 
-func (c *checker) programs() error {
+func (c *checker) checkPrograms() error {
 	if len(c.targets.Programs) == 0 {
-		return fault("targets.programs", "there are none")
+		return errorAt("targets.programs", "there are none")
 	}
 	seen := map[string]bool{}
 	for i, p := range c.targets.Programs {
 		key := fmt.Sprintf("targets.programs.%d", i)
 		if p.Label == "" || len(p.Names) == 0 {
-			return fault(key, "label or names is missing")
+			return errorAt(key, "label or names is missing")
 		}
 		for _, name := range p.Names {
 			if seen[name] {
-				return fault(key+".names", "%q stands twice", name)
+				return errorAt(key+".names", "%q stands twice", name)
 			}
 			seen[name] = true
 		}
@@ -49,30 +49,30 @@
 }
 
 // sizesDefined checks that a size rests on sizes that stand before it, so that none rests on itself.
-func (c *checker) sizesDefined() error {
+func (c *checker) checkSizes() error {
 	for i := range c.targets.Sizes {
 		size := &c.targets.Sizes[i]
 		key := fmt.Sprintf("targets.sizes.%d", i)
 		if size.Key == "" {
-			return fault(key+".key", "missing")
+			return errorAt(key+".key", "missing")
 		}
 		key = "targets.sizes." + size.Key
 		if c.sizes[size.Key] != nil {
-			return fault(key, "stands twice")
+			return errorAt(key, "stands twice")
 		}
-		if !size.Unit.known() {
-			return fault(key+".unit", "%q is not a unit", size.Unit)
+		if !size.Unit.isValid() {
+			return errorAt(key+".unit", "%q is not a unit", size.Unit)
 		}
-		if (size.Value != nil) == (len(size.Of) > 0) {
-			return fault(key, "either value or of is needed, and not both")
+		if (size.Value != nil) == (len(size.Factors) > 0) {
+			return errorAt(key, "either value or of is needed, and not both")
 		}
 		if size.Value != nil && *size.Value <= 0 {
-			return fault(key+".value", "%g is not over 0", *size.Value)
+			return errorAt(key+".value", "%g is not over 0", *size.Value)
 		}
-		if err := c.known(key+".of", size.Of...); err != nil {
+		if err := c.checkSizesDefined(key+".of", size.Factors...); err != nil {
 			return err
 		}
-		if err := c.known(key+".per", size.Per...); err != nil {
+		if err := c.checkSizesDefined(key+".per", size.Divisors...); err != nil {
 			return err
 		}
 		c.sizes[size.Key] = size
@@ -81,75 +81,75 @@
 }
 
 // known checks that sizes are defined.
-func (c *checker) known(key string, sizes ...string) error {
+func (c *checker) checkSizesDefined(key string, sizes ...string) error {
 	for _, name := range sizes {
 		if c.sizes[name] == nil {
-			return fault(key, "there is no size %q before it", name)
+			return errorAt(key, "there is no size %q before it", name)
 		}
 	}
 	return nil
 }
 
-func (c *checker) mechanismsDefined() error {
+func (c *checker) checkMechanisms() error {
 	for i, m := range c.targets.Mechanisms {
 		key := fmt.Sprintf("targets.mechanisms.%d", i)
-		if m.Key == "" || m.Name == "" || m.Says == "" {
-			return fault(key, "key, name or says is missing")
+		if m.Key == "" || m.Name == "" || m.Description == "" {
+			return errorAt(key, "key, name or says is missing")
 		}
 		key = "targets.mechanisms." + m.Key
 		if c.mechanisms[m.Key] {
-			return fault(key, "stands twice")
+			return errorAt(key, "stands twice")
 		}
 		c.mechanisms[m.Key] = true
-		if !m.Status.known() {
-			return fault(key+".status", "%q is not one of works, partial, missing", m.Status)
+		if !m.Status.isValid() {
+			return errorAt(key+".status", "%q is not one of works, partial, missing", m.Status)
 		}
 		for _, label := range sortedKeys(m.Earlier) {
-			if !m.Earlier[label].known() {
-				return fault(key+".earlier."+label, "%q is not one of works, partial, missing", m.Earlier[label])
+			if !m.Earlier[label].isValid() {
+				return errorAt(key+".earlier."+label, "%q is not one of works, partial, missing", m.Earlier[label])
 			}
 		}
 		if m.Status == Missing && len(m.Options) == 0 {
-			return fault(key+".options", "a mechanism that is missing needs options")
+			return errorAt(key+".options", "a mechanism that is missing needs options")
 		}
 	}
 	return nil
 }
 
-func (c *checker) roles() error {
+func (c *checker) checkRoles() error {
 	if len(c.targets.Roles) == 0 {
-		return fault("targets.roles", "there are none")
+		return errorAt("targets.roles", "there are none")
 	}
 	rows := map[string]bool{}
 	for i := range c.targets.Roles {
 		role := &c.targets.Roles[i]
 		key := fmt.Sprintf("targets.roles.%d", i)
 		if role.Key == "" || role.Title == "" {
-			return fault(key, "key or title is missing")
+			return errorAt(key, "key or title is missing")
 		}
 		key = "targets.roles." + role.Key
 		if len(role.Mechanisms) == 0 {
-			return fault(key+".mechanisms", "there are none")
+			return errorAt(key+".mechanisms", "there are none")
 		}
 		for _, m := range role.Mechanisms {
 			if !c.mechanisms[m] {
-				return fault(key+".mechanisms", "there is no mechanism %q", m)
+				return errorAt(key+".mechanisms", "there is no mechanism %q", m)
 			}
 		}
 		for n := range role.Rows {
 			row := &role.Rows[n]
 			if row.Key == "" {
-				return fault(fmt.Sprintf("%s.rows.%d.key", key, n), "missing")
+				return errorAt(fmt.Sprintf("%s.rows.%d.key", key, n), "missing")
 			}
 			if rows[row.Key] {
-				return fault(key+".rows."+row.Key, "stands twice")
+				return errorAt(key+".rows."+row.Key, "stands twice")
 			}
 			rows[row.Key] = true
-			if err := c.row(key+".rows."+row.Key, row); err != nil {
+			if err := c.checkRow(key+".rows."+row.Key, row); err != nil {
 				return err
 			}
 		}
-		if err := c.aspects(key, role); err != nil {
+		if err := c.checkAspects(key, role); err != nil {
 			return err
 		}
 	}
@@ -157,125 +157,125 @@
 }
 
 // aspects checks that a role tells of all that each role has to tell of.
-func (c *checker) aspects(key string, role *Role) error {
-	for _, aspect := range neededAspects {
+func (c *checker) checkAspects(key string, role *Role) error {
+	for _, aspect := range requiredAspects {
 		if !slices.ContainsFunc(role.Rows, func(r Row) bool { return r.Aspect == aspect }) {
-			return fault(key+".rows", "there is no row of the aspect %q", aspect)
+			return errorAt(key+".rows", "there is no row of the aspect %q", aspect)
 		}
 	}
 	return nil
 }
 
-func (c *checker) row(key string, row *Row) error {
+func (c *checker) checkRow(key string, row *Row) error {
 	if row.Quantity == "" {
-		return fault(key+".quantity", "missing")
+		return errorAt(key+".quantity", "missing")
 	}
-	if !row.Aspect.known() {
-		return fault(key+".aspect", "%q is not an aspect", row.Aspect)
+	if !row.Aspect.isValid() {
+		return errorAt(key+".aspect", "%q is not an aspect", row.Aspect)
 	}
-	if !row.Unit.known() {
-		return fault(key+".unit", "%q is not a unit", row.Unit)
+	if !row.Unit.isValid() {
+		return errorAt(key+".unit", "%q is not a unit", row.Unit)
 	}
 	computed := row.Total != nil || row.Count != nil && row.Each != nil
 	if computed == (row.NotMeasured != "") {
-		return fault(key, "either total, or count and each, or not_measured is needed")
+		return errorAt(key, "either total, or count and each, or not_measured is needed")
 	}
 	if row.Total != nil && row.Each != nil {
-		return fault(key+".each", "follows from total")
+		return errorAt(key+".each", "follows from total")
 	}
 	if row.Base != nil && row.Each == nil {
-		return fault(key+".base", "stands beside count and each only")
+		return errorAt(key+".base", "stands beside count and each only")
 	}
-	for _, part := range row.terms() {
-		if err := c.term(key+"."+part.name, part.term); err != nil {
+	for _, part := range row.namedTerms() {
+		if err := c.checkTerm(key+"."+part.name, part.term); err != nil {
 			return err
 		}
 	}
 	if row.Mechanism != "" && !c.mechanisms[row.Mechanism] {
-		return fault(key+".mechanism", "there is no mechanism %q", row.Mechanism)
+		return errorAt(key+".mechanism", "there is no mechanism %q", row.Mechanism)
 	}
-	if err := c.known(key+".answers", row.Answers...); err != nil {
+	if err := c.checkSizesDefined(key+".answers", row.AlsoCovers...); err != nil {
 		return err
 	}
-	return c.budget(key+".budget", row.Budget, row.Unit)
+	return c.checkBudget(key+".budget", row.Budget, row.Unit)
 }
 
 // budget checks that a budget is a size in the unit of what it bounds.
-func (c *checker) budget(key, name string, unit Unit) error {
+func (c *checker) checkBudget(key, name string, unit Unit) error {
 	if name == "" {
 		return nil
 	}
-	if err := c.known(key, name); err != nil {
+	if err := c.checkSizesDefined(key, name); err != nil {
 		return err
 	}
 	if has := c.sizes[name].Unit; has != unit {
-		return fault(key, "%q is in %s, and what it bounds in %s", name, has, unit)
+		return errorAt(key, "%q is in %s, and what it bounds in %s", name, has, unit)
 	}
 	return nil
 }
 
-func (c *checker) term(key string, term *Term) error {
-	if term.Figure == nil && len(term.Times) == 0 {
-		return fault(key, "neither figure nor times")
+func (c *checker) checkTerm(key string, term *Term) error {
+	if term.Figure == nil && len(term.Factors) == 0 {
+		return errorAt(key, "neither figure nor times")
 	}
-	if err := c.known(key+".times", term.Times...); err != nil {
+	if err := c.checkSizesDefined(key+".times", term.Factors...); err != nil {
 		return err
 	}
-	if err := c.known(key+".per", term.Per...); err != nil {
+	if err := c.checkSizesDefined(key+".per", term.Divisors...); err != nil {
 		return err
 	}
 	if term.Figure == nil {
-		if term.Over != nil {
-			return fault(key+".over", "stands beside figure only")
+		if term.Denominator != nil {
+			return errorAt(key+".over", "stands beside figure only")
 		}
 		return nil
 	}
-	if err := c.source(key+".figure", term.Figure); err != nil || term.Over == nil {
+	if err := c.checkSource(key+".figure", term.Figure); err != nil || term.Denominator == nil {
 		return err
 	}
-	return c.source(key+".over", term.Over)
+	return c.checkSource(key+".over", term.Denominator)
 }
 
-func (c *checker) source(key string, s *Source) error {
+func (c *checker) checkSource(key string, s *Source) error {
 	if s.Case == "" || s.Figure == "" {
-		return fault(key, "case or figure is missing")
+		return errorAt(key, "case or figure is missing")
 	}
 	if s.Kind != result.Real && s.Kind != result.Hollow {
-		return fault(key+".kind", "%q is not one of real, hollow", s.Kind)
+		return errorAt(key+".kind", "%q is not one of real, hollow", s.Kind)
 	}
-	if !s.Use.known() {
-		return fault(key+".use", "%q is not one of line, slope, intercept, point", s.Use)
+	if !s.Use.isValid() {
+		return errorAt(key+".use", "%q is not one of line, slope, intercept, point", s.Use)
 	}
 	if s.Parameter == "" && s.Use != UsePoint {
-		return fault(key+".parameter", "missing")
+		return errorAt(key+".parameter", "missing")
 	}
 	if s.At == "" && (s.Use == UseLine || s.Use == UsePoint && s.Parameter != "") {
-		return fault(key+".at", "missing")
+		return errorAt(key+".at", "missing")
 	}
 	if s.At == "" {
 		return nil
 	}
-	return c.known(key+".at", s.At)
+	return c.checkSizesDefined(key+".at", s.At)
 }
 
-func (c *checker) constraints() error {
+func (c *checker) checkConstraints() error {
 	for i := range c.targets.Constraints {
 		constraint := &c.targets.Constraints[i]
 		key := fmt.Sprintf("targets.constraints.%d", i)
 		if constraint.Text == "" {
-			return fault(key+".text", "missing")
+			return errorAt(key+".text", "missing")
 		}
-		if err := c.known(key+".budget", constraint.Budget); err != nil {
+		if err := c.checkSizesDefined(key+".budget", constraint.Budget); err != nil {
 			return err
 		}
-		if err := c.known(key+".events", constraint.Events); err != nil {
+		if err := c.checkSizesDefined(key+".events", constraint.Events); err != nil {
 			return err
 		}
-		if err := c.term(key+".each", &constraint.Each); err != nil {
+		if err := c.checkTerm(key+".each", &constraint.Each); err != nil {
 			return err
 		}
 		for n := range constraint.Fixed {
-			if err := c.term(fmt.Sprintf("%s.fixed.%d", key, n), &constraint.Fixed[n]); err != nil {
+			if err := c.checkTerm(fmt.Sprintf("%s.fixed.%d", key, n), &constraint.Fixed[n]); err != nil {
 				return err
 			}
 		}
@@ -283,21 +283,21 @@
 	return nil
 }
 
-func (c *checker) fleets() error {
+func (c *checker) checkFleets() error {
 	for i, fleet := range c.targets.Fleets {
 		key := fmt.Sprintf("targets.fleets.%d", i)
 		if fleet.Text == "" {
-			return fault(key+".text", "missing")
+			return errorAt(key+".text", "missing")
 		}
 		for _, name := range sortedKeys(fleet.Sizes) {
-			if err := c.known(key+".sizes", name); err != nil {
+			if err := c.checkSizesDefined(key+".sizes", name); err != nil {
 				return err
 			}
 			if c.sizes[name].Value == nil {
-				return fault(key+".sizes."+name, "follows from other sizes")
+				return errorAt(key+".sizes."+name, "follows from other sizes")
 			}
 			if fleet.Sizes[name] <= 0 {
-				return fault(key+".sizes."+name, "%g is not over 0", fleet.Sizes[name])
+				return errorAt(key+".sizes."+name, "%g is not over 0", fleet.Sizes[name])
 			}
 		}
 	}
@@ -305,11 +305,11 @@
 }
 
 // answered checks that each number of the operators' list stands behind a row.
-func (c *checker) answered() error {
+func (c *checker) checkOperatorNumbers() error {
 	for i := range c.targets.Sizes {
 		size := &c.targets.Sizes[i]
-		if size.Operator && len(c.targets.rowsOf(size.Key)) == 0 {
-			return fault("targets.sizes."+size.Key, "no row rests on this number of the operators' list")
+		if size.FromOperators && len(c.targets.rowsUsing(size.Key)) == 0 {
+			return errorAt("targets.sizes."+size.Key, "no row rests on this number of the operators' list")
 		}
 	}
 	return nil
@@ -318,7 +318,7 @@
 // checkResults finds the first fault of the results, as far as the page rests on them.
 func checkResults(results []*result.File) error {
 	if len(results) == 0 {
-		return fault("results", "there are none")
+		return errorAt("results", "there are none")
 	}
 	lines := map[lineKey]int{}
 	for i, file := range results {
@@ -333,11 +333,11 @@
 			if err := checkSlope(key, slope); err != nil {
 				return err
 			}
-			if other, twice := lines[keyOfSlope(slope)]; twice {
-				return fault(key, "%s of case %q along %q, program %q, stands in results.%d already",
+			if other, twice := lines[slopeKey(slope)]; twice {
+				return errorAt(key, "%s of case %q along %q, program %q, stands in results.%d already",
 					slope.Figure, slope.Case, slope.Parameter, slope.Program, other)
 			}
-			lines[keyOfSlope(slope)] = i
+			lines[slopeKey(slope)] = i
 		}
 	}
 	return nil
@@ -346,13 +346,13 @@
 func checkRun(key string, run *result.Run) error {
 	switch {
 	case run.Case == "":
-		return fault(key+".case", "missing")
+		return errorAt(key+".case", "missing")
 	case run.Program == "":
-		return fault(key+".program", "missing")
+		return errorAt(key+".program", "missing")
 	case run.Kind != result.Real && run.Kind != result.Hollow:
-		return fault(key+".kind", "%q is not one of real, hollow", run.Kind)
-	case len(run.Figures) == 0 && run.Missed == "":
-		return fault(key+".figures", "there are none, and missed doesn't say why")
+		return errorAt(key+".kind", "%q is not one of real, hollow", run.Kind)
+	case len(run.Figures) == 0 && run.MissedReason == "":
+		return errorAt(key+".figures", "there are none, and missed doesn't say why")
 	}
 	return nil
 }
@@ -360,19 +360,19 @@
 func checkSlope(key string, s *result.Slope) error {
 	switch {
 	case s.Case == "":
-		return fault(key+".case", "missing")
+		return errorAt(key+".case", "missing")
 	case s.Program == "":
-		return fault(key+".program", "missing")
+		return errorAt(key+".program", "missing")
 	case s.Figure == "":
-		return fault(key+".figure", "missing")
+		return errorAt(key+".figure", "missing")
 	case s.Parameter == "":
-		return fault(key+".parameter", "missing")
+		return errorAt(key+".parameter", "missing")
 	case s.Kind != result.Real && s.Kind != result.Hollow:
-		return fault(key+".kind", "%q is not one of real, hollow", s.Kind)
+		return errorAt(key+".kind", "%q is not one of real, hollow", s.Kind)
 	case s.From > s.To:
-		return fault(key+".from", "%g is over to, %g", s.From, s.To)
+		return errorAt(key+".from", "%g is over to, %g", s.From, s.To)
 	case s.Low > s.High:
-		return fault(key+".low", "%g is over high, %g", s.Low, s.High)
+		return errorAt(key+".low", "%g is over high, %g", s.Low, s.High)
 	}
 	return nil
 }
--- a/internal/scale/capacity/estimate.go
+++ b/internal/scale/capacity/estimate.go
@@ -10,50 +10,50 @@
 
 // estimate is what the results give for a term.
 type estimate struct {
-	value    float64
-	unknown  string  // why there is no value; empty: there is one
-	evidence []int   // numbers of the lines of evidence behind it
-	beyond   float64 // times beyond the measured range that the figure was taken; 1: within it
+	value         float64
+	unknownReason string  // why there is no value; empty: there is one
+	evidence      []int   // numbers of the lines of evidence behind it
+	extrapolation float64 // times beyond the measured range that the figure was taken; 1: within it
 	// elsewhere is the size at which the value was measured, where that is far from the one wanted and nothing was
 	// extrapolated: the value is the one of that size.
-	elsewhere string
-	atMost    bool // a slope behind it was not told from 0, and the upper end of its interval was taken
+	measuredAt   string
+	isUpperBound bool // a slope behind it was not told from 0, and the upper end of its interval was taken
 }
 
-func (e *estimate) known() bool { return e.unknown == "" }
+func (e *estimate) isKnown() bool { return e.unknownReason == "" }
 
 // measured tells whether the value rests on a result, and not on sizes alone.
-func (e *estimate) measured() bool { return len(e.evidence) > 0 }
+func (e *estimate) isMeasured() bool { return len(e.evidence) > 0 }
 
 // times multiplies two estimates. It rests on the evidence of both, and is as far beyond what was measured as the worse.
-func (e estimate) times(other estimate) estimate {
-	product := e.with(other)
+func (e estimate) multiplyBy(other estimate) estimate {
+	product := e.merge(other)
 	product.value = e.value * other.value
 	return product
 }
 
 // over divides an estimate by another.
-func (e estimate) over(other estimate) estimate {
-	quotient := e.with(other)
+func (e estimate) divideBy(other estimate) estimate {
+	quotient := e.merge(other)
 	quotient.value = e.value / other.value
-	if other.known() && other.value == 0 {
-		quotient.unknown = "there were none to divide by"
+	if other.isKnown() && other.value == 0 {
+		quotient.unknownReason = "there were none to divide by"
 	}
 	return quotient
 }
 
 // plus adds two estimates.
-func (e estimate) plus(other estimate) estimate {
-	sum := e.with(other)
+func (e estimate) add(other estimate) estimate {
+	sum := e.merge(other)
 	sum.value = e.value + other.value
 	return sum
 }
 
 // with joins what two estimates rest on; the value, and where it was measured, are left open.
-func (e estimate) with(other estimate) estimate {
-	joined := estimate{unknown: e.unknown, beyond: max(e.beyond, other.beyond), atMost: e.atMost || other.atMost}
-	if joined.unknown == "" {
-		joined.unknown = other.unknown
+func (e estimate) merge(other estimate) estimate {
+	joined := estimate{unknownReason: e.unknownReason, extrapolation: max(e.extrapolation, other.extrapolation), isUpperBound: e.isUpperBound || other.isUpperBound}
+	if joined.unknownReason == "" {
+		joined.unknownReason = other.unknownReason
 	}
 	joined.evidence = append(slices.Clone(e.evidence), other.evidence...)
 	slices.Sort(joined.evidence)
@@ -70,34 +70,34 @@
 }
 
 // of evaluates a term.
-func (e *estimator) of(term *Term) estimate {
-	amount := estimate{value: e.sizes.product(term.Times, term.Per), beyond: 1}
+func (e *estimator) evaluate(term *Term) estimate {
+	amount := estimate{value: e.sizes.product(term.Factors, term.Divisors), extrapolation: 1}
 	if term.Figure == nil {
 		return amount
 	}
-	figure := e.figure(term.Figure)
-	product := figure.times(amount)
-	if term.Over != nil {
-		product = product.over(e.figure(term.Over))
+	figure := e.estimateFigure(term.Figure)
+	product := figure.multiplyBy(amount)
+	if term.Denominator != nil {
+		product = product.divideBy(e.estimateFigure(term.Denominator))
 	}
-	product.elsewhere = figure.elsewhere
+	product.measuredAt = figure.measuredAt
 	return product
 }
 
 // figure evaluates a measured figure.
-func (e *estimator) figure(source *Source) estimate {
+func (e *estimator) estimateFigure(source *Source) estimate {
 	if source.Use == UsePoint {
-		return e.point(source)
+		return e.estimatePoint(source)
 	}
-	slope, fitted := e.slope(source)
+	slope, fitted := e.findSlope(source)
 	at, given := e.sizes[source.At]
-	if source.Use == UseLine && (!fitted || slope.NotALine != "" && e.measuredNear(source, at)) {
-		return e.point(source)
+	if source.Use == UseLine && (!fitted || slope.PoorFitReason != "" && e.isMeasuredNear(source, at)) {
+		return e.estimatePoint(source)
 	}
 	if !fitted {
-		return unmeasured(source)
+		return noResult(source)
 	}
-	found := estimate{beyond: 1, evidence: []int{e.evidence.line(slope, e.seeds(source))}}
+	found := estimate{extrapolation: 1, evidence: []int{e.evidence.addLine(slope, e.countSeeds(source))}}
 	switch source.Use {
 	case UseIntercept:
 		found.value = slope.Intercept
@@ -105,7 +105,7 @@
 		found.value = slope.Intercept + slope.Slope*at
 	case UseSlope:
 		found.value = slope.Slope
-		if found.atMost = slope.Low <= 0 && slope.High >= 0; found.atMost {
+		if found.isUpperBound = slope.Low <= 0 && slope.High >= 0; found.isUpperBound {
 			found.value = slope.High
 		}
 		if given {
@@ -113,16 +113,16 @@
 		}
 	}
 	if given {
-		found.beyond = beyond(at, slope.From, slope.To)
+		found.extrapolation = extrapolationFactor(at, slope.From, slope.To)
 	}
 	if found.value < 0 {
-		found.unknown = fmt.Sprintf("the line of %s gives less than nothing there", source.Figure)
+		found.unknownReason = fmt.Sprintf("the line of %s gives less than nothing there", source.Figure)
 	}
 	return found
 }
 
 // beyond tells how many times a size lies outside of the range that was measured; 1: within it.
-func beyond(at, from, to float64) float64 {
+func extrapolationFactor(at, from, to float64) float64 {
 	switch {
 	case at > to && to > 0:
 		return at / to
@@ -132,27 +132,27 @@
 	return 1
 }
 
-func unmeasured(source *Source) estimate {
-	return estimate{beyond: 1, unknown: fmt.Sprintf("no result of %s in the %s case %q", source.Figure, source.Kind, source.Case)}
+func noResult(source *Source) estimate {
+	return estimate{extrapolation: 1, unknownReason: fmt.Sprintf("no result of %s in the %s case %q", source.Figure, source.Kind, source.Case)}
 }
 
 // lineKey tells slopes apart.
 type lineKey struct {
-	kind                             result.Kind
-	program, of, figure, alongSizeOf string
+	kind                                 result.Kind
+	program, caseName, figure, parameter string
 }
 
-func keyOfSlope(s *result.Slope) lineKey {
+func slopeKey(s *result.Slope) lineKey {
 	return lineKey{s.Kind, s.Program, s.Case, s.Figure, s.Parameter}
 }
 
 // slope finds the line of a figure.
-func (e *estimator) slope(source *Source) (*result.Slope, bool) {
+func (e *estimator) findSlope(source *Source) (*result.Slope, bool) {
 	for _, name := range e.program.Names {
 		wanted := lineKey{source.Kind, name, source.Case, source.Figure, source.Parameter}
 		for _, file := range e.results {
 			for i := range file.Slopes {
-				if keyOfSlope(&file.Slopes[i]) == wanted {
+				if slopeKey(&file.Slopes[i]) == wanted {
 					return &file.Slopes[i], true
 				}
 			}
@@ -162,11 +162,11 @@
 }
 
 // runs are those of a figure's case that gave the figure.
-func (e *estimator) runs(source *Source) (found []*result.Run) {
+func (e *estimator) findRuns(source *Source) (found []*result.Run) {
 	for _, file := range e.results {
 		for i := range file.Runs {
 			run := &file.Runs[i]
-			if _, has := run.Figures[source.Figure]; has && run.Missed == "" && e.belongs(run, source) {
+			if _, has := run.Figures[source.Figure]; has && run.MissedReason == "" && e.matches(run, source) {
 				found = append(found, run)
 			}
 		}
@@ -175,22 +175,22 @@
 }
 
 // belongs tells whether a run is one of the figure's case, in this program.
-func (e *estimator) belongs(run *result.Run, source *Source) bool {
+func (e *estimator) matches(run *result.Run, source *Source) bool {
 	return run.Kind == source.Kind && run.Case == source.Case && slices.Contains(e.program.Names, run.Program)
 }
 
 // nearEnough is the ratio of two sizes up to which a figure measured at one is taken for the other.
-const nearEnough = 1.1
+const maxPointRatio = 1.1
 
 // measuredNear tells whether the figure was measured at the size, or near enough to it.
-func (e *estimator) measuredNear(source *Source, size float64) bool {
-	runs, ratio := nearest(e.runs(source), source.Parameter, size)
-	return len(runs) > 0 && ratio <= nearEnough
+func (e *estimator) isMeasuredNear(source *Source, size float64) bool {
+	runs, ratio := nearestRuns(e.findRuns(source), source.Parameter, size)
+	return len(runs) > 0 && ratio <= maxPointRatio
 }
 
 // seeds counts the seeds of the runs behind a figure.
-func (e *estimator) seeds(source *Source) int {
-	return countSeeds(e.runs(source))
+func (e *estimator) countSeeds(source *Source) int {
+	return countSeeds(e.findRuns(source))
 }
 
 func countSeeds(runs []*result.Run) int {
@@ -202,50 +202,50 @@
 }
 
 // point takes the mean of the runs at the size that is nearest to the one wanted.
-func (e *estimator) point(source *Source) estimate {
-	runs := e.runs(source)
+func (e *estimator) estimatePoint(source *Source) estimate {
+	runs := e.findRuns(source)
 	far := 1.0
 	if source.Parameter != "" {
-		if why := e.missedAt(source, e.sizes[source.At]); why != "" {
-			return estimate{beyond: 1, unknown: why}
+		if why := e.missedReasonAt(source, e.sizes[source.At]); why != "" {
+			return estimate{extrapolation: 1, unknownReason: why}
 		}
-		runs, far = nearest(runs, source.Parameter, e.sizes[source.At])
+		runs, far = nearestRuns(runs, source.Parameter, e.sizes[source.At])
 	}
 	if len(runs) == 0 {
-		return unmeasured(source)
+		return noResult(source)
 	}
 	sum := 0.0
 	for _, run := range runs {
 		sum += run.Figures[source.Figure]
 	}
 	mean := sum / float64(len(runs))
-	found := estimate{value: mean, beyond: far, evidence: []int{e.evidence.point(source, runs, mean)}}
-	if far > nearEnough {
-		found.elsewhere = source.Parameter + " " + short(runs[0].Parameters[source.Parameter])
+	found := estimate{value: mean, extrapolation: far, evidence: []int{e.evidence.addPoint(source, runs, mean)}}
+	if far > maxPointRatio {
+		found.measuredAt = source.Parameter + " " + formatShort(runs[0].Parameters[source.Parameter])
 	}
 	return found
 }
 
 // missedAt tells why all runs at a size missed; empty: there was none, or one gave figures. What other sizes gave says
 // nothing then.
-func (e *estimator) missedAt(source *Source, size float64) (why string) {
+func (e *estimator) missedReasonAt(source *Source, size float64) (why string) {
 	for _, file := range e.results {
 		for i := range file.Runs {
 			run := &file.Runs[i]
-			if !e.belongs(run, source) || run.Parameters[source.Parameter] != size {
+			if !e.matches(run, source) || run.Parameters[source.Parameter] != size {
 				continue
 			}
-			if run.Missed == "" {
+			if run.MissedReason == "" {
 				return ""
 			}
-			why = "missed at this size: " + reason(run)
+			why = "missed at this size: " + missedReason(run)
 		}
 	}
 	return why
 }
 
 // nearest keeps the runs at the size that is nearest, by its ratio, to the one wanted, and tells that ratio, 1 or over.
-func nearest(runs []*result.Run, parameter string, wanted float64) (kept []*result.Run, ratio float64) {
+func nearestRuns(runs []*result.Run, parameter string, wanted float64) (kept []*result.Run, ratio float64) {
 	ratio = math.Inf(1)
 	for _, run := range runs {
 		size, has := run.Parameters[parameter]
--- a/internal/scale/capacity/evidence.go
+++ b/internal/scale/capacity/evidence.go
@@ -29,7 +29,7 @@
 	Range                           string // of the parameter
 	Runs                            string
 
-	bent bool // it is a line, and doesn't describe the figure
+	poorFit bool // it is a line, and doesn't describe the figure
 }
 
 func newEvidenceList() *evidenceList { return &evidenceList{numbers: map[evidenceKey]int{}} }
@@ -45,8 +45,8 @@
 }
 
 // bent tells whether one of the entries is a line that doesn't describe its figure.
-func (l *evidenceList) bent(numbers []int) bool {
-	return slices.ContainsFunc(numbers, func(number int) bool { return l.entries[number-1].bent })
+func (l *evidenceList) hasPoorFit(numbers []int) bool {
+	return slices.ContainsFunc(numbers, func(number int) bool { return l.entries[number-1].poorFit })
 }
 
 // add gives the number of an entry, which is made where it is new.
@@ -63,27 +63,27 @@
 }
 
 // line adds a fitted line.
-func (l *evidenceList) line(s *result.Slope, seeds int) int {
-	return l.add(evidenceKey{line: keyOfSlope(s)}, func() Evidence {
-		fit := fmt.Sprintf("R² %s", short(s.R2))
+func (l *evidenceList) addLine(s *result.Slope, seeds int) int {
+	return l.add(evidenceKey{line: slopeKey(s)}, func() Evidence {
+		fit := fmt.Sprintf("R² %s", formatShort(s.R2))
 		switch {
-		case s.NotALine != "":
-			fit += "; not a line: " + s.NotALine
+		case s.PoorFitReason != "":
+			fit += "; not a line: " + s.PoorFitReason
 		case s.Low <= 0 && s.High >= 0:
 			fit += "; no slope seen: the interval holds 0"
 		}
 		return Evidence{
-			Kind: string(s.Kind), Case: s.Case, Program: s.Program, Figure: s.Figure, bent: s.NotALine != "",
-			Line:  fmt.Sprintf("%s + %s × %s [%s, %s]", short(s.Intercept), short(s.Slope), s.Parameter, short(s.Low), short(s.High)),
+			Kind: string(s.Kind), Case: s.Case, Program: s.Program, Figure: s.Figure, poorFit: s.PoorFitReason != "",
+			Line:  fmt.Sprintf("%s + %s × %s [%s, %s]", formatShort(s.Intercept), formatShort(s.Slope), s.Parameter, formatShort(s.Low), formatShort(s.High)),
 			Fit:   fit,
-			Range: fmt.Sprintf("%s %s to %s", s.Parameter, short(s.From), short(s.To)),
-			Runs:  fmt.Sprintf("%d points, %s", s.Points, counted(seeds, "seed")),
+			Range: fmt.Sprintf("%s %s to %s", s.Parameter, formatShort(s.From), formatShort(s.To)),
+			Runs:  fmt.Sprintf("%d points, %s", s.Points, countNoun(seeds, "seed")),
 		}
 	})
 }
 
 // point adds the mean of runs at one size.
-func (l *evidenceList) point(source *Source, runs []*result.Run, mean float64) int {
+func (l *evidenceList) addPoint(source *Source, runs []*result.Run, mean float64) int {
 	at := runs[0].Parameters[source.Parameter]
 	line := lineKey{source.Kind, runs[0].Program, source.Case, source.Figure, source.Parameter}
 	return l.add(evidenceKey{line: line, point: true, at: at}, func() Evidence {
@@ -94,31 +94,31 @@
 		}
 		where := "the case as it stands"
 		if source.Parameter != "" {
-			where = source.Parameter + " " + short(at)
+			where = source.Parameter + " " + formatShort(at)
 		}
 		return Evidence{
 			Kind: string(source.Kind), Case: source.Case, Program: runs[0].Program, Figure: source.Figure,
-			Line: fmt.Sprintf("mean %s, %s to %s", short(mean), short(least), short(most)), Fit: "measured point", Range: where,
-			Runs: fmt.Sprintf("%s, %s", counted(len(runs), "run"), counted(countSeeds(runs), "seed")),
+			Line: fmt.Sprintf("mean %s, %s to %s", formatShort(mean), formatShort(least), formatShort(most)), Fit: "measured point", Range: where,
+			Runs: fmt.Sprintf("%s, %s", countNoun(len(runs), "run"), countNoun(countSeeds(runs), "seed")),
 		}
 	})
 }
 
 // short shows a number with the digits that count; very small and large ones with an exponent.
-func short(value float64) string {
+func formatShort(value float64) string {
 	const least, most = 1e-3, 1e9
 	size := value
 	if size < 0 {
 		size = -size
 	}
 	if size != 0 && (size < least || size >= most) {
-		return fmt.Sprintf("%.*e", significant-1, value)
+		return fmt.Sprintf("%.*e", significantDigits-1, value)
 	}
-	return plain(rounded(value))
+	return formatPlain(roundSignificant(value))
 }
 
 // counted gives a number with its noun.
-func counted(number int, noun string) string {
+func countNoun(number int, noun string) string {
 	if number == 1 {
 		return "1 " + noun
 	}
--- a/internal/scale/capacity/fleet.go
+++ b/internal/scale/capacity/fleet.go
@@ -21,34 +21,34 @@
 	fixed, each    estimate
 }
 
-func (d *demand) unknown() string {
-	if !d.fixed.known() {
-		return d.fixed.unknown
+func (d *demand) unknownReason() string {
+	if !d.fixed.isKnown() {
+		return d.fixed.unknownReason
 	}
-	return d.each.unknown
+	return d.each.unknownReason
 }
 
 // left is what of the budget each scheduler has for its part of the events.
-func (d *demand) left() float64 { return d.budget - d.fixed.value }
+func (d *demand) remainingBudget() float64 { return d.budget - d.fixed.value }
 
 // schedulers is the least number that carries the events; no number does where what each needs anyway is over the budget.
-func (d *demand) schedulers() (number float64, possible bool) {
-	if d.left() <= 0 {
+func (d *demand) minSchedulers() (number float64, possible bool) {
+	if d.remainingBudget() <= 0 {
 		return 0, false
 	}
-	return max(1, math.Ceil(d.events*d.each.value/d.left())), true
+	return max(1, math.Ceil(d.events*d.each.value/d.remainingBudget())), true
 }
 
-func (m *pageMaker) demand(c *Constraint, e *estimator) demand {
-	d := demand{budget: e.sizes[c.Budget], events: e.sizes[c.Events], each: e.of(&c.Each), fixed: estimate{beyond: 1}}
+func (m *pageBuilder) computeDemand(c *Constraint, e *estimator) demand {
+	d := demand{budget: e.sizes[c.Budget], events: e.sizes[c.Events], each: e.evaluate(&c.Each), fixed: estimate{extrapolation: 1}}
 	for i := range c.Fixed {
-		d.fixed = d.fixed.plus(e.of(&c.Fixed[i]))
+		d.fixed = d.fixed.add(e.evaluate(&c.Fixed[i]))
 	}
 	return d
 }
 
 // measuredPrograms are those that were run as processes.
-func (m *pageMaker) measuredPrograms() (list []*Program) {
+func (m *pageBuilder) measuredPrograms() (list []*Program) {
 	for i := range m.targets.Programs {
 		program := &m.targets.Programs[i]
 		isOfIt := func(run result.Run) bool {
@@ -62,59 +62,59 @@
 }
 
 // formulas shows each constraint with its figures at the planned size.
-func (m *pageMaker) formulas() (list []FormulaView) {
+func (m *pageBuilder) formulaViews() (list []FormulaView) {
 	for i := range m.targets.Constraints {
 		c := &m.targets.Constraints[i]
 		unit := m.targets.size(c.Budget).Unit
 		for _, program := range m.measuredPrograms() {
-			d := m.demand(c, m.estimator(program, m.sizes))
-			if why := d.unknown(); why != "" {
+			d := m.computeDemand(c, m.estimator(program, m.sizes))
+			if why := d.unknownReason(); why != "" {
 				list = append(list, FormulaView{Constraint: c.Text, Program: program.Label, Formula: "not measured: " + why})
 				continue
 			}
-			text := fmt.Sprintf("%s × %s / (%s − %s)", countText(d.events), each(unit, d.each.value), unit.show(d.budget), unit.computed(d.fixed.value))
-			list = append(list, FormulaView{Constraint: c.Text, Program: program.Label, Formula: text, From: m.from(d.fixed.with(d.each))})
+			text := fmt.Sprintf("%s × %s / (%s − %s)", countText(d.events), formatEach(unit, d.each.value), unit.format(d.budget), unit.formatRounded(d.fixed.value))
+			list = append(list, FormulaView{Constraint: c.Text, Program: program.Label, Formula: text, From: m.evidenceText(d.fixed.merge(d.each))})
 		}
 	}
 	return list
 }
 
 // each shows what one event needs of a budget in a unit.
-func each(unit Unit, value float64) string {
+func formatEach(unit Unit, value float64) string {
 	if unit == Bytes || unit == BytesPerS {
-		return Bytes.computed(value)
+		return Bytes.formatRounded(value)
 	}
-	return short(value)
+	return formatShort(value)
 }
 
 // fleets gives the number of schedulers for each fleet by the constraints that were measured.
-func (m *pageMaker) fleets() (list []FleetView) {
+func (m *pageBuilder) fleetViews() (list []FleetView) {
 	for _, fleet := range m.targets.Fleets {
-		sizes := m.targets.values(fleet.Sizes)
+		sizes := m.targets.sizeValues(fleet.Sizes)
 		for _, program := range m.measuredPrograms() {
-			list = append(list, m.fleet(fleet.Text, program, sizes))
+			list = append(list, m.fleetView(fleet.Text, program, sizes))
 		}
 	}
 	return list
 }
 
-func (m *pageMaker) fleet(text string, program *Program, sizes sizes) FleetView {
+func (m *pageBuilder) fleetView(text string, program *Program, sizes sizes) FleetView {
 	view := FleetView{Fleet: text, Program: program.Label}
 	most, parts, impossible := 0.0, []string{}, []string{}
 	for i := range m.targets.Constraints {
 		c := &m.targets.Constraints[i]
-		d := m.demand(c, m.estimator(program, sizes))
-		if d.unknown() != "" {
+		d := m.computeDemand(c, m.estimator(program, sizes))
+		if d.unknownReason() != "" {
 			parts = append(parts, c.Text+": not measured")
 			continue
 		}
-		number, possible := d.schedulers()
+		number, possible := d.minSchedulers()
 		if !possible {
 			impossible = append(impossible, c.Text)
 			parts = append(parts, c.Text+": none")
 			continue
 		}
-		parts = append(parts, c.Text+": "+plain(number))
+		parts = append(parts, c.Text+": "+formatPlain(number))
 		if number > most {
 			most, view.Binding = number, c.Text
 		}
@@ -127,7 +127,7 @@
 	case most == 0:
 		view.Needed = "not measured"
 	default:
-		view.Needed = plain(most)
+		view.Needed = formatPlain(most)
 	}
 	return view
 }
--- a/internal/scale/capacity/page_test.go
+++ b/internal/scale/capacity/page_test.go
@@ -33,7 +33,7 @@
 	}
 	committed, err := os.ReadFile(committedPage)
 	require.NoError(t, err)
-	require.Equal(t, page(t, targets, files...), string(committed),
+	require.Equal(t, renderPage(t, targets, files...), string(committed),
 		"make it again: go run ./cmd/cobaltflow measure scale --page docs/CAPACITY.md --results docs/measurements/scale-results.json --results docs/measurements/scale-results-hollow.json")
 }
 
@@ -42,7 +42,7 @@
 	targets, err := ReadTargets(committedTargets)
 	require.NoError(t, err)
 	cases := map[string]bool{}
-	for _, text := range scale.Names() {
+	for _, text := range scale.DescribeCases() {
 		name, _, _ := strings.Cut(text, ":")
 		cases[name] = true
 	}
@@ -59,13 +59,13 @@
 		if term.Figure != nil {
 			list = append(list, term.Figure)
 		}
-		if term.Over != nil {
-			list = append(list, term.Over)
+		if term.Denominator != nil {
+			list = append(list, term.Denominator)
 		}
 	}
 	for i := range t.Roles {
 		for n := range t.Roles[i].Rows {
-			for _, part := range t.Roles[i].Rows[n].terms() {
+			for _, part := range t.Roles[i].Rows[n].namedTerms() {
 				add(part.term)
 			}
 		}
@@ -83,7 +83,7 @@
 func TestTargetsHoldTheOperatorsList(t *testing.T) {
 	targets, err := ReadTargets(committedTargets)
 	require.NoError(t, err)
-	values := targets.values(nil)
+	values := targets.sizeValues(nil)
 	for key, want := range map[string]float64{
 		"workers": 33_000, "accelerators": 73_000, "jobs_per_day": 380_000, "task_starts_per_s": 3_300, "tasks_running": 620_000,
 		"gang_tasks": 1_024, "teams": 210, "urgent_start_s": 1, "regions": 5, "zones": 19, "config_changes_per_day": 16_000,
@@ -92,7 +92,7 @@
 		"region_cut_s": 3_600,
 	} {
 		if assert.NotNil(t, targets.size(key), key) {
-			assert.True(t, targets.size(key).Operator, key)
+			assert.True(t, targets.size(key).FromOperators, key)
 			assert.Equal(t, want, values[key], key)
 		}
 	}
--- a/internal/scale/capacity/ranking.go
+++ b/internal/scale/capacity/ranking.go
@@ -17,20 +17,20 @@
 type RankedView struct{ Place, Factor, Row, Total, Budget, Mechanism, Status string }
 
 // rankings gives the ranking of each program.
-func (m *pageMaker) rankings() (list []Ranking) {
+func (m *pageBuilder) rankingViews() (list []Ranking) {
 	for p := range m.targets.Programs {
 		program := &m.targets.Programs[p]
-		over, measured := m.over(program)
+		over, measured := m.figuresOverBudget(program)
 		ranking := Ranking{Program: program.Label, Measured: measured}
 		for _, f := range over {
 			mechanism := m.targets.mechanismOf(f.role, f.row)
-			status := mechanism.in(program.Label)
+			status := mechanism.statusIn(program.Label)
 			ranked := RankedView{
-				Factor: "×" + short(f.factor), Row: f.name(), Total: f.totalText(),
-				Budget: f.row.Unit.show(m.sizes[f.row.Budget]), Mechanism: mechanism.Name, Status: string(status),
+				Factor: "×" + formatShort(f.factor), Row: f.name(), Total: f.totalText(),
+				Budget: f.row.Unit.format(m.sizes[f.row.Budget]), Mechanism: mechanism.Name, Status: string(status),
 			}
 			if status == Missing {
-				ranked.Place = plain(float64(len(ranking.Without) + 1))
+				ranked.Place = formatPlain(float64(len(ranking.Without) + 1))
 				ranking.Without = append(ranking.Without, ranked)
 			} else {
 				ranking.With = append(ranking.With, ranked)
@@ -42,19 +42,19 @@
 }
 
 // over gives a program's figures over their budget, the furthest first, and how many have a budget at all.
-func (m *pageMaker) over(program *Program) (over []*figure, measured int) {
+func (m *pageBuilder) figuresOverBudget(program *Program) (over []*figure, measured int) {
 	for i := range m.figures {
 		f := &m.figures[i]
-		if f.program != program || f.row.Budget == "" || !f.total.known() {
+		if f.program != program || f.row.Budget == "" || !f.total.isKnown() {
 			continue
 		}
 		measured++
-		if f.over() {
+		if f.isOverBudget() {
 			over = append(over, f)
 		}
 	}
-	slices.SortStableFunc(over, func(a, b *figure) int { return descending(a.factor, b.factor) })
+	slices.SortStableFunc(over, func(a, b *figure) int { return compareDescending(a.factor, b.factor) })
 	return over, measured
 }
 
-func descending(a, b float64) int { return cmp.Compare(b, a) }
+func compareDescending(a, b float64) int { return cmp.Compare(b, a) }
--- a/internal/scale/capacity/size.go
+++ b/internal/scale/capacity/size.go
@@ -9,13 +9,13 @@
 type sizes map[string]float64
 
 // values computes all sizes, with some replaced. The targets have been checked: each rests on those before it.
-func (t *Targets) values(replaced map[string]float64) sizes {
+func (t *Targets) sizeValues(replaced map[string]float64) sizes {
 	values := sizes{}
 	for i := range t.Sizes {
 		size := &t.Sizes[i]
 		value, given := replaced[size.Key]
 		if !given {
-			value = values.product(size.Of, size.Per)
+			value = values.product(size.Factors, size.Divisors)
 			if size.Value != nil {
 				value = *size.Value
 			}
@@ -64,19 +64,19 @@
 }
 
 // rowOfRole is a row with its role.
-type rowOfRole struct {
+type roleRow struct {
 	role *Role
 	row  *Row
 }
 
 // rowsOf gives the rows that rest on a size, by themselves or over other sizes.
-func (t *Targets) rowsOf(size string) []rowOfRole {
-	var found []rowOfRole
+func (t *Targets) rowsUsing(size string) []roleRow {
+	var found []roleRow
 	for i := range t.Roles {
 		for n := range t.Roles[i].Rows {
 			row := &t.Roles[i].Rows[n]
-			if t.restsOn(row.sizes(), size) {
-				found = append(found, rowOfRole{&t.Roles[i], row})
+			if t.dependsOn(row.sizeKeys(), size) {
+				found = append(found, roleRow{&t.Roles[i], row})
 			}
 		}
 	}
@@ -84,10 +84,10 @@
 }
 
 // restsOn tells whether one of the sizes is the one wanted, or rests on it.
-func (t *Targets) restsOn(names []string, wanted string) bool {
+func (t *Targets) dependsOn(names []string, wanted string) bool {
 	for _, name := range names {
 		size := t.size(name)
-		if name == wanted || t.restsOn(size.Of, wanted) || t.restsOn(size.Per, wanted) {
+		if name == wanted || t.dependsOn(size.Factors, wanted) || t.dependsOn(size.Divisors, wanted) {
 			return true
 		}
 	}
@@ -95,12 +95,12 @@
 }
 
 // sizes names the sizes that stand in a row.
-func (r *Row) sizes() []string {
-	names := slices.Clone(r.Answers)
-	for _, part := range r.terms() {
-		names = append(names, part.term.Times...)
-		names = append(names, part.term.Per...)
-		for _, source := range []*Source{part.term.Figure, part.term.Over} {
+func (r *Row) sizeKeys() []string {
+	names := slices.Clone(r.AlsoCovers)
+	for _, part := range r.namedTerms() {
+		names = append(names, part.term.Factors...)
+		names = append(names, part.term.Divisors...)
+		for _, source := range []*Source{part.term.Figure, part.term.Denominator} {
 			if source != nil && source.At != "" {
 				names = append(names, source.At)
 			}
@@ -119,7 +119,7 @@
 }
 
 // terms are those that a row has.
-func (r *Row) terms() []namedTerm {
+func (r *Row) namedTerms() []namedTerm {
 	all := []namedTerm{{"count", r.Count}, {"each", r.Each}, {"base", r.Base}, {"total", r.Total}}
 	return slices.DeleteFunc(all, func(t namedTerm) bool { return t.term == nil })
 }
--- a/internal/scale/capacity/targets.go
+++ b/internal/scale/capacity/targets.go
@@ -36,13 +36,13 @@
 
 // Size is a number of the plan: given by its value, or as the product of other sizes (Of) over others (Per).
 type Size struct {
-	Key      string   `json:"key"`
-	Text     string   `json:"text"`
-	Unit     Unit     `json:"unit"`
-	Operator bool     `json:"operator,omitempty"` // of the operators' list: has to stand behind a row
-	Value    *float64 `json:"value,omitempty"`
-	Of       []string `json:"of,omitempty"`
-	Per      []string `json:"per,omitempty"`
+	Key           string   `json:"key"`
+	Text          string   `json:"text"`
+	Unit          Unit     `json:"unit"`
+	FromOperators bool     `json:"operator,omitempty"` // of the operators' list: has to stand behind a row
+	Value         *float64 `json:"value,omitempty"`
+	Factors       []string `json:"of,omitempty"`
+	Divisors      []string `json:"per,omitempty"`
 }
 
 // Status tells whether a mechanism carries what it is for.
@@ -55,21 +55,21 @@
 	Missing Status = "missing"
 )
 
-func (s Status) known() bool { return s == Works || s == Partial || s == Missing }
+func (s Status) isValid() bool { return s == Works || s == Partial || s == Missing }
 
 // Mechanism is one mechanism by its standard name, and its state in the program.
 type Mechanism struct {
-	Key     string            `json:"key"`
-	Name    string            `json:"name"`
-	Status  Status            `json:"status"`
-	Earlier map[string]Status `json:"earlier,omitempty"` // by the label of a program, where it was another
-	Where   string            `json:"where,omitempty"`   // packages
-	Says    string            `json:"says"`              // what it does, and what it lacks
-	Options []Option          `json:"options,omitempty"`
+	Key         string            `json:"key"`
+	Name        string            `json:"name"`
+	Status      Status            `json:"status"`
+	Earlier     map[string]Status `json:"earlier,omitempty"` // by the label of a program, where it was another
+	Where       string            `json:"where,omitempty"`   // packages
+	Description string            `json:"says"`              // what it does, and what it lacks
+	Options     []Option          `json:"options,omitempty"`
 }
 
 // in gives the mechanism's state in a program.
-func (m *Mechanism) in(label string) Status {
+func (m *Mechanism) statusIn(label string) Status {
 	if status, differs := m.Earlier[label]; differs {
 		return status
 	}
@@ -104,10 +104,10 @@
 	Outcome   Aspect = "outcome" // what clients get
 )
 
-var neededAspects = []Aspect{State, Messages, Processor, Memory}
+var requiredAspects = []Aspect{State, Messages, Processor, Memory}
 
-func (a Aspect) known() bool {
-	return slices.Contains(neededAspects, a) || a == Delay || a == Sockets || a == Outcome
+func (a Aspect) isValid() bool {
+	return slices.Contains(requiredAspects, a) || a == Delay || a == Sockets || a == Outcome
 }
 
 // Row is one figure of a role at the planned size: Total, or Count times Each with Base added; where both Total and Count
@@ -124,15 +124,15 @@
 	Budget      string   `json:"budget,omitempty"` // a size
 	Mechanism   string   `json:"mechanism,omitempty"`
 	NotMeasured string   `json:"not_measured,omitempty"`
-	Answers     []string `json:"answers,omitempty"` // further sizes that the row answers
+	AlsoCovers  []string `json:"answers,omitempty"` // further sizes that the row answers
 }
 
 // Term is a product: a measured figure, where there is one, over another one, times sizes, over others.
 type Term struct {
-	Figure *Source  `json:"figure,omitempty"`
-	Over   *Source  `json:"over,omitempty"`
-	Times  []string `json:"times,omitempty"`
-	Per    []string `json:"per,omitempty"`
+	Figure      *Source  `json:"figure,omitempty"`
+	Denominator *Source  `json:"over,omitempty"`
+	Factors     []string `json:"times,omitempty"`
+	Divisors    []string `json:"per,omitempty"`
 }
 
 // Use tells what is made of a measured figure.
@@ -146,7 +146,7 @@
 	UsePoint     Use = "point"     // the mean of the runs nearest to the size At; of all runs without a Parameter
 )
 
-func (u Use) known() bool {
+func (u Use) isValid() bool {
 	return u == UseLine || u == UseSlope || u == UseIntercept || u == UsePoint
 }
 
@@ -195,10 +195,10 @@
 	decoder.DisallowUnknownFields()
 	var targets Targets
 	if err := decoder.Decode(&targets); err != nil {
-		return nil, decodingFault(err)
+		return nil, decodingError(err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, fault("targets", "more follows behind the end")
+		return nil, errorAt("targets", "more follows behind the end")
 	}
 	if err := targets.check(); err != nil {
 		return nil, err
@@ -207,13 +207,13 @@
 }
 
 // decodingFault names the key of a fault that the JSON decoder found.
-func decodingFault(err error) error {
+func decodingError(err error) error {
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) {
-		return fault("targets."+wrong.Field, "a %s is not what is wanted there", wrong.Value)
+		return errorAt("targets."+wrong.Field, "a %s is not what is wanted there", wrong.Value)
 	}
 	if name, unknown := strings.CutPrefix(err.Error(), "json: unknown field "); unknown {
-		return fault("targets", "the key %s is not known", name)
+		return errorAt("targets", "the key %s is not known", name)
 	}
-	return fault("targets", "%s", err)
+	return errorAt("targets", "%s", err)
 }
--- a/internal/scale/capacity/unit.go
+++ b/internal/scale/capacity/unit.go
@@ -22,7 +22,7 @@
 	Descriptors Unit = "descriptors"
 )
 
-func (u Unit) known() bool {
+func (u Unit) isValid() bool {
 	switch u {
 	case Number, Bytes, BytesPerS, Cores, Seconds, PerSecond, PerDay, PerJob, Descriptors:
 		return true
@@ -30,40 +30,40 @@
 	return false
 }
 
-const significant = 3 // digits of a computed figure
+const significantDigits = 3 // digits of a computed figure
 
 // computed shows a computed figure, rounded.
-func (u Unit) computed(value float64) string { return u.show(rounded(value)) }
+func (u Unit) formatRounded(value float64) string { return u.format(roundSignificant(value)) }
 
 // show shows a figure as it is.
-func (u Unit) show(value float64) string {
+func (u Unit) format(value float64) string {
 	switch u {
 	case Bytes:
-		return showBytes(value)
+		return formatBytes(value)
 	case BytesPerS:
-		return showBytes(value) + "/s"
+		return formatBytes(value) + "/s"
 	case Cores:
-		return plain(value) + " core"
+		return formatPlain(value) + " core"
 	case Seconds:
-		return showSeconds(value)
+		return formatSeconds(value)
 	case PerSecond:
-		return plain(value) + "/s"
+		return formatPlain(value) + "/s"
 	case PerDay:
-		return plain(value) + " a day"
+		return formatPlain(value) + " a day"
 	case PerJob:
-		return plain(value) + " a job"
+		return formatPlain(value) + " a job"
 	}
-	return plain(value)
+	return formatPlain(value)
 }
 
 // rounded keeps the significant digits of a figure.
-func rounded(value float64) float64 {
-	text := strconv.FormatFloat(value, 'e', significant-1, 64)
+func roundSignificant(value float64) float64 {
+	text := strconv.FormatFloat(value, 'e', significantDigits-1, 64)
 	short, _ := strconv.ParseFloat(text, 64)
 	return short
 }
 
-func showBytes(value float64) string {
+func formatBytes(value float64) string {
 	const step = 1000
 	names := []string{"B", "KB", "MB", "GB", "TB"}
 	at := 0
@@ -71,22 +71,22 @@
 		value /= step
 		at++
 	}
-	return plain(trimmed(value)) + " " + names[at]
+	return formatPlain(trimFloatError(value)) + " " + names[at]
 }
 
-func showSeconds(value float64) string {
+func formatSeconds(value float64) string {
 	const milli, micro = 1e-3, 1e-6
 	switch size := math.Abs(value); {
 	case size == 0 || size >= 1:
-		return plain(value) + " s"
+		return formatPlain(value) + " s"
 	case size >= milli:
-		return plain(trimmed(value/milli)) + " ms"
+		return formatPlain(trimFloatError(value/milli)) + " ms"
 	}
-	return plain(trimmed(value/micro)) + " us"
+	return formatPlain(trimFloatError(value/micro)) + " us"
 }
 
 // trimmed takes away what division leaves behind the digits that count.
-func trimmed(value float64) float64 {
+func trimFloatError(value float64) float64 {
 	const digits = 9
 	text := strconv.FormatFloat(value, 'e', digits, 64)
 	short, _ := strconv.ParseFloat(text, 64)
@@ -94,7 +94,7 @@
 }
 
 // plain writes a number without exponent, with separators of thousands.
-func plain(value float64) string {
+func formatPlain(value float64) string {
 	text := strconv.FormatFloat(value, 'f', -1, 64)
 	sign := ""
 	if strings.HasPrefix(text, "-") {
--- a/internal/scale/capacity/view.go
+++ b/internal/scale/capacity/view.go
@@ -59,7 +59,7 @@
 
 // figure is what a row comes to in one program.
 type figure struct {
-	rowOfRole
+	roleRow
 	program            *Program
 	count, each, total estimate
 	base               estimate // of a row that has one
@@ -67,10 +67,10 @@
 }
 
 // name is the role's and the row's name together.
-func (f *rowOfRole) name() string { return f.role.Title + ": " + f.row.Quantity }
+func (f *roleRow) name() string { return f.role.Title + ": " + f.row.Quantity }
 
 // pageMaker computes all figures first, so that every part of the page shows the same ones.
-type pageMaker struct {
+type pageBuilder struct {
 	targets  *Targets
 	results  []*result.File
 	evidence *evidenceList
@@ -79,74 +79,74 @@
 }
 
 func newView(targets *Targets, results []*result.File) *View {
-	m := &pageMaker{targets: targets, results: results, evidence: newEvidenceList(), sizes: targets.values(nil)}
-	m.compute()
+	m := &pageBuilder{targets: targets, results: results, evidence: newEvidenceList(), sizes: targets.sizeValues(nil)}
+	m.computeFigures()
 	view := &View{
-		Programs: targets.Programs, Files: m.files(), Rankings: m.rankings(), Numbers: m.numbers(), Roles: m.roles(),
-		Choices: m.choices(), Missed: m.missed(), Extrapolated: m.extrapolated(), Unmeasured: m.unmeasured(),
-		Formulas: m.formulas(), Fleets: m.fleets(),
+		Programs: targets.Programs, Files: m.fileViews(), Rankings: m.rankingViews(), Numbers: m.numberViews(), Roles: m.roleViews(),
+		Choices: m.choiceViews(), Missed: m.missedRuns(), Extrapolated: m.extrapolatedViews(), Unmeasured: m.unmeasuredViews(),
+		Formulas: m.formulaViews(), Fleets: m.fleetViews(),
 	}
 	view.Evidence = m.evidence.entries // last: the fleets' figures add theirs
 	return view
 }
 
-func (m *pageMaker) estimator(program *Program, sizes sizes) *estimator {
+func (m *pageBuilder) estimator(program *Program, sizes sizes) *estimator {
 	return &estimator{program: program, sizes: sizes, results: m.results, evidence: m.evidence}
 }
 
-func (m *pageMaker) compute() {
+func (m *pageBuilder) computeFigures() {
 	for i := range m.targets.Roles {
 		role := &m.targets.Roles[i]
 		for n := range role.Rows {
 			for p := range m.targets.Programs {
 				program := &m.targets.Programs[p]
-				m.figures = append(m.figures, m.figureOf(rowOfRole{role, &role.Rows[n]}, program))
+				m.figures = append(m.figures, m.computeRow(roleRow{role, &role.Rows[n]}, program))
 			}
 		}
 	}
 }
 
 // figureOf computes a row in one program.
-func (m *pageMaker) figureOf(of rowOfRole, program *Program) figure {
+func (m *pageBuilder) computeRow(of roleRow, program *Program) figure {
 	e, row := m.estimator(program, m.sizes), of.row
-	f := figure{rowOfRole: of, program: program}
+	f := figure{roleRow: of, program: program}
 	if row.NotMeasured != "" {
-		f.total.unknown = row.NotMeasured
+		f.total.unknownReason = row.NotMeasured
 		return f
 	}
 	if row.Count != nil {
-		f.count = e.of(row.Count)
+		f.count = e.evaluate(row.Count)
 	}
 	switch {
 	case row.Total == nil:
-		f.each = e.of(row.Each)
-		f.total = f.count.times(f.each)
+		f.each = e.evaluate(row.Each)
+		f.total = f.count.multiplyBy(f.each)
 		if row.Base != nil {
-			f.base = e.of(row.Base)
-			f.total = f.total.plus(f.base)
+			f.base = e.evaluate(row.Base)
+			f.total = f.total.add(f.base)
 		}
 	case row.Count == nil:
-		f.total = e.of(row.Total)
+		f.total = e.evaluate(row.Total)
 	default:
-		f.total = e.of(row.Total)
-		f.each = f.total.over(f.count)
+		f.total = e.evaluate(row.Total)
+		f.each = f.total.divideBy(f.count)
 	}
-	if row.Budget != "" && f.total.known() {
+	if row.Budget != "" && f.total.isKnown() {
 		f.factor = f.total.value / m.sizes[row.Budget]
 	}
 	return f
 }
 
-func (m *pageMaker) files() (list []FileView) {
+func (m *pageBuilder) fileViews() (list []FileView) {
 	for i, file := range m.results {
-		view := FileView{Number: fmt.Sprint(i + 1), Revision: file.Revision, Taken: file.Taken, Command: directories.ReplaceAllString(file.Command, "")}
+		view := FileView{Number: fmt.Sprint(i + 1), Revision: file.Revision, Taken: file.TakenAt, Command: directoryPrefix.ReplaceAllString(file.Command, "")}
 		view.Machine = "not noted"
 		if file.Machine.Cores > 0 {
 			view.Machine = machineText(&file.Machine)
 		}
 		for _, run := range file.Runs {
 			view.Runs++
-			if run.Missed != "" {
+			if run.MissedReason != "" {
 				view.Missed++
 			}
 		}
@@ -157,21 +157,21 @@
 
 func machineText(m *result.Machine) string {
 	company := "beside other work"
-	if m.Alone {
+	if m.Exclusive {
 		company = "with nothing beside it"
 	}
-	return fmt.Sprintf("%d cores, %s MB, %s descriptors a process, %s", m.Cores, plain(float64(m.MemoryMB)), plain(float64(m.MaxFiles)), company)
+	return fmt.Sprintf("%d cores, %s MB, %s descriptors a process, %s", m.Cores, formatPlain(float64(m.MemoryMB)), formatPlain(float64(m.MaxFiles)), company)
 }
 
 // missed tells of runs that gave no figures, the like ones together.
-func (m *pageMaker) missed() (list []string) {
+func (m *pageBuilder) missedRuns() (list []string) {
 	counts := map[string]int{}
 	for _, file := range m.results {
 		for _, run := range file.Runs {
-			if run.Missed == "" {
+			if run.MissedReason == "" {
 				continue
 			}
-			text := fmt.Sprintf("%s case %q, program %q, %s: %s", run.Kind, run.Case, run.Program, parameters(run.Parameters), reason(&run))
+			text := fmt.Sprintf("%s case %q, program %q, %s: %s", run.Kind, run.Case, run.Program, parametersText(run.Parameters), missedReason(&run))
 			if counts[text]++; counts[text] == 1 {
 				list = append(list, text)
 			}
@@ -186,29 +186,29 @@
 }
 
 // directories stand before the names of files in a command.
-var directories = regexp.MustCompile(`[^\s=]*/`)
+var directoryPrefix = regexp.MustCompile(`[^\s=]*/`)
 
 // logTime is what a line of the program's log begins with.
-var logTime = regexp.MustCompile(`time=\S+ `)
+var logTimestamp = regexp.MustCompile(`time=\S+ `)
 
 // reason is why a run missed, without the times of log lines in it, so that like reasons read alike.
-func reason(run *result.Run) string { return logTime.ReplaceAllString(run.Missed, "") }
+func missedReason(run *result.Run) string { return logTimestamp.ReplaceAllString(run.MissedReason, "") }
 
-func parameters(of map[string]float64) string {
+func parametersText(of map[string]float64) string {
 	texts := []string{}
 	for _, name := range sortedKeys(of) {
-		texts = append(texts, name+" "+short(of[name]))
+		texts = append(texts, name+" "+formatShort(of[name]))
 	}
 	return strings.Join(texts, ", ")
 }
 
-func (m *pageMaker) numbers() (list []NumberView) {
+func (m *pageBuilder) numberViews() (list []NumberView) {
 	for i := range m.targets.Sizes {
 		size := &m.targets.Sizes[i]
-		if !size.Operator {
+		if !size.FromOperators {
 			continue
 		}
-		rows := m.targets.rowsOf(size.Key)
+		rows := m.targets.rowsUsing(size.Key)
 		titles := []string{}
 		for _, row := range rows {
 			if !slices.Contains(titles, row.role.Title) {
@@ -216,7 +216,7 @@
 			}
 		}
 		list = append(list, NumberView{
-			Text: size.Text, Value: size.Unit.show(m.sizes[size.Key]), Rows: strings.Join(titles, "; "), Verdict: m.verdict(rows),
+			Text: size.Text, Value: size.Unit.format(m.sizes[size.Key]), Rows: strings.Join(titles, "; "), Verdict: m.verdict(rows),
 		})
 	}
 	return list
@@ -224,7 +224,7 @@
 
 // verdict sums up rows: their mechanisms by state, and the one that is furthest over its budget in the last program that
 // has figures.
-func (m *pageMaker) verdict(rows []rowOfRole) string {
+func (m *pageBuilder) verdict(rows []roleRow) string {
 	worst, measured := figure{}, 0
 	states := map[Status][]string{}
 	for _, row := range rows {
@@ -232,16 +232,16 @@
 		if names := states[mechanism.Status]; !slices.Contains(names, mechanism.Name) {
 			states[mechanism.Status] = append(names, mechanism.Name)
 		}
-		latest, known := m.latest(row.row)
+		latest, known := m.latestFigure(row.row)
 		if !known {
 			continue
 		}
 		measured++
-		if latest.factor > worst.factor && !latest.total.atMost {
+		if latest.factor > worst.factor && !latest.total.isUpperBound {
 			worst = latest
 		}
 	}
-	parts := []string{fmt.Sprintf("%d of %s measured", measured, counted(len(rows), "row"))}
+	parts := []string{fmt.Sprintf("%d of %s measured", measured, countNoun(len(rows), "row"))}
 	if worst.factor > 0 {
 		parts = append(parts, fmt.Sprintf("furthest: %s, %s (%s)", worst.row.Quantity, worst.factorText(), worst.program.Label))
 	}
@@ -254,16 +254,16 @@
 }
 
 // latest is the measured figure of a row in the last program that has one.
-func (m *pageMaker) latest(row *Row) (latest figure, known bool) {
+func (m *pageBuilder) latestFigure(row *Row) (latest figure, known bool) {
 	for _, f := range m.figures {
-		if f.row == row && f.total.known() && f.total.measured() {
+		if f.row == row && f.total.isKnown() && f.total.isMeasured() {
 			latest, known = f, true
 		}
 	}
 	return latest, known
 }
 
-func (m *pageMaker) roles() (list []RoleView) {
+func (m *pageBuilder) roleViews() (list []RoleView) {
 	for i := range m.targets.Roles {
 		role := &m.targets.Roles[i]
 		view := RoleView{Title: role.Title}
@@ -271,7 +271,7 @@
 			view.Mechanisms = append(view.Mechanisms, mechanismView(m.targets.mechanism(key)))
 		}
 		for n := range role.Rows {
-			view.Lines = append(view.Lines, m.lines(&role.Rows[n])...)
+			view.Lines = append(view.Lines, m.lineViews(&role.Rows[n])...)
 		}
 		list = append(list, view)
 	}
@@ -280,20 +280,20 @@
 
 // lines are those of a row: one for each program that has a figure, or one that says that there is none. A row of sizes
 // alone is the same in all programs, and has one line.
-func (m *pageMaker) lines(row *Row) (list []LineView) {
+func (m *pageBuilder) lineViews(row *Row) (list []LineView) {
 	blank := LineView{Aspect: string(row.Aspect), Quantity: row.Quantity}
 	if row.Budget != "" {
-		blank.Budget = row.Unit.show(m.sizes[row.Budget])
+		blank.Budget = row.Unit.format(m.sizes[row.Budget])
 	}
 	for i := range m.figures {
 		f := &m.figures[i]
-		if f.row != row || !f.total.known() {
+		if f.row != row || !f.total.isKnown() {
 			continue
 		}
 		line := blank
-		line.Parts, line.Total = f.parts(), f.totalText()
-		line.Factor, line.From = f.factorText(), m.from(f.total)
-		if !f.total.measured() {
+		line.Parts, line.Total = f.partsText(), f.totalText()
+		line.Factor, line.From = f.factorText(), m.evidenceText(f.total)
+		if !f.total.isMeasured() {
 			line.From = "sizes alone"
 			return []LineView{line}
 		}
@@ -303,7 +303,7 @@
 	if len(list) == 0 {
 		blank.Total = "not measured"
 		if row.Count != nil && row.Count.Figure == nil {
-			blank.Parts = countText(m.sizes.product(row.Count.Times, row.Count.Per)) + " ×"
+			blank.Parts = countText(m.sizes.product(row.Count.Factors, row.Count.Divisors)) + " ×"
 		}
 		list = append(list, blank)
 	}
@@ -311,20 +311,20 @@
 }
 
 // parts shows the count and what each needs.
-func (f *figure) parts() string {
+func (f *figure) partsText() string {
 	if f.row.Count == nil {
 		return ""
 	}
-	if !f.count.known() || !f.each.known() {
+	if !f.count.isKnown() || !f.each.isKnown() {
 		return ""
 	}
-	each := short(f.each.value)
+	each := formatShort(f.each.value)
 	if f.row.Unit == Bytes || f.row.Unit == BytesPerS {
-		each = Bytes.computed(f.each.value)
+		each = Bytes.formatRounded(f.each.value)
 	}
 	text := countText(f.count.value) + " × " + each
 	if f.row.Base != nil {
-		text = f.row.Unit.computed(f.base.value) + " + " + text
+		text = f.row.Unit.formatRounded(f.base.value) + " + " + text
 	}
 	return text
 }
@@ -332,55 +332,55 @@
 // countText shows a count as it is where it is whole.
 func countText(count float64) string {
 	if count != math.Trunc(count) {
-		count = rounded(count)
+		count = roundSignificant(count)
 	}
-	return plain(count)
+	return formatPlain(count)
 }
 
 // from tells what a figure rests on, whether that is no line, and how far outside of what was measured it lies.
-func (m *pageMaker) from(e estimate) string {
+func (m *pageBuilder) evidenceText(e estimate) string {
 	text := evidenceIDs(e.evidence)
-	if m.evidence.bent(e.evidence) {
+	if m.evidence.hasPoorFit(e.evidence) {
 		text += ", not a line"
 	}
-	if e.beyond > 1 {
-		text += fmt.Sprintf(", ×%s outside the range", short(e.beyond))
+	if e.extrapolation > 1 {
+		text += fmt.Sprintf(", ×%s outside the range", formatShort(e.extrapolation))
 	}
 	return text
 }
 
 // totalText shows what a row comes to.
 func (f *figure) totalText() string {
-	text := f.row.Unit.computed(f.total.value)
-	if f.total.atMost {
+	text := f.row.Unit.formatRounded(f.total.value)
+	if f.total.isUpperBound {
 		text = "at most " + text
 	}
-	if f.total.elsewhere != "" {
-		text += " at " + f.total.elsewhere
+	if f.total.measuredAt != "" {
+		text += " at " + f.total.measuredAt
 	}
 	return text
 }
 
 // over tells whether the figure is surely over its budget.
-func (f *figure) over() bool { return f.factor > 1 && !f.total.atMost }
+func (f *figure) isOverBudget() bool { return f.factor > 1 && !f.total.isUpperBound }
 
 // factorText shows the figure over its budget.
 func (f *figure) factorText() string {
 	switch {
-	case f.row.Budget == "" || !f.total.known():
+	case f.row.Budget == "" || !f.total.isKnown():
 		return ""
-	case f.over():
-		return "over, ×" + short(f.factor)
+	case f.isOverBudget():
+		return "over, ×" + formatShort(f.factor)
 	case f.factor > 1:
-		return "not told: at most ×" + short(f.factor)
-	case f.total.elsewhere != "":
-		return "not told: ×" + short(f.factor) + " there"
+		return "not told: at most ×" + formatShort(f.factor)
+	case f.total.measuredAt != "":
+		return "not told: ×" + formatShort(f.factor) + " there"
 	}
-	return "within, ×" + short(f.factor)
+	return "within, ×" + formatShort(f.factor)
 }
 
 func mechanismView(m *Mechanism) MechanismView {
-	return MechanismView{Name: m.Name, Status: statusText(m), Where: m.Where, Says: m.Says, Options: m.Options}
+	return MechanismView{Name: m.Name, Status: statusText(m), Where: m.Where, Says: m.Description, Options: m.Options}
 }
 
 // statusText is a mechanism's state, with what it was in earlier programs.
@@ -392,7 +392,7 @@
 	return text
 }
 
-func (m *pageMaker) choices() (list []MechanismView) {
+func (m *pageBuilder) choiceViews() (list []MechanismView) {
 	for _, status := range []Status{Missing, Partial} {
 		for i := range m.targets.Mechanisms {
 			if mechanism := &m.targets.Mechanisms[i]; mechanism.Status == status && len(mechanism.Options) > 0 {
@@ -403,34 +403,34 @@
 	return list
 }
 
-func (m *pageMaker) extrapolated() (list []ExtrapolatedView) {
+func (m *pageBuilder) extrapolatedViews() (list []ExtrapolatedView) {
 	far := []*figure{}
 	for i := range m.figures {
-		if f := &m.figures[i]; f.total.known() && f.total.beyond > 1 {
+		if f := &m.figures[i]; f.total.isKnown() && f.total.extrapolation > 1 {
 			far = append(far, f)
 		}
 	}
-	slices.SortStableFunc(far, func(a, b *figure) int { return descending(a.total.beyond, b.total.beyond) })
+	slices.SortStableFunc(far, func(a, b *figure) int { return compareDescending(a.total.extrapolation, b.total.extrapolation) })
 	for _, f := range far {
 		list = append(list, ExtrapolatedView{
-			Row: f.name(), Program: f.program.Label, Factor: "×" + short(f.total.beyond), From: evidenceIDs(f.total.evidence),
+			Row: f.name(), Program: f.program.Label, Factor: "×" + formatShort(f.total.extrapolation), From: evidenceIDs(f.total.evidence),
 		})
 	}
 	return list
 }
 
 // unmeasured gives the rows without a figure, in the programs where they have none.
-func (m *pageMaker) unmeasured() (list []UnmeasuredView) {
+func (m *pageBuilder) unmeasuredViews() (list []UnmeasuredView) {
 	for i := range m.figures {
 		f := &m.figures[i]
-		if f.total.known() {
+		if f.total.isKnown() {
 			continue
 		}
-		if n := len(list) - 1; n >= 0 && list[n].Row == f.name() && list[n].Reason == f.total.unknown {
+		if n := len(list) - 1; n >= 0 && list[n].Row == f.name() && list[n].Reason == f.total.unknownReason {
 			list[n].Programs += ", " + f.program.Label
 			continue
 		}
-		list = append(list, UnmeasuredView{Row: f.name(), Programs: f.program.Label, Reason: f.total.unknown})
+		list = append(list, UnmeasuredView{Row: f.name(), Programs: f.program.Label, Reason: f.total.unknownReason})
 	}
 	return list
 }
--- a/internal/scale/cases.go
+++ b/internal/scale/cases.go
@@ -12,24 +12,24 @@
 
 // Reasons why a run is missed.
 var (
-	errTasks = errors.New("the tasks could not be held")
-	errList  = errors.New("the list was not known in time")
-	errCase  = errors.New("there is no such case")
+	errTasksNotHeld = errors.New("the tasks could not be held")
+	errListNotKnown = errors.New("the list was not known in time")
+	errUnknownCase  = errors.New("there is no such case")
 )
 
 // benchCase is one thing that is varied.
 type benchCase struct {
-	name      string
-	about     string
-	parameter string
-	quick     []float64 // empty: only in full, or by its name
-	full      []float64
-	setup     func(point float64) setup
-	measure   func(m *measurement, point float64) error
+	name        string
+	description string
+	parameter   string
+	quickPoints []float64 // empty: only in full, or by its name
+	fullPoints  []float64
+	setup       func(point float64) setup
+	measure     func(m *measurement, point float64) error
 }
 
 // fixed is a setup that the point does not change.
-func fixed(change func(*setup)) func(float64) setup {
+func fixedSetup(change func(*setup)) func(float64) setup {
 	return func(float64) setup {
 		s := baseSetup()
 		if change != nil {
@@ -40,7 +40,7 @@
 }
 
 // varying is a setup that the point changes.
-func varying(change func(*setup, float64)) func(float64) setup {
+func varyingSetup(change func(*setup, float64)) func(float64) setup {
 	return func(point float64) setup {
 		s := baseSetup()
 		change(&s, point)
@@ -49,12 +49,12 @@
 }
 
 // manySchedulers sets up so many schedulers beside one another.
-func manySchedulers(s *setup, count int) {
-	s.schedulers, s.groupSize, s.sockets = count, count, 1024
+func setSchedulers(s *setup, count int) {
+	s.schedulers, s.groupSize, s.maxSockets = count, count, 1024
 }
 
 // workersOfThousand is the smaller fleet beside which the operators' one is held.
-const workersOfThousand = 1000
+const smallFleetWorkers = 1000
 
 // tasksMemoryMB is the limit where many tasks are held, so that their memory shows and is not held down.
 const tasksMemoryMB = 1024
@@ -65,76 +65,76 @@
 }
 
 func listCases() []benchCase {
-	workers := varying(func(s *setup, x float64) { s.workers = int(x) })
+	workers := varyingSetup(func(s *setup, x float64) { s.workers = int(x) })
 	fresh := func(mode process.Mode) func(float64) setup {
-		return varying(func(s *setup, x float64) { s.workers, s.mode, s.unknown = int(x), mode, true })
+		return varyingSetup(func(s *setup, x float64) { s.workers, s.mode, s.listUnknown = int(x), mode, true })
 	}
 	return []benchCase{
-		{name: "workers", about: "workers known, at rest and under 100 task starts a second", parameter: "workers",
-			quick: []float64{1_000, 10_000}, full: []float64{1_000, 3_000, 10_000, fleetWorkers}, setup: workers, measure: measureLoad(startsPerS)},
-		{name: "steady", about: "two minutes of 100 task starts a second", parameter: "workers",
-			full: []float64{1_000, fleetWorkers}, setup: workers, measure: measureSteady},
-		{name: "list_changes", about: "changes of single workers a second, beside 100 task starts a second", parameter: "changes_per_s",
-			quick: []float64{5}, full: []float64{0.3, 5}, setup: fixed(nil), measure: measureListChanges},
-		{name: "zone_change", about: "so many workers off the list at once and back, beside 100 task starts a second", parameter: "workers_changed",
-			quick: []float64{zoneWorkers}, full: []float64{1, zoneWorkers}, setup: fixed(nil), measure: measureZoneChange},
-		{name: "fresh_start", about: "a start with no known list, the whole list asked for", parameter: "workers",
-			quick: []float64{400, fleetWorkers}, full: []float64{400, 1_000, 10_000, fleetWorkers}, setup: fresh(process.Push), measure: measureFreshStart},
-		{name: "fresh_start_watch", about: "a start with no known list, the list by the watch", parameter: "workers",
-			full: []float64{400, 1_000, 10_000, fleetWorkers}, setup: fresh(process.Ask), measure: measureFreshStart},
+		{name: "workers", description: "workers known, at rest and under 100 task starts a second", parameter: "workers",
+			quickPoints: []float64{1_000, 10_000}, fullPoints: []float64{1_000, 3_000, 10_000, fleetWorkers}, setup: workers, measure: measureLoad(startsPerS)},
+		{name: "steady", description: "two minutes of 100 task starts a second", parameter: "workers",
+			fullPoints: []float64{1_000, fleetWorkers}, setup: workers, measure: measureSteady},
+		{name: "list_changes", description: "changes of single workers a second, beside 100 task starts a second", parameter: "changes_per_s",
+			quickPoints: []float64{5}, fullPoints: []float64{0.3, 5}, setup: fixedSetup(nil), measure: measureListChanges},
+		{name: "zone_change", description: "so many workers off the list at once and back, beside 100 task starts a second", parameter: "workers_changed",
+			quickPoints: []float64{zoneWorkers}, fullPoints: []float64{1, zoneWorkers}, setup: fixedSetup(nil), measure: measureZoneChange},
+		{name: "fresh_start", description: "a start with no known list, the whole list asked for", parameter: "workers",
+			quickPoints: []float64{400, fleetWorkers}, fullPoints: []float64{400, 1_000, 10_000, fleetWorkers}, setup: fresh(process.Push), measure: measureFreshStart},
+		{name: "fresh_start_watch", description: "a start with no known list, the list by the watch", parameter: "workers",
+			fullPoints: []float64{400, 1_000, 10_000, fleetWorkers}, setup: fresh(process.Pull), measure: measureFreshStart},
 	}
 }
 
 func taskCases() []benchCase {
 	tasks := func(workers int, http2 bool) func(float64) setup {
-		return fixed(func(s *setup) { s.workers, s.http2, s.memoryMB, s.slots = workers, http2, tasksMemoryMB, 32 })
+		return fixedSetup(func(s *setup) { s.workers, s.http2, s.memoryMB, s.slots = workers, http2, tasksMemoryMB, 32 })
 	}
 	return []benchCase{
-		{name: "tasks", about: "tasks in hand, each on a client's connection, then 100 task starts a second beside them", parameter: "tasks",
-			quick: []float64{1_000}, full: []float64{1_000, 4_000, 19_000}, setup: tasks(fleetWorkers, false), measure: measureTasks},
-		{name: "tasks_at_1000_workers", about: "the same before 1,000 workers", parameter: "tasks",
-			full: []float64{1_000, 4_000}, setup: tasks(workersOfThousand, false), measure: measureTasks},
-		{name: "tasks_http2", about: "the same by HTTP/2, many on one connection", parameter: "tasks",
-			full: []float64{1_000, 4_000, 19_000}, setup: tasks(fleetWorkers, true), measure: measureTasks},
-		{name: "task_starts", about: "task starts a second", parameter: "starts_per_s",
-			full: []float64{10, 100, 300}, setup: fixed(nil), measure: func(m *measurement, x float64) error { return measureLoad(x)(m, x) }},
-		{name: "gangs", about: "so many tasks sent at once", parameter: "gang",
-			quick: []float64{128}, full: []float64{16, 128, 1_024}, setup: fixed(nil), measure: measureGang},
+		{name: "tasks", description: "tasks in hand, each on a client's connection, then 100 task starts a second beside them", parameter: "tasks",
+			quickPoints: []float64{1_000}, fullPoints: []float64{1_000, 4_000, 19_000}, setup: tasks(fleetWorkers, false), measure: measureTasks},
+		{name: "tasks_at_1000_workers", description: "the same before 1,000 workers", parameter: "tasks",
+			fullPoints: []float64{1_000, 4_000}, setup: tasks(smallFleetWorkers, false), measure: measureTasks},
+		{name: "tasks_http2", description: "the same by HTTP/2, many on one connection", parameter: "tasks",
+			fullPoints: []float64{1_000, 4_000, 19_000}, setup: tasks(fleetWorkers, true), measure: measureTasks},
+		{name: "task_starts", description: "task starts a second", parameter: "starts_per_s",
+			fullPoints: []float64{10, 100, 300}, setup: fixedSetup(nil), measure: func(m *measurement, x float64) error { return measureLoad(x)(m, x) }},
+		{name: "gangs", description: "so many tasks sent at once", parameter: "gang",
+			quickPoints: []float64{128}, fullPoints: []float64{16, 128, 1_024}, setup: fixedSetup(nil), measure: measureGang},
 	}
 }
 
 func fleetCases() []benchCase {
 	return []benchCase{
-		{name: "schedulers", about: "schedulers beside one another, 100 task starts a second over all", parameter: "schedulers",
-			full:    []float64{4, 8, 16, fleetSchedulers},
-			setup:   varying(func(s *setup, x float64) { manySchedulers(s, int(x)) }),
-			measure: measureLoad(startsPerS)},
-		{name: "configuration_changes", about: "changes of the configuration a second, each to all schedulers", parameter: "changes_per_s",
-			quick: []float64{2}, full: []float64{0.2, 2},
-			setup: fixed(func(s *setup) {
-				manySchedulers(s, fleetSchedulers)
-				s.workers = workersOfThousand
+		{name: "schedulers", description: "schedulers beside one another, 100 task starts a second over all", parameter: "schedulers",
+			fullPoints: []float64{4, 8, 16, fleetSchedulers},
+			setup:      varyingSetup(func(s *setup, x float64) { setSchedulers(s, int(x)) }),
+			measure:    measureLoad(startsPerS)},
+		{name: "configuration_changes", description: "changes of the configuration a second, each to all schedulers", parameter: "changes_per_s",
+			quickPoints: []float64{2}, fullPoints: []float64{0.2, 2},
+			setup: fixedSetup(func(s *setup) {
+				setSchedulers(s, fleetSchedulers)
+				s.workers = smallFleetWorkers
 			}), measure: measureConfigurationChanges},
-		{name: "teams", about: "teams with a quota each", parameter: "teams",
-			full:    []float64{10, 70, 210},
-			setup:   varying(func(s *setup, x float64) { s.tenants = int(x) }),
-			measure: measureLoad(startsPerS)},
+		{name: "teams", description: "teams with a quota each", parameter: "teams",
+			fullPoints: []float64{10, 70, 210},
+			setup:      varyingSetup(func(s *setup, x float64) { s.tenants = int(x) }),
+			measure:    measureLoad(startsPerS)},
 	}
 }
 
 func recoveryCases() []benchCase {
-	fleet := fixed(func(s *setup) { manySchedulers(s, recoverySchedulers) })
-	pushed := fixed(func(s *setup) {
-		manySchedulers(s, recoverySchedulers)
+	fleet := fixedSetup(func(s *setup) { setSchedulers(s, recoverySchedulers) })
+	pushed := fixedSetup(func(s *setup) {
+		setSchedulers(s, recoverySchedulers)
 		s.mode = process.Push
 	})
 	return []benchCase{
-		{name: "recover_restart", about: "one scheduler of four is killed and started with no known list", parameter: "workers",
-			full: []float64{fleetWorkers}, setup: pushed, measure: measureRestart},
-		{name: "recover_zone", about: "a zone's workers go and are back cold", parameter: "workers_changed",
-			full: []float64{zoneWorkers}, setup: fleet, measure: measureZoneLoss},
-		{name: "recover_discovery", about: "discovery is away while the list changes, and comes back", parameter: "changes",
-			full: []float64{1_000, 11_000}, setup: fleet, measure: measureDiscoveryLoss},
+		{name: "recover_restart", description: "one scheduler of four is killed and started with no known list", parameter: "workers",
+			fullPoints: []float64{fleetWorkers}, setup: pushed, measure: measureRestart},
+		{name: "recover_zone", description: "a zone's workers go and are back cold", parameter: "workers_changed",
+			fullPoints: []float64{zoneWorkers}, setup: fleet, measure: measureZoneLoss},
+		{name: "recover_discovery", description: "discovery is away while the list changes, and comes back", parameter: "changes",
+			fullPoints: []float64{1_000, 11_000}, setup: fleet, measure: measureDiscoveryLoss},
 	}
 }
 
@@ -145,24 +145,24 @@
 const zoneWorkers = 1_737
 
 // Names lists the cases with what each measures.
-func Names() (list []string) {
+func DescribeCases() (list []string) {
 	for _, c := range cases() {
-		list = append(list, c.name+": "+c.about)
+		list = append(list, c.name+": "+c.description)
 	}
 	return list
 }
 
 // choose gives the cases of a set, or those that are named.
-func choose(names []string, full bool) (list []benchCase, err error) {
+func selectCases(names []string, full bool) (list []benchCase, err error) {
 	all := cases()
 	for _, name := range names {
 		at := slices.IndexFunc(all, func(c benchCase) bool { return c.name == name })
 		if at < 0 {
-			return nil, fmt.Errorf("%w: %q; there are\n%s", errCase, name, strings.Join(Names(), "\n"))
+			return nil, fmt.Errorf("%w: %q; there are\n%s", errUnknownCase, name, strings.Join(DescribeCases(), "\n"))
 		}
 		c := all[at]
-		if len(c.quick) == 0 {
-			c.quick = c.full
+		if len(c.quickPoints) == 0 {
+			c.quickPoints = c.fullPoints
 		}
 		list = append(list, c)
 	}
@@ -170,7 +170,7 @@
 		return list, nil
 	}
 	for _, c := range all {
-		if full || len(c.quick) > 0 {
+		if full || len(c.quickPoints) > 0 {
 			list = append(list, c)
 		}
 	}
@@ -180,15 +180,15 @@
 // measureLoad gives a measurement at rest and under short jobs at a rate.
 func measureLoad(perS float64) func(*measurement, float64) error {
 	return func(m *measurement, _ float64) error {
-		if _, err := m.rest(); err != nil {
+		if _, err := m.measureRest(); err != nil {
 			return err
 		}
-		if _, _, err := m.underLoad(m.shortLoad(perS, m.pick(3*time.Second, 10*time.Second)), nil); err != nil {
+		if _, _, err := m.runLoad(m.shortLoad(perS, m.duration(3*time.Second, 10*time.Second)), nil); err != nil {
 			return err
 		}
 		// Pings cost the scheduler as much as jobs do, so that they get a load of their own.
-		return m.pinged(func() error {
-			m.clients.Run(m.ctx, m.shortLoad(perS, m.pick(time.Second, 3*time.Second)))
+		return m.withPings(func() error {
+			m.clients.Run(m.ctx, m.shortLoad(perS, m.duration(time.Second, 3*time.Second)))
 			return m.ctx.Err()
 		})
 	}
--- a/internal/scale/cases_list.go
+++ b/internal/scale/cases_list.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	changeLimit     = 10 * time.Second // until a change is known
-	freshStartLimit = 10 * time.Second // until the list is known, where none was
-	steadyMinute    = time.Minute
+	changeTimeout     = 10 * time.Second // until a change is known
+	freshStartTimeout = 10 * time.Second // until the list is known, where none was
+	steadyDuration    = time.Minute
 )
 
 // measureSteady looks at the second of two minutes by itself.
 func measureSteady(m *measurement, _ float64) error {
-	if _, err := m.rest(); err != nil {
+	if _, err := m.measureRest(); err != nil {
 		return err
 	}
-	if _, _, err := m.underLoad(m.shortLoad(startsPerS, m.pick(steadyMinute/10, steadyMinute)), nil); err != nil {
+	if _, _, err := m.runLoad(m.shortLoad(startsPerS, m.duration(steadyDuration/10, steadyDuration)), nil); err != nil {
 		return err
 	}
-	second := m.shortLoad(startsPerS, m.pick(steadyMinute/10, steadyMinute))
+	second := m.shortLoad(startsPerS, m.duration(steadyDuration/10, steadyDuration))
 	second.Seed++
-	r, w, err := m.underLoad(second, nil)
+	r, w, err := m.runLoad(second, nil)
 	if err != nil {
 		return err
 	}
@@ -37,12 +37,12 @@
 
 // measureListChanges takes single workers off the list and puts them back, at a rate.
 func measureListChanges(m *measurement, perS float64) error {
-	if _, err := m.rest(); err != nil {
+	if _, err := m.measureRest(); err != nil {
 		return err
 	}
 	var applied []time.Duration
 	rng := rand.New(rand.NewPCG(m.seed, 0x6368616e6765))
-	length := m.pick(3*time.Second, 12*time.Second)
+	length := m.duration(3*time.Second, 12*time.Second)
 	change := func(ctx context.Context) error {
 		tick := time.NewTicker(time.Duration(float64(time.Second) / perS))
 		defer tick.Stop()
@@ -68,26 +68,26 @@
 			applied = append(applied, took)
 		}
 	}
-	err := m.pinged(func() error {
-		_, w, err := m.underLoad(m.shortLoad(startsPerS, length), change)
+	err := m.withPings(func() error {
+		_, w, err := m.runLoad(m.shortLoad(startsPerS, length), change)
 		m.figures["list_changes"] = float64(len(applied))
 		m.figures["window_s"] = w.seconds
 		return err
 	})
-	m.appliedFigures(applied)
+	m.mergeAppliedFigures(applied)
 	return err
 }
 
 // changeAndWait changes entries of the list as one and gives the time until the first scheduler knows it.
 func (m *measurement) changeAndWait(entries ...discovery.Entry) (time.Duration, error) {
 	from := time.Now()
-	if err := m.discovery.Change(entries...); err != nil {
+	if err := m.discovery.Update(entries...); err != nil {
 		return 0, err
 	}
-	return m.waitListed(m.schedulers[0], m.discovery.Listed(), from, changeLimit)
+	return m.waitWorkerCount(m.schedulers[0], m.discovery.WorkerCount(), from, changeTimeout)
 }
 
-func (m *measurement) appliedFigures(applied []time.Duration) {
+func (m *measurement) mergeAppliedFigures(applied []time.Duration) {
 	if len(applied) > 0 {
 		m.merge(map[string]float64{"change_applied_p50_ms": quantileMS(applied, 0.5), "change_applied_max_ms": quantileMS(applied, 1)})
 	}
@@ -95,11 +95,11 @@
 
 // measureZoneChange takes many workers off the list at once and puts them back, twice.
 func measureZoneChange(m *measurement, count float64) error {
-	if _, err := m.rest(); err != nil {
+	if _, err := m.measureRest(); err != nil {
 		return err
 	}
 	var applied []time.Duration
-	length := m.pick(3*time.Second, 8*time.Second)
+	length := m.duration(3*time.Second, 8*time.Second)
 	change := func(ctx context.Context) error {
 		for round := range 4 {
 			if err := m.pause(length / 6); err != nil || ctx.Err() != nil {
@@ -109,7 +109,7 @@
 			if round%2 == 1 {
 				status = discovery.Up
 			}
-			took, err := m.changeAndWait(m.entries(int(count), status)...)
+			took, err := m.changeAndWait(m.firstEntries(int(count), status)...)
 			if err != nil {
 				return err
 			}
@@ -117,16 +117,16 @@
 		}
 		return nil
 	}
-	err := m.pinged(func() error {
-		_, _, err := m.underLoad(m.shortLoad(startsPerS, length), change)
+	err := m.withPings(func() error {
+		_, _, err := m.runLoad(m.shortLoad(startsPerS, length), change)
 		return err
 	})
-	m.appliedFigures(applied)
+	m.mergeAppliedFigures(applied)
 	return err
 }
 
 // entries are those of the first workers.
-func (m *measurement) entries(count int, status discovery.Status) (list []discovery.Entry) {
+func (m *measurement) firstEntries(count int, status discovery.Status) (list []discovery.Entry) {
 	for number := range min(count, m.setup.workers) {
 		list = append(list, m.workers.Entry(number, status))
 	}
@@ -136,14 +136,14 @@
 // measureFreshStart waits for the list of a scheduler that was started with none, and has it serve.
 func measureFreshStart(m *measurement, _ float64) error {
 	began := time.Now()
-	took, err := m.waitListed(m.schedulers[0], m.setup.workers, began, freshStartLimit)
+	took, err := m.waitWorkerCount(m.schedulers[0], m.setup.workers, began, freshStartTimeout)
 	if err != nil {
 		return err
 	}
-	m.figures["list_known_s"] = took.Seconds() + m.readySlow.Seconds()
-	r, _, err := m.underLoad(m.shortLoad(startsPerS, time.Second), nil)
+	m.figures["list_known_s"] = took.Seconds() + m.maxReadyTime.Seconds()
+	r, _, err := m.runLoad(m.shortLoad(startsPerS, time.Second), nil)
 	if err == nil && r.Served == 0 {
-		err = fmt.Errorf("%w: no job of %d was served, the first got %q", errList, r.Sent, r.FirstBad)
+		err = fmt.Errorf("%w: no job of %d was served, the first got %q", errListNotKnown, r.Sent, r.FirstError)
 	}
 	return err
 }
--- a/internal/scale/client/client.go
+++ b/internal/scale/client/client.go
@@ -24,12 +24,12 @@
 )
 
 // Keys is how many keys jobs are spread over.
-const Keys = 1 << 20
+const KeyCount = 1 << 20
 
 const (
-	maxIdleConns = 20_000  // to one scheduler
-	shortestMS   = 5_000   // that a client waits for a short job
-	longestMS    = 600_000 // that one waits for a task
+	maxIdleConns   = 20_000  // to one scheduler
+	shortTimeoutMS = 5_000   // that a client waits for a short job
+	longTimeoutMS  = 600_000 // that one waits for a task
 )
 
 // Clients is the clients of all schedulers. Its methods may be called from any goroutine.
@@ -43,7 +43,7 @@
 func New(counter *traffic.Counter, addresses []netip.AddrPort) *Clients {
 	c := &Clients{addresses: addresses}
 	for range addresses {
-		transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true, DialContext: counted(counter)}
+		transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true, DialContext: countingDialer(counter)}
 		c.pools = append(c.pools, []*http.Client{{Transport: transport}})
 	}
 	return c
@@ -52,7 +52,7 @@
 // NewHTTP2 makes clients of the schedulers' HTTP/2 fronts, with so many connections to each.
 func NewHTTP2(counter *traffic.Counter, addresses []netip.AddrPort, connections int) *Clients {
 	c := &Clients{addresses: addresses}
-	dial := counted(counter)
+	dial := countingDialer(counter)
 	var clearText http.Protocols
 	clearText.SetUnencryptedHTTP2(true)
 	for range addresses {
@@ -67,14 +67,14 @@
 	return c
 }
 
-func counted(counter *traffic.Counter) func(context.Context, string, string) (net.Conn, error) {
+func countingDialer(counter *traffic.Counter) func(context.Context, string, string) (net.Conn, error) {
 	dialer := &net.Dialer{}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		nc, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return counter.Of(nc, traffic.Client), nil
+		return counter.WrapConn(nc, traffic.Client), nil
 	}
 }
 
@@ -89,23 +89,23 @@
 
 // Load says which jobs are sent.
 type Load struct {
-	Class     string
-	Runs      time.Duration // running time of each
-	PerSecond float64       // starts, over all schedulers, evenly; 0: all at once
-	Jobs      int           // so many in all
-	Tenants   int           // the jobs are spread over them; 0: they name none
-	Seed      uint64
+	Class      string
+	RunTime    time.Duration // running time of each
+	StartsPerS float64       // starts, over all schedulers, evenly; 0: all at once
+	Jobs       int           // so many in all
+	Tenants    int           // the jobs are spread over them; 0: they name none
+	Seed       uint64
 }
 
 // Result is how the jobs of a load ended.
 type Result struct {
-	Sent     int
-	Served   int
-	Refused  int // 429 and 503
-	Failed   int // any other answer, or none
-	Latency  *hdrhistogram.Histogram
-	Began    time.Time
-	FirstBad string // the first answer that was no result, for the log
+	Sent       int
+	Served     int
+	Refused    int // 429 and 503
+	Failed     int // any other answer, or none
+	Latency    *hdrhistogram.Histogram
+	StartedAt  time.Time
+	FirstError string // the first answer that was no result, for the log
 }
 
 // QuantileMS is a quantile of the latency of the served jobs in milliseconds.
@@ -119,24 +119,24 @@
 // Run sends a load and waits for all answers, or until the context ends.
 func (c *Clients) Run(ctx context.Context, load Load) *Result {
 	run := &loadRun{clients: c, load: load, rng: rand.New(rand.NewPCG(load.Seed, 0x6c6f6164)),
-		result: Result{Latency: hdrhistogram.New(1, longestMS*1000, 3), Began: time.Now()}}
+		result: Result{Latency: hdrhistogram.New(1, longTimeoutMS*1000, 3), StartedAt: time.Now()}}
 	var open sync.WaitGroup
 	for i := range load.Jobs {
-		if load.PerSecond > 0 {
-			due := run.result.Began.Add(time.Duration(float64(i) / load.PerSecond * float64(time.Second)))
+		if load.StartsPerS > 0 {
+			due := run.result.StartedAt.Add(time.Duration(float64(i) / load.StartsPerS * float64(time.Second)))
 			if !waitUntil(ctx, due) {
 				break
 			}
 		}
-		scheduler, request, err := run.draw(i)
+		scheduler, request, err := run.nextRequest(i)
 		if err != nil { // an address that no request can name
-			run.result.FirstBad = err.Error()
+			run.result.FirstError = err.Error()
 			break
 		}
 		run.result.Sent++
 		pool := c.pools[scheduler]
 		client := pool[i/len(c.pools)%len(pool)]
-		open.Go(func() { run.ask(ctx, client, request) })
+		open.Go(func() { run.send(ctx, client, request) })
 	}
 	open.Wait()
 	return &run.result
@@ -169,16 +169,16 @@
 }
 
 // draw makes the next job and names the scheduler that gets it.
-func (r *loadRun) draw(number int) (int, *http.Request, error) {
+func (r *loadRun) nextRequest(number int) (int, *http.Request, error) {
 	scheduler := number % len(r.clients.addresses)
-	url := fmt.Sprintf("http://%s/%s/k%d", r.clients.addresses[scheduler], r.load.Class, r.rng.IntN(Keys))
-	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(r.load.Runs.String()))
+	url := fmt.Sprintf("http://%s/%s/k%d", r.clients.addresses[scheduler], r.load.Class, r.rng.IntN(KeyCount))
+	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(r.load.RunTime.String()))
 	if err != nil {
 		return 0, nil, err
 	}
-	left := int64(shortestMS)
+	left := int64(shortTimeoutMS)
 	if r.load.Class == process.LongClass {
-		left = longestMS
+		left = longTimeoutMS
 	}
 	request.Header.Set(platform.HeaderID, worker.JobID(scheduler, r.clients.serial.Add(1)))
 	request.Header.Set(platform.HeaderTimeLeft, fmt.Sprint(left))
@@ -189,7 +189,7 @@
 }
 
 // ask sends one job and counts how it ends.
-func (r *loadRun) ask(ctx context.Context, client *http.Client, request *http.Request) {
+func (r *loadRun) send(ctx context.Context, client *http.Client, request *http.Request) {
 	began := time.Now()
 	response, err := client.Do(request.WithContext(ctx))
 	status, text := 0, ""
@@ -215,7 +215,7 @@
 	default:
 		r.result.Failed++
 	}
-	if r.result.FirstBad == "" {
-		r.result.FirstBad = text
+	if r.result.FirstError == "" {
+		r.result.FirstError = text
 	}
 }
--- a/internal/scale/client/client_test.go
+++ b/internal/scale/client/client_test.go
@@ -16,7 +16,7 @@
 )
 
 // served is a stand-in for a scheduler's front of either protocol.
-func served(t *testing.T, handler http.HandlerFunc) netip.AddrPort {
+func startServer(t *testing.T, handler http.HandlerFunc) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -31,7 +31,7 @@
 func TestAnswersAreCountedByWhatTheySay(t *testing.T) {
 	var seen sync.Map
 	var number atomic.Int64
-	address := served(t, func(rw http.ResponseWriter, r *http.Request) {
+	address := startServer(t, func(rw http.ResponseWriter, r *http.Request) {
 		if _, twice := seen.LoadOrStore(r.Header.Get("X-Correlation-Id"), true); twice {
 			t.Error("an id came twice")
 		}
@@ -42,7 +42,7 @@
 	r := c.Run(context.Background(), Load{Class: process.ShortClass, Jobs: 40, Tenants: 3})
 	require.Equal(t, []int{40, 10, 20, 10}, []int{r.Sent, r.Served, r.Refused, r.Failed})
 	require.Equal(t, int64(10), r.Latency.TotalCount())
-	require.NotEmpty(t, r.FirstBad)
+	require.NotEmpty(t, r.FirstError)
 }
 
 // Streams of one connection carry more than one request at a time, and no more connections are opened than were asked for.
@@ -50,7 +50,7 @@
 	const jobs, connections = 40, 2
 	var open sync.WaitGroup
 	open.Add(jobs)
-	address := served(t, func(_ http.ResponseWriter, r *http.Request) {
+	address := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.ProtoMajor != 2 {
 			t.Error(r.Proto)
 		}
@@ -61,6 +61,6 @@
 	c := NewHTTP2(counter, []netip.AddrPort{address}, connections)
 	defer c.Close()
 	r := c.Run(context.Background(), Load{Class: process.LongClass, Jobs: jobs})
-	require.Equal(t, jobs, r.Served, r.FirstBad)
+	require.Equal(t, jobs, r.Served, r.FirstError)
 	require.Equal(t, uint64(connections), counter.Totals()[traffic.Client].Connections)
 }
--- a/internal/scale/client/ping.go
+++ b/internal/scale/client/ping.go
@@ -12,7 +12,7 @@
 )
 
 // pingEvery is the time between two pings. A turn of the loop that is shorter may pass unseen.
-const pingEvery = time.Millisecond
+const pingPeriod = time.Millisecond
 
 // Ping asks a scheduler for its readiness again and again on one connection until the context ends, and gives the
 // round trips in microseconds. The scheduler's loop answers, so that the longest one bounds its slowest turn from above
@@ -21,7 +21,7 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: 1}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
-	trips := hdrhistogram.New(1, longestMS*1000, 3)
+	trips := hdrhistogram.New(1, longTimeoutMS*1000, 3)
 	for ctx.Err() == nil {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, s.URL(platform.PathReady), nil)
 		if err != nil {
@@ -33,7 +33,7 @@
 			response.Body.Close()
 			trips.RecordValue(max(1, time.Since(began).Microseconds()))
 		}
-		waitUntil(ctx, began.Add(pingEvery))
+		waitUntil(ctx, began.Add(pingPeriod))
 	}
 	return trips
 }
--- a/internal/scale/discovery/discovery.go
+++ b/internal/scale/discovery/discovery.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	chunkBytes     = 16 << 10        // a list is sent in chunks of at most so many bytes
-	heartbeatEvery = 2 * time.Second // an empty line tells that a watch is alive
-	maxKeptUpdates = 20_000          // a watch that continues from before them gets the whole list first
-	maxKeptBytes   = 64 << 20        // of kept updates; past it the oldest are dropped
+	chunkBytes        = 16 << 10        // a list is sent in chunks of at most so many bytes
+	heartbeatPeriod   = 2 * time.Second // an empty line tells that a watch is alive
+	maxHistoryUpdates = 20_000          // a watch that continues from before them gets the whole list first
+	maxHistoryBytes   = 64 << 20        // of kept updates; past it the oldest are dropped
 )
 
 // Server holds the list and answers schedulers. Its methods may be called from any goroutine.
@@ -31,22 +31,22 @@
 	http    *http.Server
 	address netip.AddrPort
 
-	mu        sync.Mutex
-	version   int64
-	entries   map[string]Entry
-	whole     update   // the whole list, of the version it names
-	kept      []update // the last versions, in order
-	keptBytes int
-	changed   chan struct{} // closed at each change
-	away      bool
-	awayFrom  chan struct{} // closed when it goes away
-	watches   int
+	mu           sync.Mutex
+	version      int64
+	entries      map[string]Entry
+	fullList     update   // the whole list, of the version it names
+	history      []update // the last versions, in order
+	historyBytes int
+	changed      chan struct{} // closed at each change
+	down         bool
+	wentDown     chan struct{} // closed when it goes away
+	watches      int
 }
 
 // Start serves a list on a port from the kernel.
 func Start(entries []Entry, counter *traffic.Counter) (*Server, error) {
 	s := &Server{counter: counter, version: 1, entries: make(map[string]Entry, len(entries)),
-		changed: make(chan struct{}), awayFrom: make(chan struct{})}
+		changed: make(chan struct{}), wentDown: make(chan struct{})}
 	for _, e := range entries {
 		s.entries[e.Name] = e
 	}
@@ -67,10 +67,10 @@
 func (s *Server) Address() netip.AddrPort { return s.address }
 
 // Whole is the whole list as it is now, in the form of the protocol.
-func (s *Server) Whole() ([]byte, error) {
+func (s *Server) FullList() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	u, err := s.wholeLocked()
+	u, err := s.fullListLocked()
 	return u.text, err
 }
 
@@ -82,22 +82,22 @@
 }
 
 // Listed is the number of workers on the list.
-func (s *Server) Listed() int {
+func (s *Server) WorkerCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.entries)
 }
 
 // Watches is the number of watches that are open.
-func (s *Server) Watches() int {
+func (s *Server) WatchCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.watches
 }
 
-func (s *Server) wholeLocked() (update, error) {
-	if s.whole.version == s.version {
-		return s.whole, nil
+func (s *Server) fullListLocked() (update, error) {
+	if s.fullList.version == s.version {
+		return s.fullList, nil
 	}
 	list := make([]Entry, 0, len(s.entries))
 	for _, e := range s.entries {
@@ -106,13 +106,13 @@
 	slices.SortFunc(list, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
 	u, err := newUpdate(s.version, true, list)
 	if err == nil {
-		s.whole = u
+		s.fullList = u
 	}
 	return u, err
 }
 
 // Change makes one new version of the list with the entries, and tells it to all watches as one line.
-func (s *Server) Change(entries ...Entry) error {
+func (s *Server) Update(entries ...Entry) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	u, err := newUpdate(s.version+1, false, entries)
@@ -127,11 +127,11 @@
 			s.entries[e.Name] = e
 		}
 	}
-	s.kept = append(s.kept, u)
-	s.keptBytes += len(u.text)
-	for len(s.kept) > maxKeptUpdates || s.keptBytes > maxKeptBytes {
-		s.keptBytes -= len(s.kept[0].text)
-		s.kept = s.kept[1:]
+	s.history = append(s.history, u)
+	s.historyBytes += len(u.text)
+	for len(s.history) > maxHistoryUpdates || s.historyBytes > maxHistoryBytes {
+		s.historyBytes -= len(s.history[0].text)
+		s.history = s.history[1:]
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -139,23 +139,23 @@
 }
 
 // SetAway has discovery go: all connections end, and new ones are reset until it is back. Changes are kept meanwhile.
-func (s *Server) SetAway(away bool) {
+func (s *Server) SetDown(away bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if away == s.away {
+	if away == s.down {
 		return
 	}
-	if s.away = away; away {
-		close(s.awayFrom)
+	if s.down = away; away {
+		close(s.wentDown)
 		return
 	}
-	s.awayFrom = make(chan struct{})
+	s.wentDown = make(chan struct{})
 }
 
-func (s *Server) isAway() bool {
+func (s *Server) isDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.away
+	return s.down
 }
 
 // countingListener counts what passes on its connections as traffic of the list.
@@ -171,8 +171,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if !l.server.isAway() {
-			return l.server.counter.Of(nc, traffic.List), nil
+		if !l.server.isDown() {
+			return l.server.counter.WrapConn(nc, traffic.List), nil
 		}
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
@@ -185,9 +185,9 @@
 		rw.WriteHeader(http.StatusNotFound)
 		return
 	}
-	s.counter.Message(traffic.List)
+	s.counter.AddMessage(traffic.List)
 	if r.URL.Query().Get("watch") == "" {
-		text, err := s.Whole()
+		text, err := s.FullList()
 		if err != nil {
 			rw.WriteHeader(http.StatusInternalServerError)
 			return
@@ -207,7 +207,7 @@
 func (s *Server) watch(rw http.ResponseWriter, r *http.Request, after int64) {
 	s.mu.Lock()
 	s.watches++
-	awayFrom := s.awayFrom
+	awayFrom := s.wentDown
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
@@ -216,10 +216,10 @@
 	}()
 	rw.WriteHeader(http.StatusOK)
 	rw.(http.Flusher).Flush()
-	heartbeat := time.NewTicker(heartbeatEvery)
+	heartbeat := time.NewTicker(heartbeatPeriod)
 	defer heartbeat.Stop()
 	for {
-		updates, changed, err := s.behind(after)
+		updates, changed, err := s.updatesAfter(after)
 		if err != nil {
 			return
 		}
@@ -227,7 +227,7 @@
 			if !writeChunks(rw, append(u.text[:len(u.text):len(u.text)], '\n')) {
 				return
 			}
-			s.counter.Message(traffic.List)
+			s.counter.AddMessage(traffic.List)
 			after = u.version
 		}
 		select {
@@ -245,18 +245,18 @@
 }
 
 // behind gives what a watch is to be told next, and what tells of the next change.
-func (s *Server) behind(after int64) ([]update, chan struct{}, error) {
+func (s *Server) updatesAfter(after int64) ([]update, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if after >= s.version {
 		return nil, s.changed, nil
 	}
-	if len(s.kept) == 0 || s.kept[0].version > after+1 {
-		u, err := s.wholeLocked()
+	if len(s.history) == 0 || s.history[0].version > after+1 {
+		u, err := s.fullListLocked()
 		return []update{u}, s.changed, err
 	}
-	first := int(after + 1 - s.kept[0].version)
-	return slices.Clone(s.kept[first:]), s.changed, nil
+	first := int(after + 1 - s.history[0].version)
+	return slices.Clone(s.history[first:]), s.changed, nil
 }
 
 // writeChunks sends a text in chunks, and tells whether all of it could be written.
--- a/internal/scale/discovery/discovery_test.go
+++ b/internal/scale/discovery/discovery_test.go
@@ -16,7 +16,7 @@
 	"cobaltflow/internal/scale/traffic"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 type line struct {
 	Index     int64   `json:"index"`
@@ -24,17 +24,17 @@
 	Endpoints []Entry `json:"endpoints"`
 }
 
-func listOf(count int) (list []Entry) {
+func newEntries(count int) (list []Entry) {
 	for i := range count {
 		list = append(list, Entry{Name: fmt.Sprintf("w%04d", i), Status: Up, Weight: 1})
 	}
 	return list
 }
 
-func started(t *testing.T, workers int) (*Server, *traffic.Counter) {
+func startServer(t *testing.T, workers int) (*Server, *traffic.Counter) {
 	t.Helper()
 	counter := &traffic.Counter{}
-	s, err := Start(listOf(workers), counter)
+	s, err := Start(newEntries(workers), counter)
 	require.NoError(t, err)
 	t.Cleanup(func() { s.Close() })
 	return s, counter
@@ -43,7 +43,7 @@
 // watch follows from a version; next gives the lines that hold something.
 func watch(t *testing.T, s *Server, after int64) (next func() line) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	url := fmt.Sprintf("http://%s%s?watch=1&after=%d", s.Address(), platform.PathTargets, after)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -66,7 +66,7 @@
 }
 
 func TestWholeListIsToldWithItsVersion(t *testing.T) {
-	s, counter := started(t, 300)
+	s, counter := startServer(t, 300)
 	response, err := http.Get(fmt.Sprintf("http://%s%s", s.Address(), platform.PathTargets))
 	require.NoError(t, err)
 	defer response.Body.Close()
@@ -74,34 +74,34 @@
 	require.NoError(t, err)
 	var l line
 	require.NoError(t, json.Unmarshal(text, &l))
-	require.Equal(t, listOf(300), l.Endpoints)
+	require.Equal(t, newEntries(300), l.Endpoints)
 	require.True(t, l.Snapshot)
 	require.Equal(t, s.Version(), l.Index)
 	require.Greater(t, counter.Totals()[traffic.List].BytesIn, uint64(len(text)))
 }
 
 func TestWatchContinuesFromTheVersionItNames(t *testing.T) {
-	s, _ := started(t, 3)
+	s, _ := startServer(t, 3)
 	known := s.Version()
-	require.NoError(t, s.Change(Entry{Name: "w0001", Status: Removed}))
+	require.NoError(t, s.Update(Entry{Name: "w0001", Status: Removed}))
 	next := watch(t, s, known)
 	first := next()
 	require.Equal(t, known+1, first.Index)
 	require.False(t, first.Snapshot)
-	require.Equal(t, 2, s.Listed())
-	require.NoError(t, s.Change(Entry{Name: "w0001", Status: Up}, Entry{Name: "w0009", Status: Up}))
+	require.Equal(t, 2, s.WorkerCount())
+	require.NoError(t, s.Update(Entry{Name: "w0001", Status: Up}, Entry{Name: "w0009", Status: Up}))
 	second := next()
 	require.Equal(t, known+2, second.Index)
 	require.Len(t, second.Endpoints, 2)
-	require.Equal(t, 4, s.Listed())
+	require.Equal(t, 4, s.WorkerCount())
 }
 
 func TestWatchOfAVersionThatIsNotKeptGetsTheWholeList(t *testing.T) {
-	s, _ := started(t, 2)
-	for range maxKeptUpdates + 1 {
-		require.NoError(t, s.Change(Entry{Name: "w0000", Status: Up}))
+	s, _ := startServer(t, 2)
+	for range maxHistoryUpdates + 1 {
+		require.NoError(t, s.Update(Entry{Name: "w0000", Status: Up}))
 	}
-	require.Len(t, s.kept, maxKeptUpdates)
+	require.Len(t, s.history, maxHistoryUpdates)
 	l := watch(t, s, 1)()
 	require.True(t, l.Snapshot)
 	require.Equal(t, s.Version(), l.Index)
@@ -109,15 +109,15 @@
 }
 
 func TestAbsentDiscoveryEndsWatchesAndTakesNone(t *testing.T) {
-	s, _ := started(t, 1)
+	s, _ := startServer(t, 1)
 	watch(t, s, s.Version())
-	require.Eventually(t, func() bool { return s.Watches() == 1 }, patience, time.Millisecond)
-	s.SetAway(true)
-	require.Eventually(t, func() bool { return s.Watches() == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.WatchCount() == 1 }, testTimeout, time.Millisecond)
+	s.SetDown(true)
+	require.Eventually(t, func() bool { return s.WatchCount() == 0 }, testTimeout, time.Millisecond)
 	client := &http.Client{Transport: &http.Transport{}}
 	_, err := client.Get(fmt.Sprintf("http://%s%s", s.Address(), platform.PathTargets))
 	require.Error(t, err)
-	s.SetAway(false)
+	s.SetDown(false)
 	response, err := client.Get(fmt.Sprintf("http://%s%s", s.Address(), platform.PathTargets))
 	require.NoError(t, err)
 	response.Body.Close()
--- a/internal/scale/fit/fit.go
+++ b/internal/scale/fit/fit.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	confidence     = 0.95
-	leastR2        = 0.9  // under it a line explains too little of what was seen
-	lackOfFitLevel = 0.05 // of the F test for lack of fit
-	mostOff        = 0.1  // how far a mean may lie off the line, as a part of the figure's range
+	confidence            = 0.95
+	minR2                 = 0.9  // under it a line explains too little of what was seen
+	lackOfFitSignificance = 0.05 // of the F test for lack of fit
+	maxMeanDeviation      = 0.1  // how far a mean may lie off the line, as a part of the figure's range
 )
 
 // group is the runs of one case and build, along one parameter.
-type group struct {
-	of        string
+type seriesKey struct {
+	caseName  string
 	kind      result.Kind
 	program   string
 	parameter string
@@ -31,13 +31,13 @@
 // Slopes fits each figure of each case along the one parameter in which the case's runs differ. A figure that was not
 // measured at two values of it gets no line.
 func Slopes(runs []result.Run) (slopes []result.Slope) {
-	groups := map[group][]result.Run{}
-	var order []group
+	groups := map[seriesKey][]result.Run{}
+	var order []seriesKey
 	for _, r := range runs {
-		if r.Missed != "" {
+		if r.MissedReason != "" {
 			continue
 		}
-		g := group{of: r.Case, kind: r.Kind, program: r.Program}
+		g := seriesKey{caseName: r.Case, kind: r.Kind, program: r.Program}
 		if groups[g] == nil {
 			order = append(order, g)
 		}
@@ -45,10 +45,10 @@
 	}
 	for _, g := range order {
 		list := groups[g]
-		for _, parameter := range varied(list) {
+		for _, parameter := range variedParameters(list) {
 			g.parameter = parameter
-			for _, figure := range figures(list) {
-				if s, ok := line(g, figure, list); ok {
+			for _, figure := range figureNames(list) {
+				if s, ok := fitLine(g, figure, list); ok {
 					slopes = append(slopes, s)
 				}
 			}
@@ -58,7 +58,7 @@
 }
 
 // varied names the parameters that differ among runs.
-func varied(runs []result.Run) (names []string) {
+func variedParameters(runs []result.Run) (names []string) {
 	for name, first := range runs[0].Parameters {
 		if slices.ContainsFunc(runs, func(r result.Run) bool { return r.Parameters[name] != first }) {
 			names = append(names, name)
@@ -68,7 +68,7 @@
 	return names
 }
 
-func figures(runs []result.Run) (names []string) {
+func figureNames(runs []result.Run) (names []string) {
 	for _, r := range runs {
 		for name := range r.Figures {
 			if !slices.Contains(names, name) {
@@ -81,14 +81,14 @@
 }
 
 // line fits one figure.
-func line(g group, figure string, runs []result.Run) (result.Slope, bool) {
+func fitLine(g seriesKey, figure string, runs []result.Run) (result.Slope, bool) {
 	var xs, ys []float64
 	for _, r := range runs {
 		if y, measured := r.Figures[figure]; measured {
 			xs, ys = append(xs, r.Parameters[g.parameter]), append(ys, y)
 		}
 	}
-	s := result.Slope{Case: g.of, Kind: g.kind, Program: g.program, Figure: figure, Parameter: g.parameter, Points: len(xs)}
+	s := result.Slope{Case: g.caseName, Kind: g.kind, Program: g.program, Figure: figure, Parameter: g.parameter, Points: len(xs)}
 	if len(xs) == 0 {
 		return s, false
 	}
@@ -101,14 +101,14 @@
 	if math.IsNaN(s.R2) || math.IsInf(s.R2, 0) {
 		s.R2 = 1 // all figures are the same: the level line meets each
 	}
-	half := interval(xs, ys, s.Intercept, s.Slope)
+	half := intervalHalfWidth(xs, ys, s.Intercept, s.Slope)
 	s.Low, s.High = s.Slope-half, s.Slope+half
-	s.NotALine = whyNot(xs, ys, &s)
+	s.PoorFitReason = poorFitReason(xs, ys, &s)
 	return s, true
 }
 
 // interval is half the width of the slope's confidence interval; 0 where two points leave no freedom.
-func interval(xs, ys []float64, intercept, slope float64) float64 {
+func intervalHalfWidth(xs, ys []float64, intercept, slope float64) float64 {
 	freedom := float64(len(xs) - 2)
 	if freedom < 1 {
 		return 0
@@ -124,7 +124,7 @@
 }
 
 // whyNot tells why a line does not describe the figures; empty: nothing speaks against it.
-func whyNot(xs, ys []float64, s *result.Slope) string {
+func poorFitReason(xs, ys []float64, s *result.Slope) string {
 	switch {
 	case slices.Min(ys) == slices.Max(ys):
 		return "" // the level line meets each
@@ -136,19 +136,19 @@
 	if text := lackOfFit(xs, ys, s); text != "" {
 		return text
 	}
-	if s.R2 < leastR2 {
+	if s.R2 < minR2 {
 		return fmt.Sprintf("R² is %.2f: the runs scatter widely around it", s.R2)
 	}
-	return offTheLine(xs, ys, s)
+	return meanDeviation(xs, ys, s)
 }
 
 // offTheLine tells of means that lie far off the line, for runs whose scatter tells nothing: they are not repeated, or
 // are counts that come out the same.
-func offTheLine(xs, ys []float64, s *result.Slope) string {
+func meanDeviation(xs, ys []float64, s *result.Slope) string {
 	height := slices.Max(ys) - slices.Min(ys)
-	for _, l := range levels(xs, ys) {
+	for _, l := range groupByLevel(xs, ys) {
 		off := l.mean - s.Intercept - s.Slope*l.x
-		if math.Abs(off) > mostOff*height {
+		if math.Abs(off) > maxMeanDeviation*height {
 			return fmt.Sprintf("at %g the mean lies %+.0f %% of the range off the line", l.x, 100*off/height)
 		}
 	}
@@ -157,11 +157,11 @@
 
 // level is the runs at one value of the parameter.
 type level struct {
-	x, mean, within float64 // within: the sum of squares around the mean
-	runs            int
+	x, mean, squaredError float64 // within: the sum of squares around the mean
+	runs                  int
 }
 
-func levels(xs, ys []float64) (list []level) {
+func groupByLevel(xs, ys []float64) (list []level) {
 	byX := map[float64][]float64{}
 	for i, x := range xs {
 		byX[x] = append(byX[x], ys[i])
@@ -169,7 +169,7 @@
 	for x, at := range byX {
 		l := level{x: x, mean: stat.Mean(at, nil), runs: len(at)}
 		for _, y := range at {
-			l.within += (y - l.mean) * (y - l.mean)
+			l.squaredError += (y - l.mean) * (y - l.mean)
 		}
 		list = append(list, l)
 	}
@@ -180,7 +180,7 @@
 // lackOfFit is the F test for lack of fit: how far the means at each value lie off the line, beside the scatter of
 // repeated runs. It needs three values and repeated runs.
 func lackOfFit(xs, ys []float64, s *result.Slope) string {
-	list := levels(xs, ys)
+	list := groupByLevel(xs, ys)
 	free := float64(len(xs) - len(list))
 	if len(list) < 3 || free < 1 {
 		return ""
@@ -188,7 +188,7 @@
 	within, between, worst := 0.0, 0.0, 0.0
 	var at level
 	for _, l := range list {
-		within += l.within
+		within += l.squaredError
 		off := l.mean - s.Intercept - s.Slope*l.x
 		between += float64(l.runs) * off * off
 		if math.Abs(off) > math.Abs(worst) {
@@ -201,7 +201,7 @@
 	extra := float64(len(list) - 2)
 	ratio := between / extra / (within / free)
 	p := distuv.F{D1: extra, D2: free}.Survival(ratio)
-	if p >= lackOfFitLevel {
+	if p >= lackOfFitSignificance {
 		return ""
 	}
 	return fmt.Sprintf("lack of fit (F test, p = %.3f): at %g the mean is %.3g off the line", p, at.x, worst)
--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -9,7 +9,7 @@
 )
 
 // runsOf makes runs of a case "workers", two at each value, a little above and below a function of the workers.
-func runsOf(f func(workers float64) float64, scatter float64, workers ...float64) (runs []result.Run) {
+func runsAlong(f func(workers float64) float64, scatter float64, workers ...float64) (runs []result.Run) {
 	for _, x := range workers {
 		for _, off := range []float64{-scatter, scatter} {
 			runs = append(runs, result.Run{Case: "workers", Kind: result.Real, Program: "now",
@@ -20,7 +20,7 @@
 }
 
 func TestLineThroughALine(t *testing.T) {
-	slopes := Slopes(runsOf(func(x float64) float64 { return 100 + 3*x }, 1, 10, 20, 40, 80))
+	slopes := Slopes(runsAlong(func(x float64) float64 { return 100 + 3*x }, 1, 10, 20, 40, 80))
 	require.Len(t, slopes, 1)
 	s := slopes[0]
 	require.Equal(t, "workers", s.Parameter)
@@ -31,34 +31,34 @@
 	// By hand: the residuals are 1 each, their sum of squares 8, that of the workers 5750: t(6) of 97.5 % is 2.4469.
 	require.InDelta(t, 2.4469*0.0152277, s.High-s.Slope, 1e-4)
 	require.InDelta(t, s.High-s.Slope, s.Slope-s.Low, 1e-9)
-	require.Empty(t, s.NotALine)
+	require.Empty(t, s.PoorFitReason)
 }
 
 func TestCurveIsNoLine(t *testing.T) {
-	s := Slopes(runsOf(func(x float64) float64 { return x * x }, 1, 10, 20, 40, 80))[0]
-	require.Contains(t, s.NotALine, "lack of fit")
+	s := Slopes(runsAlong(func(x float64) float64 { return x * x }, 1, 10, 20, 40, 80))[0]
+	require.Contains(t, s.PoorFitReason, "lack of fit")
 }
 
 func TestLevelFiguresAreNoGrowth(t *testing.T) {
-	s := Slopes(runsOf(func(float64) float64 { return 5 }, 1, 10, 20, 40))[0]
-	require.Contains(t, s.NotALine, "holds 0")
+	s := Slopes(runsAlong(func(float64) float64 { return 5 }, 1, 10, 20, 40))[0]
+	require.Contains(t, s.PoorFitReason, "holds 0")
 }
 
 func TestTwoPointsProveNothing(t *testing.T) {
-	runs := runsOf(func(x float64) float64 { return x }, 0, 10, 20)
+	runs := runsAlong(func(x float64) float64 { return x }, 0, 10, 20)
 	s := Slopes([]result.Run{runs[0], runs[2]})[0]
-	require.Contains(t, s.NotALine, "two points")
+	require.Contains(t, s.PoorFitReason, "two points")
 	require.Equal(t, s.Low, s.High)
 }
 
 func TestMissedRunsAndSingleValuesGiveNoLine(t *testing.T) {
-	runs := runsOf(func(x float64) float64 { return x }, 0, 10, 20)
-	runs[0].Missed, runs[1].Missed = "not ready", "not ready"
+	runs := runsAlong(func(x float64) float64 { return x }, 0, 10, 20)
+	runs[0].MissedReason, runs[1].MissedReason = "not ready", "not ready"
 	require.Empty(t, Slopes(runs))
 }
 
 // pointsOf makes one run of a hollow case "workers" for each point.
-func pointsOf(points ...[2]float64) (runs []result.Run) {
+func hollowRuns(points ...[2]float64) (runs []result.Run) {
 	for _, p := range points {
 		runs = append(runs, result.Run{Case: "workers", Kind: result.Hollow, Program: "now",
 			Parameters: map[string]float64{"workers": p[0]}, Figures: map[string]float64{"probes": p[1]}})
@@ -67,7 +67,7 @@
 }
 
 func TestLineThroughPointsOnOne(t *testing.T) {
-	s := Slopes(pointsOf([2]float64{1, 5}, [2]float64{2, 7}, [2]float64{4, 11}))[0]
+	s := Slopes(hollowRuns([2]float64{1, 5}, [2]float64{2, 7}, [2]float64{4, 11}))[0]
 	require.InDelta(t, 2, s.Slope, 1e-9)
 	require.InDelta(t, 3, s.Intercept, 1e-9)
 	require.InDelta(t, 1, s.R2, 1e-9)
@@ -75,35 +75,35 @@
 	require.Equal(t, 3, s.Points)
 	require.Equal(t, []float64{1, 4}, []float64{s.From, s.To})
 	require.Equal(t, result.Hollow, s.Kind)
-	require.Empty(t, s.NotALine)
+	require.Empty(t, s.PoorFitReason)
 }
 
 // The interval is that of the textbook: residual sum of squares 0.05 over 2 degrees of freedom, spread 5, t 4.3027.
 func TestIntervalOfTheSlope(t *testing.T) {
-	s := Slopes(pointsOf([2]float64{1, 1.0}, [2]float64{2, 2.2}, [2]float64{3, 2.9}, [2]float64{4, 4.1}))[0]
+	s := Slopes(hollowRuns([2]float64{1, 1.0}, [2]float64{2, 2.2}, [2]float64{3, 2.9}, [2]float64{4, 4.1}))[0]
 	require.InDelta(t, 1.0, s.Slope, 1e-9)
 	require.InDelta(t, 0.3042, (s.High-s.Low)/2, 0.001)
 }
 
 func TestWhatIsNoLine(t *testing.T) {
 	for name, runs := range map[string][]result.Run{
-		"a bend":    pointsOf([2]float64{1, 1}, [2]float64{2, 4}, [2]float64{4, 16}, [2]float64{8, 64}, [2]float64{16, 256}, [2]float64{32, 1024}),
-		"a cloud":   pointsOf([2]float64{1, 5}, [2]float64{2, 1}, [2]float64{3, 6}, [2]float64{4, 2}, [2]float64{5, 5}),
-		"a plateau": pointsOf([2]float64{1, 0}, [2]float64{2, 9}, [2]float64{3, 10}, [2]float64{4, 10}, [2]float64{5, 10}, [2]float64{6, 10}),
+		"a bend":    hollowRuns([2]float64{1, 1}, [2]float64{2, 4}, [2]float64{4, 16}, [2]float64{8, 64}, [2]float64{16, 256}, [2]float64{32, 1024}),
+		"a cloud":   hollowRuns([2]float64{1, 5}, [2]float64{2, 1}, [2]float64{3, 6}, [2]float64{4, 2}, [2]float64{5, 5}),
+		"a plateau": hollowRuns([2]float64{1, 0}, [2]float64{2, 9}, [2]float64{3, 10}, [2]float64{4, 10}, [2]float64{5, 10}, [2]float64{6, 10}),
 	} {
-		require.NotEmpty(t, Slopes(runs)[0].NotALine, name)
+		require.NotEmpty(t, Slopes(runs)[0].PoorFitReason, name)
 	}
-	level := Slopes(pointsOf([2]float64{1, 3}, [2]float64{2, 3}, [2]float64{3, 3}))[0]
-	require.Empty(t, level.NotALine)
+	level := Slopes(hollowRuns([2]float64{1, 3}, [2]float64{2, 3}, [2]float64{3, 3}))[0]
+	require.Empty(t, level.PoorFitReason)
 	require.Equal(t, 1.0, level.R2)
 }
 
 func TestOnePlaceGivesNoLine(t *testing.T) {
-	require.Empty(t, Slopes(pointsOf([2]float64{1, 1}, [2]float64{1, 2}, [2]float64{1, 3})))
+	require.Empty(t, Slopes(hollowRuns([2]float64{1, 1}, [2]float64{1, 2}, [2]float64{1, 3})))
 }
 
 func TestCasesAndFiguresAreFittedApart(t *testing.T) {
-	runs := pointsOf([2]float64{1, 1}, [2]float64{2, 1}, [2]float64{3, 1})
+	runs := hollowRuns([2]float64{1, 1}, [2]float64{2, 1}, [2]float64{3, 1})
 	for i := range runs {
 		n := float64(i + 1)
 		runs[i].Figures["rss_bytes"] = 10 * n
--- a/internal/scale/hollow/candidates.go
+++ b/internal/scale/hollow/candidates.go
@@ -19,7 +19,7 @@
 // ownershipSettings divide fleets of any size, with messages between schedulers or without, and the schedulers of a
 // worker's zone before others or not.
 func ownershipSettings(heartbeats, near bool) *ownership.Settings {
-	return &ownership.Settings{MinShare: 1, UsesHeartbeats: heartbeats, PrefersOwnZone: near, SlowStartWindow: coldFor}
+	return &ownership.Settings{MinShare: 1, UsesHeartbeats: heartbeats, PrefersOwnZone: near, SlowStartWindow: coldDuration}
 }
 
 // Candidates are those that are compared.
@@ -50,7 +50,7 @@
 }
 
 // mostMemberships bounds the memberships whose shares are kept; past it all are forgotten.
-const mostMemberships = 16
+const maxCachedMemberships = 16
 
 func newRendezvous(f *Fleet, holders int, near bool) *rendezvous {
 	return &rendezvous{fleet: f, holders: min(holders, f.Schedulers), near: near, shares: map[string][][]int{}}
@@ -69,7 +69,7 @@
 	}
 	shares, known := o.shares[string(key)]
 	if !known {
-		if len(o.shares) >= mostMemberships {
+		if len(o.shares) >= maxCachedMemberships {
 			clear(o.shares)
 		}
 		shares = o.divide(alive)
@@ -90,10 +90,10 @@
 	order := make([]holder, 0, len(alive))
 	for worker := range o.fleet.Workers() {
 		order = order[:0]
-		hash := mix(uint64(worker) + 1)
+		hash := splitmix64(uint64(worker) + 1)
 		for scheduler, a := range alive {
 			if a {
-				order = append(order, holder{scheduler, o.distance(worker, scheduler), mix(hash ^ mix(uint64(scheduler)))})
+				order = append(order, holder{scheduler, o.distance(worker, scheduler), splitmix64(hash ^ splitmix64(uint64(scheduler)))})
 			}
 		}
 		slices.SortFunc(order, func(a, b holder) int {
@@ -160,7 +160,7 @@
 	for worker := range f.Workers() {
 		hash := workerHash(world.WorkerID(worker))
 		for point := range uint64(ringPoints) {
-			v.ring = append(v.ring, ringPoint{mix(hash + point), worker})
+			v.ring = append(v.ring, ringPoint{splitmix64(hash + point), worker})
 		}
 	}
 	slices.SortFunc(v.ring, func(a, b ringPoint) int { return cmp.Compare(a.at, b.at) })
@@ -174,8 +174,8 @@
 func (v *partialView) Share(scheduler int, _ []bool) []int {
 	taken := make([]bool, v.fleet.Workers())
 	for key := range v.fleet.Keys {
-		if v.comesTo(key, scheduler) {
-			v.take(key, world.ZoneOf(scheduler, v.fleet.Zones), taken)
+		if v.receivesKey(key, scheduler) {
+			v.markWorkers(key, world.ZoneOf(scheduler, v.fleet.Zones), taken)
 		}
 	}
 	var share []int
@@ -187,13 +187,13 @@
 	return share
 }
 
-func (v *partialView) comesTo(key, scheduler int) bool {
+func (v *partialView) receivesKey(key, scheduler int) bool {
 	return v.fleet.Traffic != world.ByKey || slices.Contains(world.SchedulersOf(key, v.fleet.Schedulers, schedulersPerKey), scheduler)
 }
 
 // take marks the workers that a key points to.
-func (v *partialView) take(key, zone int, taken []bool) {
-	at, _ := slices.BinarySearchFunc(v.ring, mix(world.Key(key)), func(p ringPoint, hash uint64) int { return cmp.Compare(p.at, hash) })
+func (v *partialView) markWorkers(key, zone int, taken []bool) {
+	at, _ := slices.BinarySearchFunc(v.ring, splitmix64(world.Key(key)), func(p ringPoint, hash uint64) int { return cmp.Compare(p.at, hash) })
 	any, own := 0, 0
 	seen := map[int]bool{}
 	for range len(v.ring) {
@@ -218,7 +218,7 @@
 }
 
 // mix is the finaliser of splitmix64, and workerHash FNV-1a with it: where package rules puts a worker on its ring.
-func mix(x uint64) uint64 {
+func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -230,5 +230,5 @@
 	for i := range len(id) {
 		h = (h ^ uint64(id[i])) * 1099511628211
 	}
-	return mix(h)
+	return splitmix64(h)
 }
--- a/internal/scale/hollow/compare.go
+++ b/internal/scale/hollow/compare.go
@@ -14,54 +14,54 @@
 
 // Comparison plays candidates side by side.
 type Comparison struct {
-	Part        int    // of the full size
-	Tasks       string // Short, Long or Mixed
-	Traffic     string // names by commas; empty: all
-	Candidates  string // the same
-	ProbePrices []float64
-	Seeds       int
-	Parallel    int
-	Schedulers  int // 0: as many as at the full size
-	Unlike      float64
-	Stretch     float64 // of the classes of long tasks; 0: the default
-	Load        float64 // 0: the default
-	WarmS, ForS float64 // begin and end of what is counted, in seconds; 0: the defaults
-	IdleS       float64 // for which a connection is kept, in seconds
+	SizeDivisor        int    // of the full size
+	Tasks              string // Short, Long or Mixed
+	Traffic            string // names by commas; empty: all
+	Candidates         string // the same
+	ProbeCosts         []float64
+	Seeds              int
+	Parallel           int
+	Schedulers         int // 0: as many as at the full size
+	HotSchedulerFactor float64
+	TargetStretch      float64 // of the classes of long tasks; 0: the default
+	Load               float64 // 0: the default
+	WarmUpS, DurationS float64 // begin and end of what is counted, in seconds; 0: the defaults
+	ConnectionIdleS    float64 // for which a connection is kept, in seconds
 }
 
 // ErrNothing tells that the names given fit nothing.
-var ErrNothing = errors.New("hollow: nothing to compare")
+var ErrNoMatch = errors.New("hollow: nothing to compare")
 
 // trafficNames are the kinds of traffic in the order in which they are played.
 var trafficNames = []string{"evenly", "key", "zone"}
 
-var trafficOf = map[string]world.Traffic{"evenly": world.Evenly, "key": world.ByKey, "zone": world.ByZone}
+var trafficByName = map[string]world.Traffic{"evenly": world.Evenly, "key": world.ByKey, "zone": world.ByZone}
 
 // case is one row: a fleet under a candidate, over all seeds.
 type row struct {
-	traffic    string
-	candidate  Candidate
-	probePrice float64
-	outcomes   []Outcome
-	err        error
+	traffic   string
+	candidate Candidate
+	probeCost float64
+	outcomes  []Outcome
+	err       error
 }
 
 // chosen tells whether a name is among names by commas; all are where there are none.
-func chosen(names, name string) bool {
+func isSelected(names, name string) bool {
 	return names == "" || slices.Contains(strings.Split(names, ","), name)
 }
 
-func (c *Comparison) rows() []*row {
-	prices := c.ProbePrices
+func (c *Comparison) selectRows() []*row {
+	prices := c.ProbeCosts
 	if len(prices) == 0 {
-		prices = []float64{todaysProbePrice}
+		prices = []float64{defaultProbeCost}
 	}
 	var rows []*row
 	for _, traffic := range trafficNames {
 		for _, candidate := range Candidates() {
 			for _, price := range prices {
-				if chosen(c.Traffic, traffic) && chosen(c.Candidates, candidate.Name) {
-					rows = append(rows, &row{traffic: traffic, candidate: candidate, probePrice: price})
+				if isSelected(c.Traffic, traffic) && isSelected(c.Candidates, candidate.Name) {
+					rows = append(rows, &row{traffic: traffic, candidate: candidate, probeCost: price})
 				}
 			}
 		}
@@ -71,19 +71,19 @@
 
 // Write plays all and writes a table, each row as soon as it and those before it are there.
 func (c *Comparison) Write(out io.Writer) error {
-	rows := c.rows()
+	rows := c.selectRows()
 	if len(rows) == 0 {
-		return ErrNothing
+		return ErrNoMatch
 	}
-	f := Sized(max(1, c.Part), Tasks(c.Tasks))
+	f := NewFleet(max(1, c.SizeDivisor), Tasks(c.Tasks))
 	f.Schedulers = cmp.Or(c.Schedulers, f.Schedulers)
-	f.Warm, f.For = cmp.Or(rules.Time(c.WarmS*float64(second)), f.Warm), cmp.Or(rules.Time(c.ForS*float64(second)), f.For)
-	f.Stretch, f.Load = cmp.Or(c.Stretch, f.Stretch), cmp.Or(c.Load, f.Load)
+	f.WarmUp, f.Duration = cmp.Or(rules.Time(c.WarmUpS*float64(second)), f.WarmUp), cmp.Or(rules.Time(c.DurationS*float64(second)), f.Duration)
+	f.TargetStretch, f.Load = cmp.Or(c.TargetStretch, f.TargetStretch), cmp.Or(c.Load, f.Load)
 	fmt.Fprintf(out, "%d schedulers, %d workers of %d slots in %d zones, %s tasks, %d keys, load %.2f, counted %d s after %d s, %d seeds\n\n",
-		f.Schedulers, f.Workers(), f.Slots, f.Zones, f.Tasks, f.Keys, f.Load, (f.For-f.Warm)/second, f.Warm/second, max(1, c.Seeds))
+		f.Schedulers, f.Workers(), f.Slots, f.Zones, f.Tasks, f.Keys, f.Load, (f.Duration-f.WarmUp)/second, f.WarmUp/second, max(1, c.Seeds))
 	fmt.Fprintln(out, "| traffic | candidate | probe price | worth | refused | wait mean, p99 (s) | herd | probes | new conn. | crossings | fetches 10 s, 300 s | probes B/s | decisions µs a job | core each | workers each |")
 	fmt.Fprintln(out, "|"+strings.Repeat(" --- |", 15))
-	done := inOrder(len(rows), c.Parallel, func(i int) { c.play(rows[i], f) })
+	done := runInOrder(len(rows), c.Parallel, func(i int) { c.playRow(rows[i], f) })
 	for i, r := range rows {
 		<-done[i]
 		if r.err != nil {
@@ -95,7 +95,7 @@
 }
 
 // inOrder does n pieces of work, begun in order and so many at a time, and gives for each what is closed at its end.
-func inOrder(n, atOnce int, do func(i int)) (done []chan struct{}) {
+func runInOrder(n, atOnce int, do func(i int)) (done []chan struct{}) {
 	for range n {
 		done = append(done, make(chan struct{}))
 	}
@@ -117,12 +117,12 @@
 	return done
 }
 
-func (c *Comparison) play(r *row, f Fleet) {
-	f.Traffic, f.ProbePrice, f.Unlike = trafficOf[r.traffic], r.probePrice, c.Unlike
-	f.ConnectionIdle = rules.Time(c.IdleS * float64(second))
+func (c *Comparison) playRow(r *row, f Fleet) {
+	f.Traffic, f.ProbeCost, f.HotSchedulerFactor = trafficByName[r.traffic], r.probeCost, c.HotSchedulerFactor
+	f.ConnectionIdle = rules.Time(c.ConnectionIdleS * float64(second))
 	for seed := range max(1, c.Seeds) {
 		f.Seed = uint64(seed + 1)
-		o, err := Play(f, r.candidate)
+		o, err := Simulate(f, r.candidate)
 		if err != nil {
 			r.err = err
 			return
@@ -140,7 +140,7 @@
 		}
 	}
 	return fmt.Sprintf("| %s | %s | %g | %.3f | %.4f | %.3f, %.2f | %.1f | %.3f | %.3f | %.3f | %.3f, %.3f | %.0f | %.0f | %.4f | %.0f |",
-		r.traffic, r.candidate.Name, r.probePrice, mean["worth"], mean["refused_part"], mean["wait_mean_s"], mean["wait_p99_s"], mean["herd"],
+		r.traffic, r.candidate.Name, r.probeCost, mean["worth"], mean["refused_part"], mean["wait_mean_s"], mean["wait_p99_s"], mean["herd"],
 		mean["probes_per_job"], mean["new_connections_per_job"], mean["crossings_per_job"], mean["fetches_10s_per_job"], mean["fetches_300s_per_job"],
 		mean["probe_bytes_per_s"], mean["decisions_us_per_job"], mean["decisions_core_part_each_scheduler"], mean["workers_held_mean"])
 }
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -13,34 +13,34 @@
 )
 
 // small is a fleet that is played within seconds: shares of 32 workers, and tasks that run for minutes.
-func small() Fleet {
+func smallFleet() Fleet {
 	return Fleet{Schedulers: 8, Zones: 4, Regions: 2, WorkersPerZone: 64, Slots: 8, Keys: 200, Skew: defaultSkew, Load: defaultLoad, Tasks: Long,
-		ProbePrice: todaysProbePrice, Stretch: 2, Warm: 3 * minute, For: 5 * minute, ConnectionIdle: connectionIdle, Seed: 1}
+		ProbeCost: defaultProbeCost, TargetStretch: 2, WarmUp: 3 * minute, Duration: 5 * minute, ConnectionIdle: connectionIdle, Seed: 1}
 }
 
-func play(t *testing.T, f Fleet, name string) Outcome {
+func simulateCandidate(t *testing.T, f Fleet, name string) Outcome {
 	t.Helper()
-	c, err := CandidateNamed(name)
+	c, err := FindCandidate(name)
 	require.NoError(t, err)
-	o, err := Play(f, c)
+	o, err := Simulate(f, c)
 	require.NoError(t, err)
 	return o
 }
 
 func TestTheSameSeedGivesTheSameCounts(t *testing.T) {
 	for _, name := range []string{"whole list", "package ownership", "partial view"} {
-		f := small()
-		f.Warm, f.For = 20*second, 50*second
-		one := play(t, f, name)
-		assert.Equal(t, one.Counted, play(t, f, name).Counted, name)
+		f := smallFleet()
+		f.WarmUp, f.Duration = 20*second, 50*second
+		one := simulateCandidate(t, f, name)
+		assert.Equal(t, one.Counts, simulateCandidate(t, f, name).Counts, name)
 		f.Seed = 2
-		assert.NotEqual(t, one.Counted, play(t, f, name).Counted, name)
+		assert.NotEqual(t, one.Counts, simulateCandidate(t, f, name).Counts, name)
 	}
 }
 
 // Each worker has as many holders as asked for, whoever is alive, and its zone's schedulers come first.
 func TestRendezvousHasEachWorkerHeld(t *testing.T) {
-	f := small()
+	f := smallFleet()
 	for _, holders := range []int{1, 2, 4} {
 		o := newRendezvous(&f, holders, true)
 		alive := []bool{true, true, false, true, true, true, true, true}
@@ -62,7 +62,7 @@
 
 // A member's death moves its own workers only.
 func TestRendezvousMovesTheWorkersOfTheDeadOnly(t *testing.T) {
-	f := small()
+	f := smallFleet()
 	o := newRendezvous(&f, 1, false)
 	all := []bool{true, true, true, true, true, true, true, true}
 	before := o.Share(5, all)
@@ -73,7 +73,7 @@
 
 // Where any scheduler gets any key, the workers that its keys point to are nearly all there are; by key they are few.
 func TestPartialViewIsPartialByKeyOnly(t *testing.T) {
-	f := small()
+	f := smallFleet()
 	f.Schedulers = 32
 	alive := make([]bool, f.Schedulers)
 	whole := len(newPartialView(&f).Share(0, alive))
@@ -85,55 +85,55 @@
 
 // One owner each: few connections and probes, and all but as much worth as with the whole list.
 func TestOwnersConnectAndProbeLittle(t *testing.T) {
-	whole, owned := play(t, small(), "whole list"), play(t, small(), "package ownership")
-	assert.Greater(t, whole.Counted.Probes, 0.5)
-	assert.Greater(t, whole.Counted.NewConnections, 2*owned.Counted.NewConnections)
-	assert.Less(t, owned.Counted.Probes, 0.1)
-	assert.Less(t, owned.Counted.NewConnections, 0.3)
-	assert.Greater(t, owned.Counted.Worth, whole.Counted.Worth-0.01)
+	whole, owned := simulateCandidate(t, smallFleet(), "whole list"), simulateCandidate(t, smallFleet(), "package ownership")
+	assert.Greater(t, whole.Counts.Probes, 0.5)
+	assert.Greater(t, whole.Counts.NewConnections, 2*owned.Counts.NewConnections)
+	assert.Less(t, owned.Counts.Probes, 0.1)
+	assert.Less(t, owned.Counts.NewConnections, 0.3)
+	assert.Greater(t, owned.Counts.Worth, whole.Counts.Worth-0.01)
 	held := 0
-	for _, n := range owned.Counted.Held {
+	for _, n := range owned.Counts.Held {
 		held += n
 	}
 	assert.InDelta(t, owned.Fleet.Workers(), held, 8, "one owner each, but for those that just move")
-	assert.Zero(t, owned.Counted.UnheldAtEnd)
+	assert.Zero(t, owned.Counts.UnheldAtEnd)
 }
 
 // Whatever happens to members or zones: no worker is lost for good, no job that may run once runs twice, no cold worker
 // is pushed over by all schedulers together.
 func TestRecoveries(t *testing.T) {
-	c, err := CandidateNamed("package ownership")
+	c, err := FindCandidate("package ownership")
 	require.NoError(t, err)
 	for _, r := range Recoveries() {
-		f := small()
-		f.Warm, f.For = minute, 170*second
+		f := smallFleet()
+		f.WarmUp, f.Duration = minute, 170*second
 		f.Faults = r.Faults(&f)
-		o, err := Play(f, c)
+		o, err := Simulate(f, c)
 		require.NoError(t, err)
-		assert.Zero(t, o.Counted.UnheldAtEnd, r.Name)
-		assert.Zero(t, o.Counted.Twice, r.Name)
-		assert.LessOrEqual(t, o.Counted.ColdSends, 1.0, r.Name)
+		assert.Zero(t, o.Counts.UnheldAtEnd, r.Name)
+		assert.Zero(t, o.Counts.Twice, r.Name)
+		assert.LessOrEqual(t, o.Counts.ColdSends, 1.0, r.Name)
 		if strings.HasPrefix(r.Name, "zone") {
-			assert.Positive(t, o.Counted.ColdSends)
+			assert.Positive(t, o.Counts.ColdSends)
 		}
 		if strings.HasPrefix(r.Name, "member killed") {
-			assert.Positive(t, o.Counted.Lost)
-			assert.Positive(t, o.Counted.Held[3], "it is back")
+			assert.Positive(t, o.Counts.Lost)
+			assert.Positive(t, o.Counts.Held[3], "it is back")
 		}
 	}
 }
 
 // What a scheduler holds grows with the fleet as a whole list does, or with its share.
 func TestSlopesOfWorkersHeld(t *testing.T) {
-	whole, err := CandidateNamed("whole list")
+	whole, err := FindCandidate("whole list")
 	require.NoError(t, err)
-	owned, err := CandidateNamed("package ownership")
+	owned, err := FindCandidate("package ownership")
 	require.NoError(t, err)
 	campaign := Campaign{Candidates: []Candidate{whole, owned}, Seeds: 1, Parallel: 2, Cases: []Case{{Name: "workers", Parameter: "workers",
 		Values: []float64{152, 304, 608}, Fleet: func(n float64) Fleet {
-			f := small()
+			f := smallFleet()
 			f.WorkersPerZone = int(n) / f.Zones
-			f.Warm, f.For, f.Load = second, 6*second, 0.01
+			f.WarmUp, f.Duration, f.Load = second, 6*second, 0.01
 			return f
 		}}}}
 	runs, slopes := campaign.Run(func(result.Run) {})
@@ -150,19 +150,19 @@
 
 func TestComparisonAsATable(t *testing.T) {
 	var out bytes.Buffer
-	c := Comparison{Part: 1000, Tasks: "short", Traffic: "evenly", Candidates: "whole list,equal shares", Seeds: 1, Schedulers: 2, Load: 0.05, Parallel: 2}
+	c := Comparison{SizeDivisor: 1000, Tasks: "short", Traffic: "evenly", Candidates: "whole list,equal shares", Seeds: 1, Schedulers: 2, Load: 0.05, Parallel: 2}
 	require.NoError(t, c.Write(&out))
 	assert.Contains(t, out.String(), "| evenly | whole list | 0.0018 |")
 	assert.Contains(t, out.String(), "| evenly | equal shares | 0.0018 |")
 	c.Candidates = "no such"
-	assert.ErrorIs(t, c.Write(&out), ErrNothing)
+	assert.ErrorIs(t, c.Write(&out), ErrNoMatch)
 }
 
 func TestFaultyFleets(t *testing.T) {
-	for _, spoil := range []func(*Fleet){func(f *Fleet) { f.Schedulers = 0 }, func(f *Fleet) { f.Load = 0 }, func(f *Fleet) { f.For = f.Warm }, func(f *Fleet) { f.Slots = longestSlots + 1 }} {
-		f := small()
+	for _, spoil := range []func(*Fleet){func(f *Fleet) { f.Schedulers = 0 }, func(f *Fleet) { f.Load = 0 }, func(f *Fleet) { f.Duration = f.WarmUp }, func(f *Fleet) { f.Slots = maxSlots + 1 }} {
+		f := smallFleet()
 		spoil(&f)
-		_, err := Play(f, Candidate{})
+		_, err := Simulate(f, Candidate{})
 		assert.Error(t, err)
 	}
 }
--- a/internal/scale/hollow/play.go
+++ b/internal/scale/hollow/play.go
@@ -19,63 +19,63 @@
 
 // Outcome is a played fleet: what the model counted, and what the machine spent on it.
 type Outcome struct {
-	Fleet     Fleet
-	Candidate string
-	Counted   world.Figures
-	Decisions time.Duration // processor time within the decisions, over all schedulers
-	Heap      uint64        // bytes in use at the end of the run, of schedulers and model together
+	Fleet        Fleet
+	Candidate    string
+	Counts       world.Figures
+	DecisionTime time.Duration // processor time within the decisions, over all schedulers
+	HeapBytes    uint64        // bytes in use at the end of the run, of schedulers and model together
 }
 
 // Play plays a fleet under a candidate.
-func Play(f Fleet, c Candidate) (Outcome, error) {
-	if err := f.Check(); err != nil {
+func Simulate(f Fleet, c Candidate) (Outcome, error) {
+	if err := f.Validate(); err != nil {
 		return Outcome{}, err
 	}
-	s := f.setup()
+	s := f.worldSetup()
 	if c.Directory != nil {
 		s.Directory = c.Directory(&f)
 	}
 	s.Ownership = c.Ownership
 	meter := &meter{}
-	s.Around = meter.around
+	s.Around = meter.measure
 	o := Outcome{Fleet: f, Candidate: c.Name}
-	o.Counted = world.Play(s)
-	meter.lookAtHeap()
-	o.Decisions, o.Heap = meter.spent, meter.heap
+	o.Counts = world.Play(s)
+	meter.sampleHeap()
+	o.DecisionTime, o.HeapBytes = meter.cpuTime, meter.heapBytes
 	return o, nil
 }
 
 // meter estimates the processor time of the calling thread within events, from one in meterEvery of them.
 type meter struct {
-	spent  time.Duration
-	heap   uint64
-	events int
+	cpuTime   time.Duration
+	heapBytes uint64
+	events    int
 }
 
 const (
-	meterEvery = 7       // no divisor of the events in a turn of all schedulers
-	heapEvery  = 1 << 20 // events after which the heap is looked at
+	meterInterval      = 7       // no divisor of the events in a turn of all schedulers
+	heapSampleInterval = 1 << 20 // events after which the heap is looked at
 )
 
-func (m *meter) around(decide func()) {
-	if m.events++; m.events%meterEvery != 0 {
+func (m *meter) measure(decide func()) {
+	if m.events++; m.events%meterInterval != 0 {
 		decide()
 		return
 	}
 	runtime.LockOSThread()
 	before := threadTime()
 	decide()
-	m.spent += meterEvery * (threadTime() - before)
+	m.cpuTime += meterInterval * (threadTime() - before)
 	runtime.UnlockOSThread()
-	if m.events%heapEvery < meterEvery {
-		m.lookAtHeap()
+	if m.events%heapSampleInterval < meterInterval {
+		m.sampleHeap()
 	}
 }
 
-func (m *meter) lookAtHeap() {
+func (m *meter) sampleHeap() {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
-	m.heap = max(m.heap, stats.HeapInuse)
+	m.heapBytes = max(m.heapBytes, stats.HeapInuse)
 }
 
 func threadTime() time.Duration {
@@ -87,7 +87,9 @@
 }
 
 // seconds is the length of what was counted.
-func (o *Outcome) seconds() float64 { return float64(o.Fleet.For-o.Fleet.Warm) / float64(second) }
+func (o *Outcome) seconds() float64 {
+	return float64(o.Fleet.Duration-o.Fleet.WarmUp) / float64(second)
+}
 
 // perScheduler gives a count as a figure a second of one scheduler.
 func (o *Outcome) perScheduler(count float64) float64 {
@@ -96,19 +98,19 @@
 
 // peerBytes is what messages between schedulers take in and out of one of them, in bytes a second.
 func (o *Outcome) peerBytes() float64 {
-	c := &o.Counted
+	c := &o.Counts
 	in := float64(c.MessageBytes) + c.Messages*float64(c.Jobs)*datagramBytes
 	return o.perScheduler(in + in/float64(max(1, o.Fleet.Schedulers-1)))
 }
 
 // Run gives the outcome as a run of a case.
-func (o *Outcome) Run(of, program string, parameters map[string]float64) result.Run {
+func (o *Outcome) AsRun(of, program string, parameters map[string]float64) result.Run {
 	return result.Run{Case: of, Kind: result.Hollow, Seed: o.Fleet.Seed, Program: program, Parameters: parameters, Figures: o.Figures()}
 }
 
 // Figures gives the figures by name, with their units at the end.
 func (o *Outcome) Figures() map[string]float64 {
-	c := &o.Counted
+	c := &o.Counts
 	jobs := float64(max(1, c.Jobs))
 	held := 0.0
 	for _, n := range c.Held {
@@ -131,9 +133,9 @@
 		"probe_bytes_per_s":                  o.perScheduler(c.Probes * jobs * 2 * probeBytes),
 		"list_bytes_per_s":                   o.perScheduler(float64(c.ListEntries) * listEntryBytes),
 		"peer_bytes_per_s":                   o.peerBytes(),
-		"decisions_us_per_job":               float64(o.Decisions.Microseconds()) / jobs * o.seconds() / (float64(o.Fleet.For) / float64(second)),
-		"decisions_core_part_each_scheduler": o.Decisions.Seconds() / (float64(o.Fleet.For) / float64(second)) / float64(o.Fleet.Schedulers),
-		"heap_bytes":                         float64(o.Heap),
+		"decisions_us_per_job":               float64(o.DecisionTime.Microseconds()) / jobs * o.seconds() / (float64(o.Fleet.Duration) / float64(second)),
+		"decisions_core_part_each_scheduler": o.DecisionTime.Seconds() / (float64(o.Fleet.Duration) / float64(second)) / float64(o.Fleet.Schedulers),
+		"heap_bytes":                         float64(o.HeapBytes),
 	}
 	if len(c.FetchesIn) == 2 {
 		figures["fetches_10s_per_job"], figures["fetches_300s_per_job"] = c.FetchesIn[0], c.FetchesIn[1]
--- a/internal/scale/hollow/recovery.go
+++ b/internal/scale/hollow/recovery.go
@@ -17,9 +17,9 @@
 
 // Lengths of the faults.
 const (
-	downFor   = minute
-	pausedFor = 10 * second
-	splitFor  = 30 * second
+	outageDuration = minute
+	pauseDuration  = 10 * second
+	splitDuration  = 30 * second
 )
 
 // Recoveries are the faults that are played, after the same fleet without any.
@@ -28,20 +28,20 @@
 	return []Recovery{
 		{Name: "none", Faults: func(*Fleet) []world.Fault { return nil }},
 		{Name: "member killed, started after 60 s", Faults: func(f *Fleet) []world.Fault {
-			return []world.Fault{{Kind: world.KillScheduler, At: faultAt(f), Scheduler: member},
-				{Kind: world.StartScheduler, At: faultAt(f) + downFor, Scheduler: member}}
+			return []world.Fault{{Kind: world.KillScheduler, At: faultStart(f), Scheduler: member},
+				{Kind: world.StartScheduler, At: faultStart(f) + outageDuration, Scheduler: member}}
 		}},
 		{Name: "member joins", Faults: func(f *Fleet) []world.Fault {
-			return []world.Fault{{Kind: world.StartScheduler, At: faultAt(f), Scheduler: member}}
+			return []world.Fault{{Kind: world.StartScheduler, At: faultStart(f), Scheduler: member}}
 		}},
 		{Name: "member stops for 10 s", Faults: func(f *Fleet) []world.Fault {
-			return []world.Fault{{Kind: world.PauseScheduler, At: faultAt(f), For: pausedFor, Scheduler: member}}
+			return []world.Fault{{Kind: world.PauseScheduler, At: faultStart(f), For: pauseDuration, Scheduler: member}}
 		}},
 		{Name: "two views of the members for 30 s", Faults: func(f *Fleet) []world.Fault {
-			return []world.Fault{{Kind: world.SplitMembers, At: faultAt(f), For: splitFor}}
+			return []world.Fault{{Kind: world.SplitMembers, At: faultStart(f), For: splitDuration}}
 		}},
 		{Name: "zone lost for 60 s, back cold", Faults: func(f *Fleet) []world.Fault {
-			return []world.Fault{{Kind: world.LoseZone, At: faultAt(f), For: downFor, Zone: member}}
+			return []world.Fault{{Kind: world.LoseZone, At: faultStart(f), For: outageDuration, Zone: member}}
 		}},
 	}
 }
@@ -54,11 +54,11 @@
 	for _, r := range Recoveries() {
 		played := f
 		played.Faults = r.Faults(&played)
-		o, err := Play(played, c)
+		o, err := Simulate(played, c)
 		if err != nil {
 			return err
 		}
-		w := &o.Counted
+		w := &o.Counts
 		jobs := float64(max(1, w.Jobs))
 		fmt.Fprintf(out, "| %s | %.4f | %.4f | %.5f | %d | %d | %.3f, %.2f | %.1f | %.3f | %d | %d, %d | %.2f |\n", r.Name, w.Worth, float64(w.Refused)/jobs,
 			float64(w.Failed)/jobs, w.Lost, w.Twice, w.WaitMean, w.WaitP99, w.QueueLong, w.Probes, w.ListEntries, w.Unheld, w.UnheldAtEnd, w.ColdSends)
@@ -68,9 +68,9 @@
 
 // RecoveryFleet is a fleet with time enough for the faults.
 func RecoveryFleet(part int, tasks Tasks) Fleet {
-	f := Sized(part, tasks)
+	f := NewFleet(part, tasks)
 	if tasks == Short {
-		f.For = f.Warm + 10*second + downFor + 20*rules.Time(second)
+		f.Duration = f.WarmUp + 10*second + outageDuration + 20*rules.Time(second)
 	}
 	return f
 }
--- a/internal/scale/hollow/slopes.go
+++ b/internal/scale/hollow/slopes.go
@@ -20,12 +20,12 @@
 
 // What the cases play.
 const (
-	slopeWarm, slopeFor = 20 * second, 40 * second
-	rampWarm, rampFor   = rampLong, rampLong + 30*second
-	inHandSchedulers    = 4
-	slopeStarts         = 320.0 // a second, over all schedulers, of the cases that hold them
-	smallPart           = 30
-	usualPart           = 10
+	slopeWarmUp, slopeDuration = 20 * second, 40 * second
+	rampWarmUp, rampDuration   = longRamp, longRamp + 30*second
+	inHandSchedulers           = 4
+	slopeStartsPerS            = 320.0 // a second, over all schedulers, of the cases that hold them
+	smallSizeDivisor           = 30
+	defaultSizeDivisor         = 10
 )
 
 // Cases are the slopes of the hollow fleet. Small ones end within seconds; the others are for the command.
@@ -50,27 +50,27 @@
 
 // fleetOfSchedulers has the same workers and jobs whatever the number of its schedulers.
 func fleetOfSchedulers(schedulers float64) Fleet {
-	f := Sized(smallPart, Long)
+	f := NewFleet(smallSizeDivisor, Long)
 	f.Schedulers = int(schedulers)
-	f.Warm, f.For = rampWarm, rampFor
+	f.WarmUp, f.Duration = rampWarmUp, rampDuration
 	return f
 }
 
 // fleetInHand has so many tasks in hand at each of few schedulers, at the usual load.
 func fleetInHand(each float64) Fleet {
-	f := Sized(smallPart, Long)
+	f := NewFleet(smallSizeDivisor, Long)
 	f.Schedulers = inHandSchedulers
 	f.WorkersPerZone = max(1, int(each*inHandSchedulers/f.Load)/f.Slots/f.Zones)
-	f.Warm, f.For = rampWarm, rampFor
+	f.WarmUp, f.Duration = rampWarmUp, rampDuration
 	return f
 }
 
 // fleetOfWorkers is a fleet whose jobs are as many and as short whatever the number of its workers.
 func fleetOfWorkers(workers float64) Fleet {
-	f := Sized(usualPart, Short)
+	f := NewFleet(defaultSizeDivisor, Short)
 	f.WorkersPerZone = int(workers) / f.Zones
-	f.Warm, f.For = slopeWarm, slopeFor
-	f.Load = slopeStarts * shortRun / float64(second) / float64(f.Workers()*f.Slots)
+	f.WarmUp, f.Duration = slopeWarmUp, slopeDuration
+	f.Load = slopeStartsPerS * shortMeanRun / float64(second) / float64(f.Workers()*f.Slots)
 	return f
 }
 
@@ -83,8 +83,8 @@
 }
 
 // played is one run of a campaign and what came of it.
-type played struct {
-	of        Case
+type campaignRun struct {
+	testCase  Case
 	value     float64
 	candidate Candidate
 	seed      uint64
@@ -94,9 +94,9 @@
 // Run plays all and fits the slopes. The program of a run is the name of its candidate. Progress is called after each
 // run, from several goroutines.
 func (c *Campaign) Run(progress func(result.Run)) ([]result.Run, []result.Slope) {
-	plan := c.plan()
-	done := inOrder(len(plan), c.Parallel, func(i int) {
-		plan[i].play()
+	plan := c.planRuns()
+	done := runInOrder(len(plan), c.Parallel, func(i int) {
+		plan[i].simulate()
 		progress(plan[i].run)
 	})
 	for i := range done {
@@ -115,12 +115,12 @@
 	return runs, slopes
 }
 
-func (c *Campaign) plan() (plan []*played) {
+func (c *Campaign) planRuns() (plan []*campaignRun) {
 	for _, of := range c.Cases {
 		for _, value := range of.Values {
 			for _, candidate := range c.Candidates {
 				for seed := range max(1, c.Seeds) {
-					plan = append(plan, &played{of: of, value: value, candidate: candidate, seed: uint64(seed + 1)})
+					plan = append(plan, &campaignRun{testCase: of, value: value, candidate: candidate, seed: uint64(seed + 1)})
 				}
 			}
 		}
@@ -128,27 +128,27 @@
 	return plan
 }
 
-func (p *played) play() {
-	f := p.of.Fleet(p.value)
+func (p *campaignRun) simulate() {
+	f := p.testCase.Fleet(p.value)
 	f.Seed = p.seed
-	parameters := map[string]float64{p.of.Parameter: p.value, "schedulers": float64(f.Schedulers), "workers": float64(f.Workers())}
-	o, err := Play(f, p.candidate)
+	parameters := map[string]float64{p.testCase.Parameter: p.value, "schedulers": float64(f.Schedulers), "workers": float64(f.Workers())}
+	o, err := Simulate(f, p.candidate)
 	if err != nil {
-		p.run = result.Run{Case: p.of.Name, Kind: result.Hollow, Seed: p.seed, Program: p.candidate.Name, Parameters: parameters, Missed: err.Error()}
+		p.run = result.Run{Case: p.testCase.Name, Kind: result.Hollow, Seed: p.seed, Program: p.candidate.Name, Parameters: parameters, MissedReason: err.Error()}
 		return
 	}
-	p.run = o.Run(p.of.Name, p.candidate.Name, parameters)
+	p.run = o.AsRun(p.testCase.Name, p.candidate.Name, parameters)
 }
 
 // CandidateNamed gives the candidate of a name.
-func CandidateNamed(name string) (Candidate, error) {
+func FindCandidate(name string) (Candidate, error) {
 	for _, c := range Candidates() {
 		if c.Name == name {
 			return c, nil
 		}
 	}
-	return Candidate{}, fmt.Errorf("%w: no candidate is called %q", ErrNothing, name)
+	return Candidate{}, fmt.Errorf("%w: no candidate is called %q", ErrNoMatch, name)
 }
 
 // faultAt is when a fault of the recovery cases begins, in a fleet's counted time.
-func faultAt(f *Fleet) rules.Time { return f.Warm + 10*second }
+func faultStart(f *Fleet) rules.Time { return f.WarmUp + 10*second }
--- a/internal/scale/phases.go
+++ b/internal/scale/phases.go
@@ -16,43 +16,43 @@
 const startsPerS = 100
 
 // shortRun is the running time of a short job.
-const shortRun = 50 * time.Millisecond
+const shortRunTime = 50 * time.Millisecond
 
 // settleFor is left to a scheduler before it counts as at rest.
-const settleFor = 1500 * time.Millisecond
+const settleDuration = 1500 * time.Millisecond
 
 // settle waits until what came before has come to rest.
-func (m *measurement) settle() error { return m.pause(m.pick(settleFor, settleFor)) }
+func (m *measurement) settle() error { return m.pause(m.duration(settleDuration, settleDuration)) }
 
 // rest measures the schedulers with the list known and nothing to do.
-func (m *measurement) rest() (window, error) {
+func (m *measurement) measureRest() (window, error) {
 	if err := m.settle(); err != nil {
 		return window{}, err
 	}
-	from, err := m.mark()
+	from, err := m.takeMark()
 	if err != nil {
 		return window{}, err
 	}
-	if err := m.pause(m.pick(2*time.Second, 6*time.Second)); err != nil {
+	if err := m.pause(m.duration(2*time.Second, 6*time.Second)); err != nil {
 		return window{}, err
 	}
-	w, err := m.since(from)
+	w, err := m.measureSince(from)
 	if err != nil {
 		return w, err
 	}
-	m.merge(map[string]float64{"rss_bytes": float64(w.resident), "cpu_at_rest_cores": w.cores(),
+	m.merge(map[string]float64{"rss_bytes": float64(w.residentBytes), "cpu_at_rest_cores": w.cores(),
 		"rest_control_bytes_per_s": w.controlBytes() / w.seconds})
 	return w, nil
 }
 
 // shortLoad is short jobs at a rate for a time.
 func (m *measurement) shortLoad(perS float64, length time.Duration) client.Load {
-	return client.Load{Class: process.ShortClass, Runs: shortRun, PerSecond: perS, Jobs: int(perS * length.Seconds()), Seed: m.seed}
+	return client.Load{Class: process.ShortClass, RunTime: shortRunTime, StartsPerS: perS, Jobs: int(perS * length.Seconds()), Seed: m.seed}
 }
 
 // underLoad sends a load and measures the schedulers meanwhile; beside, which may be nil, runs along with it.
-func (m *measurement) underLoad(load client.Load, beside func(ctx context.Context) error) (*client.Result, window, error) {
-	from, err := m.mark()
+func (m *measurement) runLoad(load client.Load, beside func(ctx context.Context) error) (*client.Result, window, error) {
+	from, err := m.takeMark()
 	if err != nil {
 		return nil, window{}, err
 	}
@@ -67,7 +67,7 @@
 		done <- beside(ctx)
 	}()
 	r := m.clients.Run(m.ctx, load)
-	w, err := m.since(from)
+	w, err := m.measureSince(from)
 	stop()
 	if failed := <-done; err == nil {
 		err = failed
@@ -78,23 +78,23 @@
 	if err != nil {
 		return r, w, err
 	}
-	m.loadFigures(r, &w)
+	m.mergeLoadFigures(r, &w)
 	return r, w, nil
 }
 
-func (m *measurement) loadFigures(r *client.Result, w *window) {
+func (m *measurement) mergeLoadFigures(r *client.Result, w *window) {
 	jobs := max(1, float64(r.Sent))
 	f := map[string]float64{
-		"cpu_loaded_cores": w.cores(), "rss_loaded_bytes": float64(w.resident), "descriptors": float64(w.descriptors),
+		"cpu_loaded_cores": w.cores(), "rss_loaded_bytes": float64(w.residentBytes), "descriptors": float64(w.descriptors),
 		"control_bytes_per_s": w.controlBytes() / w.seconds, "connections_per_job": w.workerConnections() / jobs,
 		"probes_per_job": float64(w.counts.Probes) / jobs, "jobs_per_s": float64(r.Sent) / w.seconds,
 		"served_ratio": float64(r.Served) / jobs, "latency_p50_ms": r.QuantileMS(50), "latency_p99_ms": r.QuantileMS(99),
 		"latency_max_ms": r.MaxMS(),
 	}
 	if rest, known := m.figures["cpu_at_rest_cores"]; known {
-		f["cpu_per_job_s"] = (w.processor.Seconds() - rest*w.seconds*w.schedulers) / jobs
+		f["cpu_per_job_s"] = (w.cpuTime.Seconds() - rest*w.seconds*w.schedulers) / jobs
 	}
-	for k := range traffic.Kinds {
+	for k := range traffic.KindCount {
 		f[k.String()+"_in_bytes_per_s"] = float64(w.totals[k].BytesIn) / w.seconds / w.schedulers
 		f[k.String()+"_out_bytes_per_s"] = float64(w.totals[k].BytesOut) / w.seconds / w.schedulers
 	}
@@ -102,7 +102,7 @@
 }
 
 // pinged runs a function while one scheduler is asked for its readiness all the time.
-func (m *measurement) pinged(f func() error) error {
+func (m *measurement) withPings(f func() error) error {
 	ctx, stop := context.WithCancel(m.ctx)
 	ended := make(chan *hdrhistogram.Histogram, 1)
 	go func() { ended <- client.Ping(ctx, m.schedulers[0]) }()
@@ -120,7 +120,7 @@
 	ctx, stop := context.WithCancel(m.ctx)
 	ended := make(chan *client.Result, 1)
 	go func() {
-		ended <- m.clients.Run(ctx, client.Load{Class: process.LongClass, Runs: time.Hour, PerSecond: taskFillPerS, Jobs: count, Seed: m.seed})
+		ended <- m.clients.Run(ctx, client.Load{Class: process.LongClass, RunTime: time.Hour, StartsPerS: taskFillPerS, Jobs: count, Seed: m.seed})
 	}()
 	release = func() {
 		stop()
@@ -129,7 +129,7 @@
 	began := time.Now()
 	deadline := began.Add(time.Duration(float64(count)/taskFillPerS*float64(time.Second)) + taskFillSlack)
 	for {
-		held := m.workers.Held()
+		held := m.workers.HeldJobs()
 		m.figures["tasks_held"] = float64(held)
 		switch {
 		case held >= count:
@@ -137,31 +137,31 @@
 		case m.ctx.Err() != nil:
 			return release, m.ctx.Err()
 		case time.Now().After(deadline):
-			return release, fmt.Errorf("%w: %d of %d after %v", errTasks, held, count, time.Since(began).Round(time.Second))
+			return release, fmt.Errorf("%w: %d of %d after %v", errTasksNotHeld, held, count, time.Since(began).Round(time.Second))
 		}
 		select {
 		case result := <-ended:
 			ended <- result
-			return release, fmt.Errorf("%w: %d of %d are held, %d were refused and %d failed, the first with %q", errTasks, held, count,
-				result.Refused, result.Failed, result.FirstBad)
-		case <-time.After(taskPoll):
+			return release, fmt.Errorf("%w: %d of %d are held, %d were refused and %d failed, the first with %q", errTasksNotHeld, held, count,
+				result.Refused, result.Failed, result.FirstError)
+		case <-time.After(taskPollPeriod):
 		}
 	}
 }
 
 const (
-	taskFillPerS  = 800              // the rate at which tasks are put in hand
-	taskFillSlack = 15 * time.Second // beyond what that takes
-	taskPoll      = 20 * time.Millisecond
+	taskFillPerS   = 800              // the rate at which tasks are put in hand
+	taskFillSlack  = 15 * time.Second // beyond what that takes
+	taskPollPeriod = 20 * time.Millisecond
 )
 
 // waitListed waits until a scheduler counts so many workers, and gives the time that took from a moment on.
-func (m *measurement) waitListed(s *process.Scheduler, count int, from time.Time, limit time.Duration) (time.Duration, error) {
+func (m *measurement) waitWorkerCount(s *process.Scheduler, count int, from time.Time, limit time.Duration) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(m.ctx, limit)
 	defer cancel()
 	last := 0
 	for {
-		listed, err := s.Listed(ctx)
+		listed, err := s.WorkerCount(ctx)
 		if err == nil && listed == count {
 			return time.Since(from), nil
 		}
@@ -169,19 +169,19 @@
 			last = listed
 		}
 		select {
-		case <-time.After(listedPoll):
+		case <-time.After(countPollPeriod):
 		case <-ctx.Done():
-			return 0, fmt.Errorf("%w: %d workers of %d after %v: %s", errList, last, count, limit, s.LastProblem())
+			return 0, fmt.Errorf("%w: %d workers of %d after %v: %s", errListNotKnown, last, count, limit, s.LastWarning())
 		}
 	}
 }
 
-const listedPoll = 2 * time.Millisecond
+const countPollPeriod = 2 * time.Millisecond
 
 // waitAllListed waits for all schedulers.
-func (m *measurement) waitAllListed(count int, from time.Time, limit time.Duration) (longest time.Duration, err error) {
+func (m *measurement) waitAllWorkerCounts(count int, from time.Time, limit time.Duration) (longest time.Duration, err error) {
 	for _, s := range m.schedulers {
-		took, err := m.waitListed(s, count, from, limit)
+		took, err := m.waitWorkerCount(s, count, from, limit)
 		if err != nil {
 			return 0, err
 		}
--- a/internal/scale/process/config.go
+++ b/internal/scale/process/config.go
@@ -14,7 +14,7 @@
 
 // The modes of discovery.
 const (
-	Ask  Mode = "ask"  // it watches from the version that it knows
+	Pull Mode = "ask"  // it watches from the version that it knows
 	Push Mode = "push" // it asks for the whole list first, as of an agent on its own machine
 )
 
@@ -32,7 +32,7 @@
 	HTTP2      netip.AddrPort // not valid: the front is off
 	Discovery  netip.AddrPort
 	Mode       Mode
-	Known      json.RawMessage // the list known at the start; nil: none
+	KnownList  json.RawMessage // the list known at the start; nil: none
 	MemoryMB   int
 	Sockets    int
 	Seed       uint64
@@ -87,7 +87,7 @@
 		Rules      ruleSettings `json:"rules"`
 		Specifics  specifics    `json:"specifics"`
 		Weights    string       `json:"weights"`
-		WorthBy    string       `json:"worthBy"`
+		ValueBy    string       `json:"worthBy"`
 		DomainType string       `json:"domainType"`
 	}
 	caps struct {
@@ -96,19 +96,19 @@
 		Probes           bool  `json:"probes"`
 		RetryAfter       bool  `json:"retryAfter"`
 		MaxRetryAfterUS  int64 `json:"maxRetryAfterUs"`
-		MostTries        int   `json:"mostTries"`
+		MaxAttempts      int   `json:"mostTries"`
 		ConnectTimeoutUS int64 `json:"connectTimeoutUs"`
 		ConnIdleUS       int64 `json:"connIdleUs"`
 	}
 	class struct {
-		Name       string  `json:"name"`
-		Effect     string  `json:"effect"`
-		AimUS      int64   `json:"aimUs"`
-		DeadlineUS int64   `json:"deadlineUs"`
-		Worth      float64 `json:"worth"`
-		LateWorth  float64 `json:"lateWorth"`
-		Group      string  `json:"group"`
-		WindowUS   int64   `json:"windowUs"`
+		Name            string  `json:"name"`
+		Effect          string  `json:"effect"`
+		LatencyTargetUS int64   `json:"aimUs"`
+		DeadlineUS      int64   `json:"deadlineUs"`
+		Value           float64 `json:"worth"`
+		LateValue       float64 `json:"lateWorth"`
+		Group           string  `json:"group"`
+		WindowUS        int64   `json:"windowUs"`
 	}
 	tenant struct {
 		Name      string  `json:"name"`
@@ -119,57 +119,57 @@
 		Fields []string `json:"fields"`
 	}
 	ruleSettings struct {
-		AnswerSlackUS  int64   `json:"answerSlackUs"`
-		AskWithinUS    int64   `json:"askWithinUs"`
-		ColdFrom       float64 `json:"coldFrom"`
-		DrainGraceUS   int64   `json:"drainGraceUs"`
-		OverloadFactor float64 `json:"overloadFactor"`
-		TipAfterUS     int64   `json:"tipAfterUs"`
-		WarmWithinUS   int64   `json:"warmWithinUs"`
+		AnswerSlackUS        int64   `json:"answerSlackUs"`
+		PollWithinUS         int64   `json:"askWithinUs"`
+		SlowStartMinCapacity float64 `json:"coldFrom"`
+		DrainGraceUS         int64   `json:"drainGraceUs"`
+		OverloadFactor       float64 `json:"overloadFactor"`
+		OverloadWindowUS     int64   `json:"tipAfterUs"`
+		SlowStartWindowUS    int64   `json:"warmWithinUs"`
 	}
 	specifics struct {
-		QueueOrder string `json:"queueOrder"`
-		ReportX0   string `json:"reportX0"`
-		TellsStart bool   `json:"tellsStart"`
+		QueueOrder   string `json:"queueOrder"`
+		ReportX0     string `json:"reportX0"`
+		ReportsStart bool   `json:"tellsStart"`
 	}
 )
 
 // Deadlines and aims of the two classes.
 const (
-	shortAim      = 500 * time.Millisecond
-	shortDeadline = 5 * time.Second
-	longAim       = 10 * time.Minute
-	longDeadline  = 20 * time.Minute
+	shortLatencyTarget = 500 * time.Millisecond
+	shortDeadline      = 5 * time.Second
+	longLatencyTarget  = 10 * time.Minute
+	longDeadline       = 20 * time.Minute
 )
 
 // processorLimit is how many cores a scheduler is told that it has.
-const processorLimit = 1
+const coreLimit = 1
 
-func (c *Config) platform() platformFile {
+func (c *Config) newPlatformFile() platformFile {
 	f := platformFile{Name: c.Name, Listen: c.Listen, Discovery: c.Discovery, Admin: c.Admin, Seed: fmt.Sprintf("%016x", c.Seed),
-		Limits: limits{Cores: processorLimit, MemoryMB: c.MemoryMB, Sockets: c.Sockets}, Known: c.Known, Settings: c.settings()}
+		Limits: limits{Cores: coreLimit, MemoryMB: c.MemoryMB, Sockets: c.Sockets}, Known: c.KnownList, Settings: c.newSettings()}
 	if p := c.Peers; p != nil {
 		f.PeerListen, f.Peers, f.PeersAll = p.Listen.String(), p.Each, p.All
 	}
 	return f
 }
 
-func (c *Config) settings() settings {
+func (c *Config) newSettings() settings {
 	s := settings{
 		Caps: caps{Cancel: true, Peers: c.Peers != nil, Probes: true, RetryAfter: true, MaxRetryAfterUS: microseconds(2 * time.Second),
-			MostTries: 4, ConnectTimeoutUS: microseconds(150 * time.Millisecond), ConnIdleUS: microseconds(time.Minute)},
+			MaxAttempts: 4, ConnectTimeoutUS: microseconds(150 * time.Millisecond), ConnIdleUS: microseconds(time.Minute)},
 		Classes: []class{
-			{Name: ShortClass, Effect: "repeatable", AimUS: microseconds(shortAim), DeadlineUS: microseconds(shortDeadline), Worth: 3,
-				LateWorth: 0.25, Group: "all", WindowUS: microseconds(5 * time.Second)},
-			{Name: LongClass, Effect: "once", AimUS: microseconds(longAim), DeadlineUS: microseconds(longDeadline), Worth: 3,
-				LateWorth: 0.25, Group: "all", WindowUS: microseconds(5 * time.Second)}},
+			{Name: ShortClass, Effect: "repeatable", LatencyTargetUS: microseconds(shortLatencyTarget), DeadlineUS: microseconds(shortDeadline), Value: 3,
+				LateValue: 0.25, Group: "all", WindowUS: microseconds(5 * time.Second)},
+			{Name: LongClass, Effect: "once", LatencyTargetUS: microseconds(longLatencyTarget), DeadlineUS: microseconds(longDeadline), Value: 3,
+				LateValue: 0.25, Group: "all", WindowUS: microseconds(5 * time.Second)}},
 		Kinds: []string{worker.Kind}, Locality: c.Zone, Discovery: c.Mode, GroupSize: c.GroupSize, Rank: c.Rank,
 		Report: report{How: "probe", Fields: []string{"waiting", "avg_ms", "active", "x0"}},
-		Rules: ruleSettings{AnswerSlackUS: microseconds(16 * time.Millisecond), AskWithinUS: microseconds(10 * time.Second), ColdFrom: 0.2,
-			DrainGraceUS: microseconds(time.Second), OverloadFactor: 2, TipAfterUS: microseconds(time.Second),
-			WarmWithinUS: microseconds(10 * time.Second)},
-		Specifics: specifics{QueueOrder: "fifo", ReportX0: "free_slots", TellsStart: true},
-		Weights:   "nominal", WorthBy: "request", DomainType: "jobs",
+		Rules: ruleSettings{AnswerSlackUS: microseconds(16 * time.Millisecond), PollWithinUS: microseconds(10 * time.Second), SlowStartMinCapacity: 0.2,
+			DrainGraceUS: microseconds(time.Second), OverloadFactor: 2, OverloadWindowUS: microseconds(time.Second),
+			SlowStartWindowUS: microseconds(10 * time.Second)},
+		Specifics: specifics{QueueOrder: "fifo", ReportX0: "free_slots", ReportsStart: true},
+		Weights:   "nominal", ValueBy: "request", DomainType: "jobs",
 	}
 	for zone := range c.Zones {
 		s.Zones = append(s.Zones, worker.ZoneName(zone))
@@ -191,27 +191,27 @@
 	HTTP2Streams     = 250 // at once, of a connection
 )
 
-type ownFile struct {
-	Log   ownLog   `json:"log"`
-	HTTP2 ownHTTP2 `json:"http2"`
+type programFile struct {
+	Log   programLog   `json:"log"`
+	HTTP2 programHTTP2 `json:"http2"`
 }
 
-type ownLog struct {
+type programLog struct {
 	Format string `json:"format"`
 	Level  string `json:"level"`
 }
 
-type ownHTTP2 struct {
+type programHTTP2 struct {
 	Listen         string `json:"listen"`
 	MaxConnections int    `json:"max_connections,omitempty"`
 	MaxStreams     int    `json:"max_streams,omitempty"`
 }
 
 // own is the project's own file. What Subsystems holds is put beside it, section by section.
-func (c *Config) own() ([]byte, error) {
-	f := ownFile{Log: ownLog{Format: "text", Level: "info"}}
+func (c *Config) marshalProgramFile() ([]byte, error) {
+	f := programFile{Log: programLog{Format: "text", Level: "info"}}
 	if c.HTTP2.IsValid() {
-		f.HTTP2 = ownHTTP2{Listen: c.HTTP2.String(), MaxConnections: HTTP2Connections, MaxStreams: HTTP2Streams}
+		f.HTTP2 = programHTTP2{Listen: c.HTTP2.String(), MaxConnections: HTTP2Connections, MaxStreams: HTTP2Streams}
 	}
 	text, err := json.Marshal(f)
 	if err != nil || len(c.Subsystems) == 0 {
--- a/internal/scale/process/config_test.go
+++ b/internal/scale/process/config_test.go
@@ -18,11 +18,11 @@
 func TestFilesAreTheProgramsOwnForm(t *testing.T) {
 	c := Config{Name: "s03", Listen: netip.MustParseAddrPort("127.0.2.1:1000"), Admin: netip.MustParseAddrPort("127.0.2.1:1001"),
 		HTTP2: netip.MustParseAddrPort("127.0.2.1:1002"), Discovery: netip.MustParseAddrPort("127.0.3.1:1003"), Mode: Push,
-		Known: json.RawMessage(`{"index":7,"snapshot":true,"endpoints":[]}`), MemoryMB: 256, Sockets: 2048, Seed: 9, Rank: 1, GroupSize: 2,
+		KnownList: json.RawMessage(`{"index":7,"snapshot":true,"endpoints":[]}`), MemoryMB: 256, Sockets: 2048, Seed: 9, Rank: 1, GroupSize: 2,
 		Zone: 2, Zones: 3, Tenants: 4, QuotaPerS: 25, Subsystems: json.RawMessage(`{"log":{"format":"json","level":"warn"}}`),
 		Peers: &Peers{Listen: netip.MustParseAddrPort("127.0.4.1:1"), Each: []string{"127.0.4.1:2", "127.0.4.1:3"}, All: "127.0.4.1:4"}}
 	s := &Scheduler{Config: c, dir: t.TempDir()}
-	own, err := c.own()
+	own, err := c.marshalProgramFile()
 	require.NoError(t, err)
 	path := filepath.Join(s.dir, "cobaltflow.json")
 	require.NoError(t, os.WriteFile(path, own, 0o600))
@@ -35,7 +35,7 @@
 	require.Empty(t, read.Warnings)
 	require.Equal(t, "s03", read.Name)
 	require.True(t, read.DiscoveryIsLocal)
-	require.JSONEq(t, string(c.Known), string(read.KnownWorkers))
+	require.JSONEq(t, string(c.KnownList), string(read.KnownWorkers))
 	require.Equal(t, config.Limits{Cores: 1, MemoryMB: 256, Sockets: 2048}, read.Limits)
 	require.Equal(t, uint64(9), read.Seed)
 	require.Equal(t, 2, read.Settings.GroupSize)
--- a/internal/scale/process/process.go
+++ b/internal/scale/process/process.go
@@ -26,15 +26,15 @@
 )
 
 const (
-	readyPoll    = 5 * time.Millisecond
-	callTimeout  = 2 * time.Second
-	maxLogLines  = 200 // kept, the last ones
-	reloadedText = "reload: taken over"
+	readyPollPeriod = 5 * time.Millisecond
+	callTimeout     = 2 * time.Second
+	maxLogLines     = 200 // kept, the last ones
+	reloadedText    = "reload: taken over"
 )
 
 // Errors of a start.
 var (
-	ErrEnded    = errors.New("the scheduler ended")
+	ErrExited   = errors.New("the scheduler ended")
 	ErrNotReady = errors.New("the scheduler was not ready in time")
 )
 
@@ -44,22 +44,22 @@
 	program string
 	dir     string
 	cmd     *exec.Cmd
-	ended   chan struct{}
+	exited  chan struct{}
 
-	mu      sync.Mutex
-	lines   []string
-	reloads []time.Time // when it told that a new configuration was taken over
-	told    chan struct{}
+	mu          sync.Mutex
+	lines       []string
+	reloadTimes []time.Time // when it told that a new configuration was taken over
+	reloaded    chan struct{}
 }
 
 // Start runs a scheduler and gives it back with the time it took until it was ready. One that is not ready within the
 // limit is ended.
 func Start(ctx context.Context, program, dir string, config Config, limit time.Duration) (*Scheduler, time.Duration, error) {
-	s := &Scheduler{Config: config, program: program, dir: dir, ended: make(chan struct{}), told: make(chan struct{})}
+	s := &Scheduler{Config: config, program: program, dir: dir, exited: make(chan struct{}), reloaded: make(chan struct{})}
 	if err := os.MkdirAll(s.path("tmp"), 0o700); err != nil {
 		return nil, 0, err
 	}
-	own, err := config.own()
+	own, err := config.marshalProgramFile()
 	if err != nil {
 		return nil, 0, err
 	}
@@ -84,7 +84,7 @@
 
 // writePlatform writes the platform's file and gives its size in bytes.
 func (s *Scheduler) writePlatform() (int, error) {
-	text, err := json.Marshal(s.Config.platform())
+	text, err := json.Marshal(s.Config.newPlatformFile())
 	if err != nil {
 		return 0, err
 	}
@@ -107,7 +107,7 @@
 	go func() {
 		s.readLog(out)
 		s.cmd.Wait()
-		close(s.ended)
+		close(s.exited)
 	}()
 	return nil
 }
@@ -126,9 +126,9 @@
 			s.lines = slices.Delete(s.lines, 0, len(s.lines)-maxLogLines)
 		}
 		if strings.Contains(line, reloadedText) {
-			s.reloads = append(s.reloads, now)
-			close(s.told)
-			s.told = make(chan struct{})
+			s.reloadTimes = append(s.reloadTimes, now)
+			close(s.reloaded)
+			s.reloaded = make(chan struct{})
 		}
 		s.mu.Unlock()
 	}
@@ -142,7 +142,7 @@
 }
 
 // LastProblem gives the last line that the scheduler wrote as a warning or an error; empty: it wrote none lately.
-func (s *Scheduler) LastProblem() string {
+func (s *Scheduler) LastWarning() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, line := range slices.Backward(s.lines) {
@@ -165,13 +165,13 @@
 func (s *Scheduler) waitReady(ctx context.Context, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	tick := time.NewTicker(readyPoll)
+	tick := time.NewTicker(readyPollPeriod)
 	defer tick.Stop()
 	for !s.Ready(ctx) {
 		select {
 		case <-tick.C:
-		case <-s.ended:
-			return ErrEnded
+		case <-s.exited:
+			return ErrExited
 		case <-ctx.Done():
 			return ErrNotReady
 		}
@@ -180,7 +180,7 @@
 }
 
 // Listed is the number of workers on the scheduler's list.
-func (s *Scheduler) Listed(ctx context.Context) (int, error) {
+func (s *Scheduler) WorkerCount(ctx context.Context) (int, error) {
 	text, err := get(ctx, "http://"+s.Config.Admin.String()+"/-/metrics")
 	if err != nil {
 		return 0, err
@@ -193,10 +193,10 @@
 		figure, _, _ := strings.Cut(rest, "|")
 		return strconv.Atoi(figure)
 	}
-	return 0, errNoFigure
+	return 0, errNoWorkerCount
 }
 
-var errNoFigure = errors.New("the figure registry_entries is missing")
+var errNoWorkerCount = errors.New("the figure registry_entries is missing")
 
 // get reads an answer of status 200 on a connection of its own.
 func get(ctx context.Context, url string) (string, error) {
@@ -233,15 +233,15 @@
 func (s *Scheduler) WaitReloaded(ctx context.Context, count int) (time.Time, error) {
 	for {
 		s.mu.Lock()
-		reloads, told := s.reloads, s.told
+		reloads, told := s.reloadTimes, s.reloaded
 		s.mu.Unlock()
 		if len(reloads) >= count {
 			return reloads[count-1], nil
 		}
 		select {
 		case <-told:
-		case <-s.ended:
-			return time.Time{}, ErrEnded
+		case <-s.exited:
+			return time.Time{}, ErrExited
 		case <-ctx.Done():
 			return time.Time{}, ctx.Err()
 		}
@@ -251,15 +251,15 @@
 // Kill ends the process at once and waits for its end.
 func (s *Scheduler) Kill() {
 	s.cmd.Process.Kill()
-	<-s.ended
+	<-s.exited
 }
 
 // Usage is what a process uses at a moment.
 type Usage struct {
-	At          time.Time
-	Processor   time.Duration // since its start
-	Resident    int64         // bytes
-	Descriptors int
+	At            time.Time
+	CPUTime       time.Duration // since its start
+	ResidentBytes int64         // bytes
+	Descriptors   int
 }
 
 // Usage reads what the scheduler uses now.
@@ -267,8 +267,8 @@
 	pid := s.cmd.Process.Pid
 	u := Usage{At: time.Now()}
 	var processor, memory, descriptors error
-	u.Processor, processor = procfs.ProcessorTime(pid)
-	u.Resident, memory = procfs.Memory(pid, procfs.ResidentMemory)
+	u.CPUTime, processor = procfs.ProcessorTime(pid)
+	u.ResidentBytes, memory = procfs.Memory(pid, procfs.ResidentMemory)
 	u.Descriptors, descriptors = procfs.Descriptors(pid)
 	return u, errors.Join(processor, memory, descriptors)
 }
