--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -17,7 +17,7 @@
 	Version  int     `json:"version"`
 	Revision string  `json:"revision"` // of the program that was measured
 	Machine  Machine `json:"machine"`
-	Taken    string  `json:"taken"` // RFC 3339
+	TakenAt  string  `json:"taken"` // RFC 3339
 	Command  string  `json:"command"`
 	Runs     []Run   `json:"runs"`
 	Slopes   []Slope `json:"slopes"`
@@ -25,10 +25,10 @@
 
 // Machine is where the runs took place.
 type Machine struct {
-	Cores    int   `json:"cores"`
-	MemoryMB int   `json:"memory_mb"`
-	Alone    bool  `json:"alone"`     // nothing else was running, as the caller says
-	MaxFiles int64 `json:"max_files"` // the limit of descriptors of one process
+	Cores     int   `json:"cores"`
+	MemoryMB  int   `json:"memory_mb"`
+	Exclusive bool  `json:"alone"`     // nothing else was running, as the caller says
+	MaxFiles  int64 `json:"max_files"` // the limit of descriptors of one process
 }
 
 // Kind tells how the schedulers of a run were made.
@@ -42,31 +42,31 @@
 
 // Run is one run of one case.
 type Run struct {
-	Case       string             `json:"case"` // what is varied, as "workers"
-	Kind       Kind               `json:"kind"`
-	Seed       uint64             `json:"seed"`
-	Program    string             `json:"program"` // the label of the build: "now", or that of the build beside it
-	Parameters map[string]float64 `json:"parameters"`
-	Figures    map[string]float64 `json:"figures"`          // by name with the unit at its end, as "rss_bytes"
-	Missed     string             `json:"missed,omitempty"` // why the run gave no figures; empty: it did
+	Case         string             `json:"case"` // what is varied, as "workers"
+	Kind         Kind               `json:"kind"`
+	Seed         uint64             `json:"seed"`
+	Program      string             `json:"program"` // the label of the build: "now", or that of the build beside it
+	Parameters   map[string]float64 `json:"parameters"`
+	Figures      map[string]float64 `json:"figures"`          // by name with the unit at its end, as "rss_bytes"
+	MissedReason string             `json:"missed,omitempty"` // why the run gave no figures; empty: it did
 }
 
 // Slope is a straight line fitted through one figure of the runs of a case.
 type Slope struct {
-	Case      string  `json:"case"`
-	Kind      Kind    `json:"kind"`
-	Program   string  `json:"program"`
-	Figure    string  `json:"figure"`
-	Parameter string  `json:"parameter"` // along which it was fitted
-	Slope     float64 `json:"slope"`     // figure for each unit of the parameter
-	Intercept float64 `json:"intercept"`
-	R2        float64 `json:"r2"`
-	Low       float64 `json:"low"`  // of the slope's 95 % confidence interval
-	High      float64 `json:"high"` // of the same
-	Points    int     `json:"points"`
-	From      float64 `json:"from"` // least and most of the parameter that was measured
-	To        float64 `json:"to"`
-	NotALine  string  `json:"not_a_line,omitempty"` // why the line doesn't describe the figure; empty: it does
+	Case          string  `json:"case"`
+	Kind          Kind    `json:"kind"`
+	Program       string  `json:"program"`
+	Figure        string  `json:"figure"`
+	Parameter     string  `json:"parameter"` // along which it was fitted
+	Slope         float64 `json:"slope"`     // figure for each unit of the parameter
+	Intercept     float64 `json:"intercept"`
+	R2            float64 `json:"r2"`
+	Low           float64 `json:"low"`  // of the slope's 95 % confidence interval
+	High          float64 `json:"high"` // of the same
+	Points        int     `json:"points"`
+	From          float64 `json:"from"` // least and most of the parameter that was measured
+	To            float64 `json:"to"`
+	PoorFitReason string  `json:"not_a_line,omitempty"` // why the line doesn't describe the figure; empty: it does
 }
 
 // Slope gives the slope of a figure in a case, of the build labelled program.
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -64,49 +64,49 @@
 
 // Program is a build that is measured.
 type Program struct {
-	Label string
-	Path  string
-	Own   json.RawMessage // sections of the project's own file, beside the measurement's; nil: none
+	Label    string
+	Path     string
+	Sections json.RawMessage // sections of the project's own file, beside the measurement's; nil: none
 }
 
 // Options say what is measured.
 type Options struct {
-	Full     bool
-	Cases    []string  // by name; none: all of the set
-	Points   []float64 // of each case, in the place of its own; none: its own
-	Programs []Program
-	Runs     int // of each point; 0: three in full, else one
-	Seed     uint64
-	Revision string
-	Command  string
-	Alone    bool      // nothing else runs on the machine
-	Log      io.Writer // a line for each run
+	FullSet      bool
+	Cases        []string  // by name; none: all of the set
+	Points       []float64 // of each case, in the place of its own; none: its own
+	Programs     []Program
+	RunsPerPoint int // of each point; 0: three in full, else one
+	Seed         uint64
+	Revision     string
+	Command      string
+	Exclusive    bool      // nothing else runs on the machine
+	Log          io.Writer // a line for each run
 }
 
 // Bounds of a measurement.
 const (
 	fullRuns      = 3
-	runLimit      = 4 * time.Minute // of one run of a case
+	runTimeout    = 4 * time.Minute // of one run of a case
 	memoryDivisor = 2               // all processes together keep under this part of the machine's memory
 )
 
 // Run measures and gives what was measured, also where the context ended it early.
 func Run(ctx context.Context, o Options) (*result.File, error) {
-	cases, err := choose(o.Cases, o.Full)
+	cases, err := selectCases(o.Cases, o.FullSet)
 	if err != nil {
 		return nil, err
 	}
-	runs := o.Runs
+	runs := o.RunsPerPoint
 	if runs == 0 {
-		if runs = 1; o.Full {
+		if runs = 1; o.FullSet {
 			runs = fullRuns
 		}
 	}
-	file := &result.File{Revision: o.Revision, Machine: machine(o.Alone), Taken: time.Now().UTC().Format(time.RFC3339), Command: o.Command}
+	file := &result.File{Revision: o.Revision, Machine: describeMachine(o.Exclusive), TakenAt: time.Now().UTC().Format(time.RFC3339), Command: o.Command}
 	for _, c := range cases {
-		points := c.quick
-		if o.Full {
-			points = c.full
+		points := c.quickPoints
+		if o.FullSet {
+			points = c.fullPoints
 		}
 		if len(o.Points) > 0 {
 			points = o.Points
@@ -117,9 +117,9 @@
 					if ctx.Err() != nil {
 						return file, ctx.Err()
 					}
-					run := runOnce(ctx, c, point, p, o.Seed+uint64(number), o.Full)
+					run := runOnce(ctx, c, point, p, o.Seed+uint64(number), o.FullSet)
 					file.Runs = append(file.Runs, run)
-					report(o.Log, &run)
+					logRun(o.Log, &run)
 				}
 			}
 		}
@@ -129,55 +129,55 @@
 }
 
 // Join puts the runs of an earlier file before those of a later one, and fits the lines anew.
-func Join(earlier, later *result.File) {
+func Merge(earlier, later *result.File) {
 	later.Runs = append(slices.Clone(earlier.Runs), later.Runs...)
 	later.Command = earlier.Command + "; " + later.Command
-	later.Machine.Alone = earlier.Machine.Alone && later.Machine.Alone
+	later.Machine.Exclusive = earlier.Machine.Exclusive && later.Machine.Exclusive
 	later.Slopes = fit.Slopes(later.Runs)
 }
 
 // runOnce runs a case at one point.
 func runOnce(ctx context.Context, c benchCase, point float64, p Program, seed uint64, full bool) result.Run {
 	run := result.Run{Case: c.name, Kind: result.Real, Seed: seed, Program: p.Label, Parameters: map[string]float64{}}
-	ctx, cancel := context.WithTimeout(ctx, runLimit)
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "scale")
 	if err != nil {
-		run.Missed = err.Error()
+		run.MissedReason = err.Error()
 		return run
 	}
 	defer os.RemoveAll(dir)
 	setup := c.setup(point)
 	m := &measurement{ctx: ctx, program: p, dir: dir, seed: seed, figures: map[string]float64{},
-		memoryBytes: int64(machine(false).MemoryMB) << 20}
+		memoryBytes: int64(describeMachine(false).MemoryMB) << 20}
 	run.Parameters = setup.parameters()
 	run.Parameters[c.parameter] = point
 	if full {
 		m.pace = fullPace
 	}
 	if err := m.prepare(setup); err != nil {
-		run.Missed = err.Error()
+		run.MissedReason = err.Error()
 	} else if err := c.measure(m, point); err != nil {
-		run.Missed = err.Error()
+		run.MissedReason = err.Error()
 	}
 	m.close()
 	run.Figures = m.figures
 	return run
 }
 
-func report(w io.Writer, run *result.Run) {
+func logRun(w io.Writer, run *result.Run) {
 	if w == nil {
 		return
 	}
 	fmt.Fprintf(w, "%s %s %v seed %d: ", run.Case, run.Program, run.Parameters, run.Seed)
-	if run.Missed != "" {
-		fmt.Fprintf(w, "missed: %s ", run.Missed)
+	if run.MissedReason != "" {
+		fmt.Fprintf(w, "missed: %s ", run.MissedReason)
 	}
 	fmt.Fprintln(w, run.Figures)
 }
 
-func machine(alone bool) result.Machine {
-	m := result.Machine{Cores: runtime.NumCPU(), Alone: alone}
+func describeMachine(alone bool) result.Machine {
+	m := result.Machine{Cores: runtime.NumCPU(), Exclusive: alone}
 	var info unix.Sysinfo_t
 	if unix.Sysinfo(&info) == nil {
 		m.MemoryMB = int(info.Totalram * uint64(info.Unit) >> 20)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -36,7 +36,7 @@
 }
 
 // patience is how long a test waits for what has to come.
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // Every case runs, on a few workers and schedulers, and gives its own figures.
 func TestEveryCaseGivesItsFigures(t *testing.T) {
@@ -64,14 +64,14 @@
 			t.Parallel()
 			w, known := want[c.name]
 			require.True(t, known)
-			m := prepared(t, func(s *setup) {
+			m := newMeasurement(t, func(s *setup) {
 				*s = c.setup(w.point)
-				s.workers, s.schedulers, s.sockets = 100, min(s.schedulers, 3), 1024
+				s.workers, s.schedulers, s.maxSockets = 100, min(s.schedulers, 3), 1024
 				if s.schedulers > 1 {
 					s.groupSize = s.schedulers
 				}
 			})
-			m.pace = shortPace
+			m.pace = testPace
 			require.NoError(t, c.measure(m, w.point))
 			for _, figure := range w.figures {
 				require.Contains(t, m.figures, figure)
@@ -82,38 +82,38 @@
 }
 
 // prepared is a measurement that stands, with workers before schedulers.
-func prepared(t *testing.T, change func(*setup)) *measurement {
+func newMeasurement(t *testing.T, change func(*setup)) *measurement {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	t.Cleanup(cancel)
 	s := baseSetup()
-	s.sockets, s.groupSize = 1024, 0
+	s.maxSockets, s.groupSize = 1024, 0
 	change(&s)
 	m := &measurement{ctx: ctx, program: Program{Label: "test", Path: binary}, dir: t.TempDir(), seed: 1, figures: map[string]float64{},
-		memoryBytes: int64(machine(false).MemoryMB) << 20}
+		memoryBytes: int64(describeMachine(false).MemoryMB) << 20}
 	t.Cleanup(m.close)
 	require.NoError(t, m.prepare(s))
 	return m
 }
 
 // served sends jobs and gives what passed until all were answered.
-func served(t *testing.T, m *measurement, jobs int) window {
+func serveJobs(t *testing.T, m *measurement, jobs int) window {
 	t.Helper()
-	r, w, err := m.underLoad(client.Load{Class: process.ShortClass, Runs: time.Millisecond, PerSecond: 200, Jobs: jobs, Seed: 1}, nil)
+	r, w, err := m.runLoad(client.Load{Class: process.ShortClass, RunTime: time.Millisecond, StartsPerS: 200, Jobs: jobs, Seed: 1}, nil)
 	require.NoError(t, err)
-	require.Equal(t, jobs, r.Served, r.FirstBad)
+	require.Equal(t, jobs, r.Served, r.FirstError)
 	return w
 }
 
 // changeCost is what one worker that leaves the list costs on the sockets.
-func changeCost(t *testing.T, m *measurement) traffic.Amount {
+func measureChangeCost(t *testing.T, m *measurement) traffic.Amount {
 	t.Helper()
-	require.Eventually(t, func() bool { return m.discovery.Watches() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return m.discovery.WatchCount() == 1 }, testTimeout, time.Millisecond)
 	before := m.totals()
-	require.NoError(t, m.discovery.Change(m.workers.Entry(m.setup.workers-1, discovery.Removed)))
-	_, err := m.waitListed(m.schedulers[0], m.setup.workers-1, time.Now(), patience)
+	require.NoError(t, m.discovery.Update(m.workers.Entry(m.setup.workers-1, discovery.Removed)))
+	_, err := m.waitWorkerCount(m.schedulers[0], m.setup.workers-1, time.Now(), testTimeout)
 	require.NoError(t, err)
-	return m.totals().Since(before)[traffic.List]
+	return m.totals().Sub(before)[traffic.List]
 }
 
 // The list grows tenfold; what a job and a change of the list cost in messages and bytes must not grow with it. How many
@@ -129,17 +129,17 @@
 	)
 	var changes []traffic.Amount
 	for _, workers := range []int{100, 1_000} {
-		m := prepared(t, func(s *setup) { s.workers = workers })
-		w := served(t, m, jobs)
+		m := newMeasurement(t, func(s *setup) { s.workers = workers })
+		w := serveJobs(t, m, jobs)
 		probes := w.totals[traffic.Probe]
 		require.LessOrEqual(t, w.counts.Probes, uint64(maxProbesPerJob*jobs), "%d workers", workers)
 		require.LessOrEqual(t, probes.BytesIn+probes.BytesOut, maxPerProbe*w.counts.Probes, "%d workers", workers)
-		require.Equal(t, uint64(jobs), w.counts.Taken, "a worker got a job twice")
+		require.Equal(t, uint64(jobs), w.counts.Accepted, "a worker got a job twice")
 		require.Equal(t, uint64(jobs), w.totals[traffic.Job].Messages)
 		// A probe and a job need one connection each at most, whatever the number of workers.
 		require.LessOrEqual(t, w.workerConnections(), float64(w.counts.Probes+jobs), "%d workers", workers)
 		require.Less(t, w.totals[traffic.List].BytesIn, uint64(watchHeadBytes), "the list is told again without a change")
-		changes = append(changes, changeCost(t, m))
+		changes = append(changes, measureChangeCost(t, m))
 	}
 	require.InDelta(t, changes[0].BytesIn, changes[1].BytesIn, heartbeatBytes)
 	require.Equal(t, uint64(1), changes[0].Messages)
@@ -148,34 +148,34 @@
 
 // A scheduler that knows no list gets it once, whole, whatever its size.
 func TestFreshStartTakesTheListOnce(t *testing.T) {
-	m := prepared(t, func(s *setup) { s.workers, s.mode, s.unknown = 3_000, process.Push, true })
-	_, err := m.waitListed(m.schedulers[0], m.setup.workers, time.Now(), patience)
+	m := newMeasurement(t, func(s *setup) { s.workers, s.mode, s.listUnknown = 3_000, process.Push, true })
+	_, err := m.waitWorkerCount(m.schedulers[0], m.setup.workers, time.Now(), testTimeout)
 	require.NoError(t, err)
-	whole, err := m.discovery.Whole()
+	whole, err := m.discovery.FullList()
 	require.NoError(t, err)
 	require.InEpsilon(t, len(whole), m.totals()[traffic.List].BytesIn, 0.05)
-	served(t, m, 20)
+	serveJobs(t, m, 20)
 }
 
 func TestChangesWhileDiscoveryIsAwayAreToldOnceEach(t *testing.T) {
-	m := prepared(t, func(s *setup) { s.workers = 200 })
-	require.Eventually(t, func() bool { return m.discovery.Watches() == 1 }, patience, time.Millisecond)
-	m.discovery.SetAway(true)
-	require.Eventually(t, func() bool { return m.discovery.Watches() == 0 }, patience, time.Millisecond)
+	m := newMeasurement(t, func(s *setup) { s.workers = 200 })
+	require.Eventually(t, func() bool { return m.discovery.WatchCount() == 1 }, testTimeout, time.Millisecond)
+	m.discovery.SetDown(true)
+	require.Eventually(t, func() bool { return m.discovery.WatchCount() == 0 }, testTimeout, time.Millisecond)
 	const changed = 50
 	for worker := range changed {
-		require.NoError(t, m.discovery.Change(m.workers.Entry(worker, discovery.Removed)))
+		require.NoError(t, m.discovery.Update(m.workers.Entry(worker, discovery.Removed)))
 	}
 	before := m.totals()
-	m.discovery.SetAway(false)
-	_, err := m.waitListed(m.schedulers[0], m.setup.workers-changed, time.Now(), patience)
+	m.discovery.SetDown(false)
+	_, err := m.waitWorkerCount(m.schedulers[0], m.setup.workers-changed, time.Now(), testTimeout)
 	require.NoError(t, err)
 	const call = 1 // the watch that is opened anew
-	require.Equal(t, uint64(changed+call), m.totals().Since(before)[traffic.List].Messages)
+	require.Equal(t, uint64(changed+call), m.totals().Sub(before)[traffic.List].Messages)
 }
 
 func TestConfigurationIsReadByAllSchedulersOnce(t *testing.T) {
-	m := prepared(t, func(s *setup) { s.workers, s.schedulers = 100, 3 })
+	m := newMeasurement(t, func(s *setup) { s.workers, s.schedulers = 100, 3 })
 	for number := range 2 {
 		_, err := m.reconfigure(number + 1)
 		require.NoError(t, err)
@@ -186,7 +186,7 @@
 
 // A zone's machines go: what was sent there is lost, and what is asked for afterwards is served by the others.
 func TestAStoppedZoneGetsNoJob(t *testing.T) {
-	m := prepared(t, func(s *setup) { s.workers, s.zones = 100, 4 })
+	m := newMeasurement(t, func(s *setup) { s.workers, s.zones = 100, 4 })
 	var gone []discovery.Entry
 	for worker := range m.setup.workers {
 		if m.workers.Zone(worker) == 0 {
@@ -195,19 +195,19 @@
 		}
 	}
 	require.Len(t, gone, 25)
-	require.NoError(t, m.discovery.Change(gone...))
-	_, err := m.waitListed(m.schedulers[0], 75, time.Now(), patience)
+	require.NoError(t, m.discovery.Update(gone...))
+	_, err := m.waitWorkerCount(m.schedulers[0], 75, time.Now(), testTimeout)
 	require.NoError(t, err)
-	served(t, m, 50)
+	serveJobs(t, m, 50)
 }
 
 func TestTasksStayInHandUntilTheyAreGivenUp(t *testing.T) {
 	for _, http2 := range []bool{false, true} {
-		m := prepared(t, func(s *setup) { s.workers, s.http2 = 100, http2 })
+		m := newMeasurement(t, func(s *setup) { s.workers, s.http2 = 100, http2 })
 		release, err := m.holdTasks(40)
 		require.NoError(t, err)
-		require.Equal(t, 40, m.workers.Held())
-		served(t, m, 20)
+		require.Equal(t, 40, m.workers.HeldJobs())
+		serveJobs(t, m, 20)
 		release()
 	}
 }
@@ -218,12 +218,12 @@
 		Programs: []Program{{Label: "none", Path: filepath.Join(t.TempDir(), "absent")}}})
 	require.NoError(t, err)
 	require.Len(t, file.Runs, 1)
-	require.Contains(t, file.Runs[0].Missed, "absent")
+	require.Contains(t, file.Runs[0].MissedReason, "absent")
 	require.Empty(t, file.Slopes)
 	require.Contains(t, log.String(), "missed")
 
 	_, err = Run(context.Background(), Options{Cases: []string{"nothing"}})
-	require.ErrorIs(t, err, errCase)
+	require.ErrorIs(t, err, errUnknownCase)
 }
 
 func TestCasesHaveNamesOfTheirOwnAndPoints(t *testing.T) {
@@ -231,12 +231,12 @@
 	for _, c := range cases() {
 		require.False(t, seen[c.name], c.name)
 		seen[c.name] = true
-		require.NotEmpty(t, c.full, c.name)
+		require.NotEmpty(t, c.fullPoints, c.name)
 		require.NotEmpty(t, c.parameter, c.name)
 	}
-	quick, err := choose(nil, false)
+	quick, err := selectCases(nil, false)
 	require.NoError(t, err)
-	full, err := choose(nil, true)
+	full, err := selectCases(nil, true)
 	require.NoError(t, err)
 	require.Less(t, len(quick), len(full))
 	require.Len(t, full, len(cases()))
@@ -247,9 +247,9 @@
 		return result.Run{Case: "workers", Kind: result.Real, Program: "now", Parameters: map[string]float64{"workers": workers},
 			Figures: map[string]float64{"rss_bytes": rss}}
 	}
-	earlier := &result.File{Runs: []result.Run{run(1, 10), {Case: "workers", Kind: result.Real, Missed: "not ready"}}, Command: "first"}
+	earlier := &result.File{Runs: []result.Run{run(1, 10), {Case: "workers", Kind: result.Real, MissedReason: "not ready"}}, Command: "first"}
 	later := &result.File{Runs: []result.Run{run(2, 20), run(3, 31)}, Command: "second"}
-	Join(earlier, later)
+	Merge(earlier, later)
 	path := filepath.Join(t.TempDir(), "results.json")
 	require.NoError(t, Store(path, later))
 
--- a/internal/scale/stage.go
+++ b/internal/scale/stage.go
@@ -25,17 +25,17 @@
 
 // setup is what a case stands on.
 type setup struct {
-	workers    int
-	zones      int
-	slots      int // of each worker
-	schedulers int
-	groupSize  int // that the schedulers are told; 0: their number
-	mode       process.Mode
-	unknown    bool // no list is known at the start
-	tenants    int
-	http2      bool // clients use it
-	memoryMB   int  // the limit of a scheduler
-	sockets    int  // the same
+	workers     int
+	zones       int
+	slots       int // of each worker
+	schedulers  int
+	groupSize   int // that the schedulers are told; 0: their number
+	mode        process.Mode
+	listUnknown bool // no list is known at the start
+	tenants     int
+	http2       bool // clients use it
+	memoryMB    int  // the limit of a scheduler
+	maxSockets  int  // the same
 }
 
 // The operators' fleet.
@@ -47,8 +47,8 @@
 
 // baseSetup is one scheduler of the operators' fleet, as the operators' budget has it.
 func baseSetup() setup {
-	return setup{workers: fleetWorkers, zones: fleetZones, slots: 8, schedulers: 1, groupSize: fleetSchedulers, mode: process.Ask,
-		memoryMB: 256, sockets: 20_000}
+	return setup{workers: fleetWorkers, zones: fleetZones, slots: 8, schedulers: 1, groupSize: fleetSchedulers, mode: process.Pull,
+		memoryMB: 256, maxSockets: 20_000}
 }
 
 // parameters are those that stand beside the one that the case varies.
@@ -60,7 +60,7 @@
 		return 0
 	}
 	list := map[string]float64{"workers": float64(s.workers), "schedulers": float64(s.schedulers), "memory_limit_mb": float64(s.memoryMB),
-		"sockets_limit": float64(s.sockets), "list_known": one(!s.unknown), "list_pushed": one(s.mode == process.Push), "http2": one(s.http2)}
+		"sockets_limit": float64(s.maxSockets), "list_known": one(!s.listUnknown), "list_pushed": one(s.mode == process.Push), "http2": one(s.http2)}
 	if s.groupSize != s.schedulers { // else it says the same, and lines would be fitted along both
 		list["group_size"] = float64(s.groupSize)
 	}
@@ -78,27 +78,27 @@
 
 	memoryBytes int64 // of the machine
 
-	setup      setup
-	counter    traffic.Counter
-	workers    *worker.Fleet
-	discovery  *discovery.Server
-	network    *relay.Network
-	peers      *relay.PeerRelay
-	configs    []process.Config
-	mu         sync.Mutex // guards schedulers while they start together
-	schedulers []*process.Scheduler
-	clients    *client.Clients
-	readySlow  time.Duration
+	setup        setup
+	counter      traffic.Counter
+	workers      *worker.Fleet
+	discovery    *discovery.Server
+	network      *relay.Network
+	peers        *relay.PeerRelay
+	configs      []process.Config
+	mu           sync.Mutex // guards schedulers while they start together
+	schedulers   []*process.Scheduler
+	clients      *client.Clients
+	maxReadyTime time.Duration
 }
 
 // tenantQuotaPerS is each tenant's quota of jobs a second, far above what the cases send.
 const tenantQuotaPerS = 1000
 
 // startsAtOnce bounds how many processes start at the same time.
-const startsAtOnce = 8
+const maxConcurrentStarts = 8
 
 // readyLimit is how long a scheduler may take to be ready.
-const readyLimit = 20 * time.Second
+const readyTimeout = 20 * time.Second
 
 // prepare brings up the surroundings and all schedulers.
 func (m *measurement) prepare(s setup) error {
@@ -106,23 +106,23 @@
 		s.groupSize = s.schedulers
 	}
 	m.setup = s
-	if err := m.prepareSurroundings(); err != nil {
+	if err := m.startEnvironment(); err != nil {
 		return err
 	}
 	m.schedulers = make([]*process.Scheduler, s.schedulers)
 	group, _ := errgroup.WithContext(m.ctx)
-	group.SetLimit(startsAtOnce)
+	group.SetLimit(maxConcurrentStarts)
 	for number := range m.schedulers {
 		group.Go(func() error { return m.startScheduler(number) })
 	}
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	m.figures["ready_s"] = m.readySlow.Seconds()
+	m.figures["ready_s"] = m.maxReadyTime.Seconds()
 	return nil
 }
 
-func (m *measurement) prepareSurroundings() error {
+func (m *measurement) startEnvironment() error {
 	s := m.setup
 	ports, err := endpoints.FreePorts([4]byte{127, 0, 2, 1}, 3*s.schedulers, false)
 	if err != nil {
@@ -137,15 +137,15 @@
 		return err
 	}
 	var known []byte
-	if !s.unknown {
-		if known, err = m.discovery.Whole(); err != nil {
+	if !s.listUnknown {
+		if known, err = m.discovery.FullList(); err != nil {
 			return err
 		}
 	}
 	for number := range s.schedulers {
 		c := process.Config{Name: fmt.Sprintf("s%02d", number), Listen: listen[number], Admin: admin[number], Discovery: m.discovery.Address(),
-			Mode: s.mode, Known: known, MemoryMB: s.memoryMB, Sockets: s.sockets, Seed: m.seed*1000 + uint64(number) + 1, Rank: number,
-			GroupSize: s.groupSize, Zone: number % s.zones, Zones: s.zones, Tenants: s.tenants, QuotaPerS: tenantQuotaPerS, Subsystems: m.program.Own}
+			Mode: s.mode, KnownList: known, MemoryMB: s.memoryMB, Sockets: s.maxSockets, Seed: m.seed*1000 + uint64(number) + 1, Rank: number,
+			GroupSize: s.groupSize, Zone: number % s.zones, Zones: s.zones, Tenants: s.tenants, QuotaPerS: tenantQuotaPerS, Subsystems: m.program.Sections}
 		if s.http2 {
 			c.HTTP2 = http2[number]
 		}
@@ -154,11 +154,11 @@
 	if m.clients = client.New(&m.counter, listen); s.http2 {
 		m.clients = client.NewHTTP2(&m.counter, http2, process.HTTP2Connections)
 	}
-	return m.preparePeers()
+	return m.startPeerRelay()
 }
 
 // preparePeers puts a relay between the schedulers, which counts their messages; one alone has nobody to tell.
-func (m *measurement) preparePeers() error {
+func (m *measurement) startPeerRelay() error {
 	s := m.setup
 	if s.schedulers < 2 || s.schedulers != s.groupSize {
 		return nil
@@ -181,13 +181,13 @@
 // startScheduler runs one scheduler, in the place of an earlier process of it if there was one.
 func (m *measurement) startScheduler(number int) error {
 	dir := filepath.Join(m.dir, fmt.Sprintf("s%02d", number))
-	p, took, err := process.Start(m.ctx, m.program.Path, dir, m.configs[number], readyLimit)
+	p, took, err := process.Start(m.ctx, m.program.Path, dir, m.configs[number], readyTimeout)
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	m.schedulers[number] = p
-	m.readySlow = max(m.readySlow, took)
+	m.maxReadyTime = max(m.maxReadyTime, took)
 	m.mu.Unlock()
 	return nil
 }
@@ -222,8 +222,8 @@
 }
 
 // mark reads all counters.
-func (m *measurement) mark() (mark, error) {
-	at := mark{at: time.Now(), totals: m.totals(), counts: m.workers.Read()}
+func (m *measurement) takeMark() (mark, error) {
+	at := mark{at: time.Now(), totals: m.totals(), counts: m.workers.ReadCounts()}
 	for _, s := range m.schedulers {
 		u, err := s.Usage()
 		if err != nil {
@@ -241,15 +241,15 @@
 		return err
 	}
 	for _, u := range usage {
-		sum += u.Resident
+		sum += u.ResidentBytes
 	}
 	if most := m.memoryBytes / memoryDivisor; sum > most {
-		return fmt.Errorf("%w: %d bytes, %d are allowed", errMemory, sum, most)
+		return fmt.Errorf("%w: %d bytes, %d are allowed", errMemoryLimit, sum, most)
 	}
 	return nil
 }
 
-var errMemory = errors.New("the processes take too much memory")
+var errMemoryLimit = errors.New("the processes take too much memory")
 
 // totals is what has passed on all sockets, the messages between schedulers among them.
 func (m *measurement) totals() traffic.Totals {
@@ -265,37 +265,37 @@
 
 // window is what happened between two marks.
 type window struct {
-	seconds     float64
-	processor   time.Duration // of all schedulers
-	resident    int64         // of the largest
-	descriptors int           // of the one that has most
-	totals      traffic.Totals
-	counts      worker.Counts
-	schedulers  float64
+	seconds       float64
+	cpuTime       time.Duration // of all schedulers
+	residentBytes int64         // of the largest
+	descriptors   int           // of the one that has most
+	totals        traffic.Totals
+	counts        worker.Counts
+	schedulers    float64
 }
 
-func (m *measurement) since(from mark) (window, error) {
-	to, err := m.mark()
+func (m *measurement) measureSince(from mark) (window, error) {
+	to, err := m.takeMark()
 	if err != nil {
 		return window{}, err
 	}
-	w := window{seconds: to.at.Sub(from.at).Seconds(), totals: to.totals.Since(from.totals), schedulers: float64(len(m.schedulers))}
-	w.counts.Probes, w.counts.Taken = to.counts.Probes-from.counts.Probes, to.counts.Taken-from.counts.Taken
+	w := window{seconds: to.at.Sub(from.at).Seconds(), totals: to.totals.Sub(from.totals), schedulers: float64(len(m.schedulers))}
+	w.counts.Probes, w.counts.Accepted = to.counts.Probes-from.counts.Probes, to.counts.Accepted-from.counts.Accepted
 	for i, u := range to.usage {
-		w.processor += u.Processor - from.usage[i].Processor
-		w.resident = max(w.resident, u.Resident)
+		w.cpuTime += u.CPUTime - from.usage[i].CPUTime
+		w.residentBytes = max(w.residentBytes, u.ResidentBytes)
 		w.descriptors = max(w.descriptors, u.Descriptors)
 	}
 	return w, nil
 }
 
 // cores is the processor time a second of one scheduler.
-func (w *window) cores() float64 { return w.processor.Seconds() / w.seconds / w.schedulers }
+func (w *window) cores() float64 { return w.cpuTime.Seconds() / w.seconds / w.schedulers }
 
 // controlBytes is the control traffic of one scheduler, in and out.
 func (w *window) controlBytes() float64 {
 	sum := uint64(0)
-	for _, k := range traffic.Control() {
+	for _, k := range traffic.ControlKinds() {
 		sum += w.totals[k].BytesIn + w.totals[k].BytesOut
 	}
 	return float64(sum) / w.schedulers
@@ -320,21 +320,21 @@
 type pace uint8
 
 const (
-	smallPace pace = iota // of the small set
+	quickPace pace = iota // of the small set
 	fullPace
-	shortPace // shows only that a case runs
+	testPace // shows only that a case runs
 )
 
 // shortPart divides the lengths of the small set where a case is only shown to run.
-const shortPart = 10
+const testPaceDivisor = 10
 
 // pick gives one of two lengths of time, by whether all is measured or the small set.
-func (m *measurement) pick(small, full time.Duration) time.Duration {
+func (m *measurement) duration(small, full time.Duration) time.Duration {
 	switch m.pace {
 	case fullPace:
 		return full
-	case shortPace:
-		return small / shortPart
+	case testPace:
+		return small / testPaceDivisor
 	}
 	return small
 }
--- a/internal/scale/store.go
+++ b/internal/scale/store.go
@@ -34,7 +34,7 @@
 // Rows lists the figures of all runs; a run that gave none has one row without a figure.
 func Rows(f *result.File) (rows []Row) {
 	for number, r := range f.Runs {
-		row := Row{Case: r.Case, Kind: string(r.Kind), Program: r.Program, Run: int32(number), Seed: r.Seed, Missed: r.Missed, Parameters: r.Parameters}
+		row := Row{Case: r.Case, Kind: string(r.Kind), Program: r.Program, Run: int32(number), Seed: r.Seed, Missed: r.MissedReason, Parameters: r.Parameters}
 		if len(r.Figures) == 0 {
 			rows = append(rows, row)
 		}
@@ -59,8 +59,8 @@
 	if err := os.MkdirAll(charts, 0o755); err != nil {
 		return err
 	}
-	for _, c := range chartsOf(f) {
-		if err := c.draw(charts); err != nil {
+	for _, c := range collectCharts(f) {
+		if err := c.writeSVG(charts); err != nil {
 			return err
 		}
 	}
@@ -68,30 +68,30 @@
 }
 
 // chart is one figure of a case along its parameter, of all builds.
-type chart struct{ of, figure, parameter string }
+type chart struct{ caseName, figure, parameter string }
 
 // charted are the figures that get a chart.
-var charted = []string{"rss_bytes", "rss_tasks_bytes", "cpu_at_rest_cores", "cpu_tasks_cores", "cpu_loaded_cores", "control_bytes_per_s",
+var chartedFigures = []string{"rss_bytes", "rss_tasks_bytes", "cpu_at_rest_cores", "cpu_tasks_cores", "cpu_loaded_cores", "control_bytes_per_s",
 	"connections_per_job", "probes_per_job", "loop_ping_max_ms", "in_force_max_ms", "gang_start_max_ms", "recovery_s", "list_known_s"}
 
-type chartLines struct {
+type chartSeries struct {
 	chart
 	runs   []result.Run
 	slopes []result.Slope
 }
 
-func chartsOf(f *result.File) (list []chartLines) {
+func collectCharts(f *result.File) (list []chartSeries) {
 	for _, s := range f.Slopes {
-		if !slices.Contains(charted, s.Figure) {
+		if !slices.Contains(chartedFigures, s.Figure) {
 			continue
 		}
 		key := chart{s.Case, s.Figure, s.Parameter}
-		at := slices.IndexFunc(list, func(c chartLines) bool { return c.chart == key })
+		at := slices.IndexFunc(list, func(c chartSeries) bool { return c.chart == key })
 		if at < 0 {
 			at = len(list)
-			list = append(list, chartLines{chart: key})
+			list = append(list, chartSeries{chart: key})
 			for _, r := range f.Runs {
-				if r.Case == s.Case && r.Missed == "" {
+				if r.Case == s.Case && r.MissedReason == "" {
 					list[at].runs = append(list[at].runs, r)
 				}
 			}
@@ -104,9 +104,9 @@
 var chartColors = []color.Color{color.RGBA{31, 119, 180, 255}, color.RGBA{214, 94, 20, 255}, color.RGBA{44, 140, 44, 255}}
 
 // draw writes the chart as SVG: a point for each run, and the line of each build.
-func (c *chartLines) draw(dir string) error {
+func (c *chartSeries) writeSVG(dir string) error {
 	p := plot.New()
-	p.Title.Text = c.of + ": " + c.figure
+	p.Title.Text = c.caseName + ": " + c.figure
 	p.X.Label.Text, p.Y.Label.Text = c.parameter, c.figure
 	slices.SortFunc(c.slopes, func(a, b result.Slope) int { return cmp.Compare(a.Program, b.Program) })
 	for i, s := range c.slopes {
@@ -130,5 +130,5 @@
 		p.Legend.Add(s.Program, line)
 	}
 	p.Y.Min = min(0, p.Y.Min)
-	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, filepath.Join(dir, c.of+"-"+c.figure+".svg"))
+	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, filepath.Join(dir, c.caseName+"-"+c.figure+".svg"))
 }
--- a/internal/scale/traffic/traffic.go
+++ b/internal/scale/traffic/traffic.go
@@ -19,16 +19,16 @@
 	Job                       // jobs sent to workers, and their withdrawals
 	Callback                  // what workers tell of jobs
 	Client                    // clients' requests and their answers
-	Kinds
+	KindCount
 )
 
 // Control lists the kinds that are no payload of jobs.
-func Control() []Kind { return []Kind{List, Probe, Peer, Configuration} }
+func ControlKinds() []Kind { return []Kind{List, Probe, Peer, Configuration} }
 
-var names = [Kinds]string{"list", "probe", "peer", "configuration", "job", "callback", "client"}
+var kindNames = [KindCount]string{"list", "probe", "peer", "configuration", "job", "callback", "client"}
 
 // String is the kind's name in results.
-func (k Kind) String() string { return names[k] }
+func (k Kind) String() string { return kindNames[k] }
 
 // Amount is what has passed of one kind, as the schedulers see it.
 type Amount struct {
@@ -39,10 +39,10 @@
 }
 
 // Totals is what has passed, by kind.
-type Totals [Kinds]Amount
+type Totals [KindCount]Amount
 
 // Since is what has passed after an earlier reading.
-func (t Totals) Since(before Totals) Totals {
+func (t Totals) Sub(before Totals) Totals {
 	for k := range t {
 		t[k].BytesIn -= before[k].BytesIn
 		t[k].BytesOut -= before[k].BytesOut
@@ -53,7 +53,7 @@
 }
 
 // Counter counts by kind. Its methods may be called from any goroutine.
-type Counter struct{ kinds [Kinds]counts }
+type Counter struct{ kinds [KindCount]counts }
 
 type counts struct{ in, out, messages, connections atomic.Uint64 }
 
@@ -67,61 +67,61 @@
 }
 
 // In counts bytes to a scheduler.
-func (c *Counter) In(k Kind, bytes int) { c.kinds[k].in.Add(uint64(bytes)) }
+func (c *Counter) AddIn(k Kind, bytes int) { c.kinds[k].in.Add(uint64(bytes)) }
 
 // Out counts bytes from a scheduler.
-func (c *Counter) Out(k Kind, bytes int) { c.kinds[k].out.Add(uint64(bytes)) }
+func (c *Counter) AddOut(k Kind, bytes int) { c.kinds[k].out.Add(uint64(bytes)) }
 
 // Message counts a message in either direction.
-func (c *Counter) Message(k Kind) { c.kinds[k].messages.Add(1) }
+func (c *Counter) AddMessage(k Kind) { c.kinds[k].messages.Add(1) }
 
 // Connection counts a connection that was opened.
-func (c *Counter) Connection(k Kind) { c.kinds[k].connections.Add(1) }
+func (c *Counter) AddConnection(k Kind) { c.kinds[k].connections.Add(1) }
 
 // Conn counts what passes on a connection whose other end is a scheduler.
 type Conn struct {
 	net.Conn
-	counter *Counter
-	sorted  atomic.Bool   // the kind of what is read next is known
-	counted atomic.Bool   // the connection itself is
-	kind    atomic.Uint32 // of what is written, and of what is read while sorted
-	unknown atomic.Int64  // bytes read whose kind is not known yet
+	counter      *Counter
+	kindKnown    atomic.Bool   // the kind of what is read next is known
+	connCounted  atomic.Bool   // the connection itself is
+	kind         atomic.Uint32 // of what is written, and of what is read while sorted
+	pendingBytes atomic.Int64  // bytes read whose kind is not known yet
 }
 
 // Of counts a connection that serves one kind alone.
-func (c *Counter) Of(nc net.Conn, k Kind) *Conn {
+func (c *Counter) WrapConn(nc net.Conn, k Kind) *Conn {
 	conn := &Conn{Conn: nc, counter: c}
 	conn.kind.Store(uint32(k))
-	conn.sorted.Store(true)
-	conn.counted.Store(true)
-	c.Connection(k)
+	conn.kindKnown.Store(true)
+	conn.connCounted.Store(true)
+	c.AddConnection(k)
 	return conn
 }
 
 // Mixed counts a connection that takes requests of several kinds, one after another; Begin tells of which kind each is.
-func (c *Counter) Mixed(nc net.Conn) *Conn { return &Conn{Conn: nc, counter: c} }
+func (c *Counter) WrapMixedConn(nc net.Conn) *Conn { return &Conn{Conn: nc, counter: c} }
 
 // Begin gives the kind of the request whose head has been read, and of the answer to it. The connection counts to the
 // kind of its first request.
-func (c *Conn) Begin(k Kind) {
+func (c *Conn) BeginRequest(k Kind) {
 	c.kind.Store(uint32(k))
-	c.counter.Out(k, int(c.unknown.Swap(0)))
-	c.counter.Message(k)
-	if !c.counted.Swap(true) {
-		c.counter.Connection(k)
+	c.counter.AddOut(k, int(c.pendingBytes.Swap(0)))
+	c.counter.AddMessage(k)
+	if !c.connCounted.Swap(true) {
+		c.counter.AddConnection(k)
 	}
 }
 
 // End counts the rest of the request's bytes to its kind, once its body has been read.
-func (c *Conn) End() { c.counter.Out(Kind(c.kind.Load()), int(c.unknown.Swap(0))) }
+func (c *Conn) EndRequest() { c.counter.AddOut(Kind(c.kind.Load()), int(c.pendingBytes.Swap(0))) }
 
 // Read implements net.Conn.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if c.sorted.Load() {
-		c.counter.Out(Kind(c.kind.Load()), n)
+	if c.kindKnown.Load() {
+		c.counter.AddOut(Kind(c.kind.Load()), n)
 	} else {
-		c.unknown.Add(int64(n))
+		c.pendingBytes.Add(int64(n))
 	}
 	return n, err
 }
@@ -129,6 +129,6 @@
 // Write implements net.Conn.
 func (c *Conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.counter.In(Kind(c.kind.Load()), n)
+	c.counter.AddIn(Kind(c.kind.Load()), n)
 	return n, err
 }
--- a/internal/scale/traffic/traffic_test.go
+++ b/internal/scale/traffic/traffic_test.go
@@ -34,15 +34,15 @@
 	defer here.Close()
 	defer there.Close()
 	var counter Counter
-	c := counter.Mixed(here)
-	exchange(t, c, there, "probe", "load", func() { c.Begin(Probe) })
-	exchange(t, c, there, "job", "taken!", func() { c.Begin(Job) })
-	exchange(t, c, there, "probe", "load", func() { c.Begin(Probe) })
+	c := counter.WrapMixedConn(here)
+	exchange(t, c, there, "probe", "load", func() { c.BeginRequest(Probe) })
+	exchange(t, c, there, "job", "taken!", func() { c.BeginRequest(Job) })
+	exchange(t, c, there, "probe", "load", func() { c.BeginRequest(Probe) })
 	before := counter.Totals()
 	require.Equal(t, Amount{BytesIn: 8, BytesOut: 10, Messages: 2, Connections: 1}, before[Probe])
 	require.Equal(t, Amount{BytesIn: 6, BytesOut: 3, Messages: 1}, before[Job])
-	exchange(t, c, there, "job", "no", func() { c.Begin(Job) })
-	require.Equal(t, Amount{BytesIn: 2, BytesOut: 3, Messages: 1}, counter.Totals().Since(before)[Job])
+	exchange(t, c, there, "job", "no", func() { c.BeginRequest(Job) })
+	require.Equal(t, Amount{BytesIn: 2, BytesOut: 3, Messages: 1}, counter.Totals().Sub(before)[Job])
 }
 
 func TestConnectionOfOneKind(t *testing.T) {
@@ -50,7 +50,7 @@
 	defer here.Close()
 	defer there.Close()
 	var counter Counter
-	c := counter.Of(here, List)
+	c := counter.WrapConn(here, List)
 	exchange(t, c, there, "watch", "a list", func() {})
 	require.Equal(t, Amount{BytesIn: 6, BytesOut: 5, Connections: 1}, counter.Totals()[List])
 }
--- a/internal/scale/worker/callback.go
+++ b/internal/scale/worker/callback.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	callbackTimeout   = 5 * time.Second
-	callbackTries     = 10
-	callbackRetry     = 100 * time.Millisecond
-	maxCallbackConns  = 64 // to one scheduler
-	stateStarted      = "started"
-	stateDone         = "done"
-	idPartsOfAJob     = 2 // scheduler and serial number
-	jobIDPartsDivider = "-"
+	callbackTimeout     = 5 * time.Second
+	maxCallbackAttempts = 10
+	callbackRetryDelay  = 100 * time.Millisecond
+	maxCallbackConns    = 64 // to one scheduler
+	stateStarted        = "started"
+	stateDone           = "done"
+	jobIDParts          = 2 // scheduler and serial number
+	jobIDSeparator      = "-"
 )
 
 // JobID is the id of a job that is sent to a scheduler; the workers tell from it whom to call back.
 func JobID(scheduler int, serial uint64) string {
-	return strconv.Itoa(scheduler) + jobIDPartsDivider + strconv.FormatUint(serial, 36)
+	return strconv.Itoa(scheduler) + jobIDSeparator + strconv.FormatUint(serial, 36)
 }
 
 // schedulerOf gives the scheduler that a job was sent to.
 func schedulerOf(id string) (int, error) {
-	parts := strings.SplitN(id, jobIDPartsDivider, idPartsOfAJob)
+	parts := strings.SplitN(id, jobIDSeparator, jobIDParts)
 	return strconv.Atoi(parts[0])
 }
 
@@ -56,7 +56,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return counter.Of(nc, traffic.Callback), nil
+			return counter.WrapConn(nc, traffic.Callback), nil
 		}}
 	return &callbacks{schedulers: schedulers, client: &http.Client{Transport: transport, Timeout: callbackTimeout}, ctx: ctx, cancel: cancel}
 }
@@ -75,7 +75,7 @@
 }
 
 // tell calls the job's scheduler until it answers, a bounded number of times.
-func (c *callbacks) tell(id, from, state, result string) {
+func (c *callbacks) send(id, from, state, result string) {
 	number, err := schedulerOf(id)
 	if err != nil || number < 0 || number >= len(c.schedulers) {
 		return // no job of ours
@@ -85,12 +85,12 @@
 		return
 	}
 	url := fmt.Sprintf("http://%s%s", c.schedulers[number], platform.PathEvents)
-	for range callbackTries {
+	for range maxCallbackAttempts {
 		if c.post(url, text) {
 			return
 		}
 		select {
-		case <-time.After(callbackRetry):
+		case <-time.After(callbackRetryDelay):
 		case <-c.ctx.Done():
 			return
 		}
--- a/internal/scale/worker/server.go
+++ b/internal/scale/worker/server.go
@@ -20,7 +20,7 @@
 	"cobaltflow/internal/scale/traffic"
 )
 
-var errSettings = errors.New("workers, zones and slots have to be above 0, and workers within their bound")
+var errInvalidSettings = errors.New("workers, zones and slots have to be above 0, and workers within their bound")
 
 const (
 	loopbackDevice = "lo"
@@ -51,7 +51,7 @@
 // serve opens the one listener. A socket bound to an address of the loopback network takes connections to this address
 // alone, so that one for all addresses can be had only without an address. It is bound to the loopback device instead:
 // nothing reaches it from another, and a peer outside 127.0.0.0/8 is turned away besides.
-func serve(f *Fleet) (*server, error) {
+func startServer(f *Fleet) (*server, error) {
 	listen := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var failed error
 		if err := raw.Control(func(fd uintptr) { failed = unix.BindToDevice(int(fd), loopbackDevice) }); err != nil {
@@ -68,7 +68,7 @@
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if state == http.StateClosed {
-				s.forget(c.(*workerConn))
+				s.removeConn(c.(*workerConn))
 			}
 		}}
 	go s.http.Serve(&listener{Listener: ln, server: s})
@@ -106,7 +106,7 @@
 		worker, known := l.server.workerAt(tcp.LocalAddr().(*net.TCPAddr).AddrPort())
 		peer := tcp.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
 		if known && peer.IsLoopback() && !l.server.fleet.isDown(worker) {
-			c := &workerConn{Conn: l.server.fleet.counter.Mixed(tcp), tcp: tcp, worker: worker}
+			c := &workerConn{Conn: l.server.fleet.counter.WrapMixedConn(tcp), tcp: tcp, worker: worker}
 			l.server.mu.Lock()
 			l.server.conns[c] = struct{}{}
 			l.server.mu.Unlock()
@@ -117,14 +117,14 @@
 	}
 }
 
-func (s *server) forget(c *workerConn) {
+func (s *server) removeConn(c *workerConn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 }
 
 // reset breaks all connections to a worker.
-func (s *server) reset(worker int) {
+func (s *server) resetConns(worker int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -139,17 +139,17 @@
 func (s *server) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	c := r.Context().Value(connKey{}).(*workerConn)
 	if r.URL.Path == platform.PathLoad {
-		c.Begin(traffic.Probe)
-		io.WriteString(rw, s.fleet.load(c.worker))
+		c.BeginRequest(traffic.Probe)
+		io.WriteString(rw, s.fleet.loadReport(c.worker))
 		return
 	}
-	c.Begin(traffic.Job)
+	c.BeginRequest(traffic.Job)
 	if r.Method == http.MethodDelete {
-		s.fleet.withdraw(c.worker, strings.TrimPrefix(r.URL.Path, platform.PathJobs))
+		s.fleet.cancel(c.worker, strings.TrimPrefix(r.URL.Path, platform.PathJobs))
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
-	c.End()
+	c.EndRequest()
 	if err != nil {
 		return
 	}
@@ -159,7 +159,7 @@
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if s.fleet.take(c.worker, id, runs) {
+	if s.fleet.accept(c.worker, id, runs) {
 		rw.WriteHeader(http.StatusAccepted)
 		return
 	}
--- a/internal/scale/worker/worker.go
+++ b/internal/scale/worker/worker.go
@@ -32,13 +32,13 @@
 
 // Fleet is the workers. Its methods may be called from any goroutine.
 type Fleet struct {
-	settings Settings
-	counter  *traffic.Counter
-	server   *server
-	callback *callbacks
+	settings  Settings
+	counter   *traffic.Counter
+	server    *server
+	callbacks *callbacks
 
 	mu      sync.Mutex
-	workers []state
+	workers []workerState
 	jobs    map[string]*job
 	closed  bool
 	Counts  // guarded by mu
@@ -46,16 +46,16 @@
 
 // Counts is what has happened at the workers.
 type Counts struct {
-	Probes   uint64 // answered
-	Taken    uint64 // jobs accepted
-	Started  uint64
-	Done     uint64
-	Rejected uint64 // jobs turned away unprocessed
-	Deleted  uint64 // jobs withdrawn
+	Probes    uint64 // answered
+	Accepted  uint64 // jobs accepted
+	Started   uint64
+	Done      uint64
+	Rejected  uint64 // jobs turned away unprocessed
+	Cancelled uint64 // jobs withdrawn
 }
 
 // state is what is kept of one worker.
-type state struct {
+type workerState struct {
 	running int
 	waiting []*job
 	down    bool
@@ -65,7 +65,7 @@
 type job struct {
 	id      string
 	worker  int
-	runs    time.Duration
+	runTime time.Duration
 	timer   *time.Timer
 	started bool
 }
@@ -73,12 +73,12 @@
 // Start runs a fleet that calls back to schedulers at the addresses, by their numbers.
 func Start(settings Settings, counter *traffic.Counter, schedulers []netip.AddrPort) (*Fleet, error) {
 	if settings.Workers < 1 || settings.Workers > MaxWorkers || settings.Zones < 1 || settings.Slots < 1 {
-		return nil, fmt.Errorf("fleet of %+v: %w", settings, errSettings)
+		return nil, fmt.Errorf("fleet of %+v: %w", settings, errInvalidSettings)
 	}
-	f := &Fleet{settings: settings, counter: counter, workers: make([]state, settings.Workers), jobs: map[string]*job{}}
-	f.callback = newCallbacks(counter, schedulers)
+	f := &Fleet{settings: settings, counter: counter, workers: make([]workerState, settings.Workers), jobs: map[string]*job{}}
+	f.callbacks = newCallbacks(counter, schedulers)
 	var err error
-	f.server, err = serve(f)
+	f.server, err = startServer(f)
 	return f, err
 }
 
@@ -93,7 +93,7 @@
 	}
 	f.mu.Unlock()
 	f.server.close()
-	f.callback.close()
+	f.callbacks.close()
 }
 
 // Zone is the number of a worker's zone.
@@ -141,7 +141,7 @@
 		delete(f.jobs, id)
 	}
 	f.mu.Unlock()
-	f.server.reset(worker)
+	f.server.resetConns(worker)
 }
 
 // Restart has a worker come up anew, cold from now on.
@@ -153,14 +153,14 @@
 }
 
 // Read gives the counts so far.
-func (f *Fleet) Read() Counts {
+func (f *Fleet) ReadCounts() Counts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.Counts
 }
 
 // Held is the number of jobs that are at the workers.
-func (f *Fleet) Held() int {
+func (f *Fleet) HeldJobs() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.jobs)
@@ -173,7 +173,7 @@
 }
 
 // load is a worker's report in the form of the protocol.
-func (f *Fleet) load(worker int) string {
+func (f *Fleet) loadReport(worker int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Probes++
@@ -187,7 +187,7 @@
 const reportedLatencyMS = 50
 
 // take accepts a job, or tells that it is turned away.
-func (f *Fleet) take(worker int, id string, runs time.Duration) bool {
+func (f *Fleet) accept(worker int, id string, runs time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := &f.workers[worker]
@@ -196,8 +196,8 @@
 		f.Rejected++
 		return false
 	}
-	f.Taken++
-	j := &job{id: id, worker: worker, runs: runs}
+	f.Accepted++
+	j := &job{id: id, worker: worker, runTime: runs}
 	f.jobs[id] = j
 	if w.running < f.settings.Slots {
 		f.startLocked(j)
@@ -213,10 +213,10 @@
 	j.started = true
 	told := make(chan struct{})
 	go func() {
-		f.callback.tell(j.id, Name(j.worker), stateStarted, "")
+		f.callbacks.send(j.id, Name(j.worker), stateStarted, "")
 		close(told)
 	}()
-	j.timer = time.AfterFunc(j.runs, func() { f.finish(j, told) })
+	j.timer = time.AfterFunc(j.runTime, func() { f.finish(j, told) })
 }
 
 // finish ends a job and calls back, behind the callback that told of its start.
@@ -228,14 +228,14 @@
 	}
 	delete(f.jobs, j.id)
 	f.Done++
-	f.nextLocked(j.worker)
+	f.releaseSlotLocked(j.worker)
 	f.mu.Unlock()
 	<-told
-	f.callback.tell(j.id, Name(j.worker), stateDone, "result of "+j.id)
+	f.callbacks.send(j.id, Name(j.worker), stateDone, "result of "+j.id)
 }
 
 // nextLocked frees a slot of a worker and starts the job that has waited longest.
-func (f *Fleet) nextLocked(worker int) {
+func (f *Fleet) releaseSlotLocked(worker int) {
 	w := &f.workers[worker]
 	w.running--
 	if len(w.waiting) > 0 {
@@ -246,10 +246,10 @@
 }
 
 // withdraw gives up a job that waits; one that runs goes on.
-func (f *Fleet) withdraw(worker int, id string) {
+func (f *Fleet) cancel(worker int, id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.Deleted++
+	f.Cancelled++
 	w := &f.workers[worker]
 	for i, j := range w.waiting {
 		if j.id == id {
--- a/internal/scale/worker/worker_test.go
+++ b/internal/scale/worker/worker_test.go
@@ -20,15 +20,15 @@
 )
 
 // rig is a fleet with a scheduler that notes what it is called back.
-type rig struct {
+type harness struct {
 	*Fleet
 	counter traffic.Counter
 	events  chan event
 }
 
-func newRig(t *testing.T, s Settings) *rig {
+func newHarness(t *testing.T, s Settings) *harness {
 	t.Helper()
-	r := &rig{events: make(chan event, 64)}
+	r := &harness{events: make(chan event, 64)}
 	scheduler := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, q *http.Request) {
 		var e event
 		if json.NewDecoder(q.Body).Decode(&e) == nil {
@@ -45,7 +45,7 @@
 }
 
 // send puts a job on a worker and gives the status of the answer; 0: there was none.
-func (r *rig) send(t *testing.T, worker int, serial uint64, runs time.Duration) (int, string) {
+func (r *harness) send(t *testing.T, worker int, serial uint64, runs time.Duration) (int, string) {
 	t.Helper()
 	url := fmt.Sprintf("http://%s/short/key", r.Entry(worker, discovery.Up).Address)
 	q, err := http.NewRequest(http.MethodPost, url, strings.NewReader(runs.String()))
@@ -61,7 +61,7 @@
 }
 
 func TestAJobIsToldStartedAndDoneByTheWorkerThatWasDialled(t *testing.T) {
-	r := newRig(t, Settings{Workers: MaxWorkers, Zones: 19, Slots: 1, Queue: 1})
+	r := newHarness(t, Settings{Workers: MaxWorkers, Zones: 19, Slots: 1, Queue: 1})
 	for serial, worker := range []int{0, 255, 256, 33_000, MaxWorkers - 1} {
 		status, _ := r.send(t, worker, uint64(serial), time.Millisecond)
 		require.Equal(t, http.StatusAccepted, status)
@@ -69,11 +69,11 @@
 		require.Equal(t, event{ID: id, From: Name(worker), State: stateStarted}, <-r.events)
 		require.Equal(t, event{ID: id, From: Name(worker), State: stateDone, Result: "result of " + id}, <-r.events)
 	}
-	require.Equal(t, Counts{Taken: 5, Started: 5, Done: 5}, r.Read())
+	require.Equal(t, Counts{Accepted: 5, Started: 5, Done: 5}, r.ReadCounts())
 }
 
 func TestAFullWorkerTurnsJobsAwayUnprocessed(t *testing.T) {
-	r := newRig(t, Settings{Workers: 2, Zones: 1, Slots: 1, Queue: 1})
+	r := newHarness(t, Settings{Workers: 2, Zones: 1, Slots: 1, Queue: 1})
 	for serial := range uint64(2) {
 		status, _ := r.send(t, 0, serial, time.Hour)
 		require.Equal(t, http.StatusAccepted, status)
@@ -81,8 +81,8 @@
 	status, unprocessed := r.send(t, 0, 2, time.Hour)
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.Equal(t, "1", unprocessed)
-	require.Equal(t, 2, r.Held())
-	require.Equal(t, Counts{Taken: 2, Started: 1, Rejected: 1}, r.Read())
+	require.Equal(t, 2, r.HeldJobs())
+	require.Equal(t, Counts{Accepted: 2, Started: 1, Rejected: 1}, r.ReadCounts())
 
 	response, err := http.Get(fmt.Sprintf("http://%s%s", r.Entry(0, discovery.Up).Address, platform.PathLoad))
 	require.NoError(t, err)
@@ -95,11 +95,11 @@
 }
 
 func TestAStoppedWorkerAnswersNothingUntilItsRestart(t *testing.T) {
-	r := newRig(t, Settings{Workers: 2, Zones: 2, Slots: 4, Queue: 1})
+	r := newHarness(t, Settings{Workers: 2, Zones: 2, Slots: 4, Queue: 1})
 	status, _ := r.send(t, 0, 0, time.Hour)
 	require.Equal(t, http.StatusAccepted, status)
 	r.Stop(0)
-	require.Zero(t, r.Held())
+	require.Zero(t, r.HeldJobs())
 	status, _ = r.send(t, 0, 1, time.Hour)
 	require.Zero(t, status)
 	status, _ = r.send(t, 1, 2, time.Hour)
@@ -113,7 +113,7 @@
 }
 
 func TestZonesHaveEvenShares(t *testing.T) {
-	r := newRig(t, Settings{Workers: 33_000, Zones: 19, Slots: 1, Queue: 1})
+	r := newHarness(t, Settings{Workers: 33_000, Zones: 19, Slots: 1, Queue: 1})
 	sizes := map[int]int{}
 	for worker := range 33_000 {
 		sizes[r.Zone(worker)]++
@@ -127,6 +127,6 @@
 func TestSettingsOutsideTheirBounds(t *testing.T) {
 	for _, s := range []Settings{{}, {Workers: MaxWorkers + 1, Zones: 1, Slots: 1}, {Workers: 1, Slots: 1}, {Workers: 1, Zones: 1}} {
 		_, err := Start(s, &traffic.Counter{}, nil)
-		require.ErrorIs(t, err, errSettings)
+		require.ErrorIs(t, err, errInvalidSettings)
 	}
 }
