--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -12,7 +12,7 @@
 	"cobaltflow/internal/scale/result"
 )
 
-// inputs are the made-up targets and results of the tests.
+// loadInputs returns the synthetic targets and results of the tests.
 func loadInputs(t *testing.T) (*Targets, *result.File) {
 	t.Helper()
 	targets, err := ReadTargets("testdata/targets.json")
@@ -29,7 +29,7 @@
 	return text.String()
 }
 
-// section gives the text of the page from one heading to the next of its level.
+// section returns the part of the page from a heading to the next one of the same level.
 func section(t *testing.T, page, heading string) string {
 	t.Helper()
 	_, rest, found := strings.Cut(page, heading+"\n")
@@ -47,32 +47,32 @@
 	assert.Contains(t, scheduler, "| with all tasks in hand | before |  | 460 MB | 200 MB | over, ×2.3 | E4, ×5 outside the range |")
 }
 
-func TestMeasuredPointTakesThePlaceOfWhatIsNoLine(t *testing.T) {
+func TestMeasuredPointReplacesALineThatDoesNotFit(t *testing.T) {
 	targets, results := loadInputs(t)
 	text := renderPage(t, targets, results)
 	assert.Contains(t, section(t, text, "### Scheduler"), "| at rest | now |  | 0.03 core | 0.03 core | within, ×1 | E3 |")
 	assert.Contains(t, section(t, text, "## Evidence"), "| E3 | real | workers | now | cpu_at_rest_cores | mean 0.03, 0.02 to 0.04 | measured point | workers 30,000 | 2 runs, 2 seeds |")
 }
 
-// What is within the budget at a smaller size need not be at the planned one.
-func TestBudgetIsNotJudgedByAFarSize(t *testing.T) {
+// A figure within the budget at a smaller size may exceed it at the planned one.
+func TestBudgetIsNotComparedWithAFigureOfADistantSize(t *testing.T) {
 	targets, results := loadInputs(t)
 	row := &targets.Roles[0].Rows[3]
 	row.Total.Figure.Use = UsePoint
-	results.Runs = results.Runs[:5] // without those that tried the size and missed
+	results.Runs = results.Runs[:5] // without the runs at the size itself, which failed
 	assert.Contains(t, section(t, renderPage(t, targets, results), "### Scheduler"),
 		"| with all tasks in hand | before |  | 140 MB at tasks 4,000 | 200 MB | not told: ×0.7 there | E4, ×5 outside the range |")
 }
 
-// A case that was run at one size alone has no line.
-func TestMeasuredPointTakesThePlaceOfALineThatIsMissing(t *testing.T) {
+// A case that was run at one size only has no line.
+func TestMeasuredPointReplacesAMissingLine(t *testing.T) {
 	targets, results := loadInputs(t)
 	results.Slopes = results.Slopes[:2]
 	assert.Contains(t, section(t, renderPage(t, targets, results), "### Scheduler"), "| at rest | now |  | 0.03 core | 0.03 core | within, ×1 | E3 |")
 }
 
-// Where a run at the size itself missed, a figure of another size would hide it.
-func TestPointOfASizeThatWasMissedIsUnknown(t *testing.T) {
+// If the runs at the size itself failed, a figure of another size would hide that.
+func TestPointIsUnknownIfAllRunsAtItsSizeFailed(t *testing.T) {
 	targets, results := loadInputs(t)
 	results.Runs = append(results.Runs, result.Run{Case: "gangs", Kind: result.Real, Seed: 3, Program: "today",
 		Parameters: map[string]float64{"gang": 1024}, MissedReason: `too many: time=2000-01-01T00:00:00Z level=WARN msg="full"`})
@@ -81,7 +81,7 @@
 	assert.Contains(t, section(t, text, "## Not measured"), `| Gangs: tasks sent | now | missed at this size: too many: level=WARN msg="full" |`)
 }
 
-func TestBaseIsAddedToWhatTheItemsNeed(t *testing.T) {
+func TestBaseIsAddedToTheNeedOfTheItems(t *testing.T) {
 	targets, results := loadInputs(t)
 	row := &targets.Roles[0].Rows[3]
 	row.Base, row.Total = &Term{Figure: &Source{Kind: result.Real, Case: "workers", Figure: "rss_bytes", Parameter: "workers", Use: UseIntercept}}, nil
@@ -91,7 +91,7 @@
 		"| memory | with all tasks in hand | before | 40 MB + 20,000 × 20 KB | 440 MB | 200 MB | over, ×2.2 | E1, E4 |")
 }
 
-func TestFigureOverAnotherFigure(t *testing.T) {
+func TestFigureDividedByAnotherFigure(t *testing.T) {
 	targets, results := loadInputs(t)
 	term := targets.Roles[1].Rows[1].Total
 	term.Denominator = &Source{Kind: result.Real, Case: "gangs", Figure: "jobs", Parameter: "gang", Use: UsePoint, At: "gang"}
@@ -106,20 +106,20 @@
 	require.ErrorContains(t, Write(&strings.Builder{}, targets, results), "targets.roles.gangs.rows.gang_messages.total.over: case or figure is missing")
 }
 
-// Where the files lay on the machine that was measured is nobody's business.
+// The page must not show directories of the measured machine.
 func TestCommandIsShownWithoutDirectories(t *testing.T) {
 	targets, results := loadInputs(t)
 	results.Command = "measure scale --program old=/a/b/cobaltflow --out ../c/results.json"
 	assert.Contains(t, renderPage(t, targets, results), "| 1: `measure scale --program old=cobaltflow --out results.json` |")
 }
 
-func TestNearestPointTellsHowFarItIs(t *testing.T) {
+func TestNearestPointShowsItsDistance(t *testing.T) {
 	targets, results := loadInputs(t)
 	gangs := section(t, renderPage(t, targets, results), "### Gangs")
 	assert.Contains(t, gangs, "| tasks sent | now | 1,024 × 0.391 | 400 at gang 128 |  |  | E5, ×8 outside the range |")
 }
 
-func TestMissingResultIsSaid(t *testing.T) {
+func TestMissingResultIsReported(t *testing.T) {
 	targets, results := loadInputs(t)
 	text := renderPage(t, targets, results)
 	assert.Contains(t, section(t, text, "### Gangs"), "| a gang |  |  | not measured |")
@@ -129,7 +129,7 @@
 	assert.Contains(t, unmeasured, `- real case "tasks", program "old", tasks 20,000: no descriptors left (2 runs)`)
 }
 
-func TestRankingGivesTheFirstMissingMechanism(t *testing.T) {
+func TestRankingNamesTheFirstMissingMechanism(t *testing.T) {
 	targets, results := loadInputs(t)
 	text := section(t, renderPage(t, targets, results), "## Furthest over budget, with no mechanism that carries it")
 	before := section(t, text, "### before")
@@ -139,8 +139,8 @@
 	assert.Contains(t, section(t, text, "### now"), "None of the 1 rows that have a figure and a budget is over it without a mechanism.")
 }
 
-// A row further over its budget goes first, whatever the order of the rows.
-func TestRankingIsSorted(t *testing.T) {
+// Rows are ordered by how far they exceed their budget, whatever their order in the targets.
+func TestRankingIsSortedByFactor(t *testing.T) {
 	targets, results := loadInputs(t)
 	targets.Roles[0].Rows[3].Mechanism = "reservation"
 	results.Slopes[3].Slope *= 10
@@ -158,14 +158,14 @@
 	assert.Contains(t, text, "| the planned one | now | not measured |  | memory: not measured |")
 }
 
-func TestNoNumberOfSchedulersWhereTheFixedPartIsOver(t *testing.T) {
+func TestNoNumberOfSchedulersIfTheFixedNeedExceedsTheBudget(t *testing.T) {
 	targets, results := loadInputs(t)
 	results.Slopes[0].Intercept = 250e6
 	text := section(t, renderPage(t, targets, results), "## How many schedulers")
 	assert.Contains(t, text, "| the planned one | before | no number | memory: what each scheduler needs anyway is over the budget | memory: none |")
 }
 
-func TestEachOperatorNumberHasItsLine(t *testing.T) {
+func TestEachOperatorNumberHasALine(t *testing.T) {
 	targets, results := loadInputs(t)
 	text := section(t, renderPage(t, targets, results), "## The operators' numbers")
 	for _, size := range targets.Sizes {
@@ -184,7 +184,7 @@
 	}
 }
 
-func TestFaultyTargetsNameTheKey(t *testing.T) {
+func TestInvalidTargetsAreRejectedWithTheirKey(t *testing.T) {
 	good, err := os.ReadFile("testdata/targets.json")
 	require.NoError(t, err)
 	for _, c := range []struct{ name, old, new, want string }{
@@ -209,7 +209,7 @@
 		{"figure and none", `"not_measured": "there are none", "answers"`, `"answers"`, "targets.roles.gangs.rows.gang_state: either total, or count and each, or not_measured is needed"},
 		{"constraint", `"events": "tasks_running"`, `"events": "tasks"`, `targets.constraints.0.events: there is no size "tasks" before it`},
 		{"fleet", `"sizes": {"workers": 3000`, `"sizes": {"tasks_in_hand": 3000`, "targets.fleets.1.sizes.tasks_in_hand: follows from other sizes"},
-		{"number without row", `"answers": ["gang"]`, `"answers": []`, ""}, // the next row rests on it
+		{"number without row", `"answers": ["gang"]`, `"answers": []`, ""}, // valid: the next row depends on it
 		{"operator's number without row", `"key": "schedulers", "text": "schedulers", "unit": "number",`,
 			`"key": "accelerators", "text": "accelerators", "unit": "number", "operator": true, "value": 1}, {"key": "schedulers", "text": "schedulers", "unit": "number",`,
 			"targets.sizes.accelerators: no row rests on this number of the operators' list"},
@@ -235,7 +235,7 @@
 	}
 }
 
-func TestFaultyResultsNameTheKey(t *testing.T) {
+func TestInvalidResultsAreRejectedWithTheirKey(t *testing.T) {
 	targets, _ := loadInputs(t)
 	for _, c := range []struct {
 		name   string
@@ -280,11 +280,11 @@
 	} {
 		assert.Equal(t, c.want, c.unit.formatRounded(c.value))
 	}
-	assert.Equal(t, "12,345", Number.format(12_345)) // a size is shown as it is
+	assert.Equal(t, "12,345", Number.format(12_345)) // a size is not rounded
 }
 
-// A results file that was written can be read back and gives the same page.
-func TestPageOfAFileReadBack(t *testing.T) {
+// Results that are encoded and decoded again give the same page.
+func TestPageOfAReencodedResultsFile(t *testing.T) {
 	targets, results := loadInputs(t)
 	text, err := json.Marshal(results)
 	require.NoError(t, err)
@@ -293,7 +293,7 @@
 	assert.Equal(t, renderPage(t, targets, results), renderPage(t, targets, &again))
 }
 
-func TestFigureOfALineThatIsNoneIsMarked(t *testing.T) {
+func TestFigureFromALineThatDoesNotFitIsMarked(t *testing.T) {
 	targets, results := loadInputs(t)
 	results.Slopes[0].PoorFitReason = "it bends"
 	text := renderPage(t, targets, results)
@@ -308,14 +308,14 @@
 	assert.Equal(t, 1, strings.Count(renderPage(t, targets, results), "| memory | a gang |  |  | 20,000 |  |  | sizes alone |"))
 }
 
-func TestSlopeNotToldFromZeroGivesAnUpperBound(t *testing.T) {
+func TestSlopeWhoseIntervalContainsZeroGivesAnUpperBound(t *testing.T) {
 	targets, results := loadInputs(t)
 	results.Slopes[0].Low = -500
 	text := renderPage(t, targets, results)
 	assert.Contains(t, section(t, text, "### Scheduler"), "| workers known | before | 30,000 × 1.01 KB | at most 30.3 MB |  |  | E1 |")
 	assert.Contains(t, section(t, text, "## Evidence"), "no slope seen: the interval holds 0")
 
-	// A bound over the budget proves nothing, and is not ranked.
+	// An upper bound over the budget does not prove that the figure exceeds it, so it is not ranked.
 	targets.Roles[0].Rows[3].Total.Figure.Use = UseSlope
 	results.Slopes[3].Low = -1
 	text = renderPage(t, targets, results)
@@ -323,7 +323,7 @@
 	assert.NotContains(t, section(t, text, "### before"), "with all tasks in hand")
 }
 
-func TestPointNearEnoughTakesThePlaceOfWhatIsNoLine(t *testing.T) {
+func TestNearbyPointReplacesALineThatDoesNotFit(t *testing.T) {
 	targets, results := loadInputs(t)
 	*targets.Sizes[0].Value = 31_000
 	assert.Contains(t, section(t, renderPage(t, targets, results), "### Scheduler"), "| at rest | now |  | 0.03 core | 0.03 core | within, ×1 | E3, ×1.03 outside the range |")
--- a/internal/scale/capacity/check.go
+++ b/internal/scale/capacity/check.go
@@ -7,7 +7,7 @@
 	"cobaltflow/internal/scale/result"
 )
 
-// check finds the first fault of the targets.
+// check returns the first fault of the targets, or nil.
 func (t *Targets) check() error {
 	if t.Version != FormatVersion {
 		return errorAt("targets.version", "%d is not %d", t.Version, FormatVersion)
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// checker holds what has been seen of the targets so far.
+// checker holds the definitions that the checks have passed so far.
 type checker struct {
 	targets    *Targets
 	sizes      map[string]*Size
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// sizesDefined checks that a size rests on sizes that stand before it, so that none rests on itself.
+// checkSizes checks that a size depends only on sizes before it, so that none depends on itself.
 func (c *checker) checkSizes() error {
 	for i := range c.targets.Sizes {
 		size := &c.targets.Sizes[i]
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// known checks that sizes are defined.
+// checkSizesDefined checks that sizes with these keys are defined.
 func (c *checker) checkSizesDefined(key string, sizes ...string) error {
 	for _, name := range sizes {
 		if c.sizes[name] == nil {
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// aspects checks that a role tells of all that each role has to tell of.
+// checkAspects checks that a role has a row of each required aspect.
 func (c *checker) checkAspects(key string, role *Role) error {
 	for _, aspect := range requiredAspects {
 		if !slices.ContainsFunc(role.Rows, func(r Row) bool { return r.Aspect == aspect }) {
@@ -200,7 +200,7 @@
 	return c.checkBudget(key+".budget", row.Budget, row.Unit)
 }
 
-// budget checks that a budget is a size in the unit of what it bounds.
+// checkBudget checks that a budget is a size in the unit of the row that it bounds.
 func (c *checker) checkBudget(key, name string, unit Unit) error {
 	if name == "" {
 		return nil
@@ -208,8 +208,8 @@
 	if err := c.checkSizesDefined(key, name); err != nil {
 		return err
 	}
-	if has := c.sizes[name].Unit; has != unit {
-		return errorAt(key, "%q is in %s, and what it bounds in %s", name, has, unit)
+	if budgetUnit := c.sizes[name].Unit; budgetUnit != unit {
+		return errorAt(key, "%q is in %s, and what it bounds in %s", name, budgetUnit, unit)
 	}
 	return nil
 }
@@ -304,7 +304,7 @@
 	return nil
 }
 
-// answered checks that each number of the operators' list stands behind a row.
+// checkOperatorNumbers checks that a row depends on each number of the operators' list.
 func (c *checker) checkOperatorNumbers() error {
 	for i := range c.targets.Sizes {
 		size := &c.targets.Sizes[i]
@@ -315,7 +315,7 @@
 	return nil
 }
 
-// checkResults finds the first fault of the results, as far as the page rests on them.
+// checkResults returns the first fault in the parts of the results that the page uses, or nil.
 func checkResults(results []*result.File) error {
 	if len(results) == 0 {
 		return errorAt("results", "there are none")
--- a/internal/scale/capacity/estimate.go
+++ b/internal/scale/capacity/estimate.go
@@ -8,31 +8,31 @@
 	"cobaltflow/internal/scale/result"
 )
 
-// estimate is what the results give for a term.
+// estimate is the value of a term with the evidence for it.
 type estimate struct {
 	value         float64
 	unknownReason string  // why there is no value; empty: there is one
-	evidence      []int   // numbers of the lines of evidence behind it
-	extrapolation float64 // times beyond the measured range that the figure was taken; 1: within it
-	// elsewhere is the size at which the value was measured, where that is far from the one wanted and nothing was
-	// extrapolated: the value is the one of that size.
+	evidence      []int   // numbers of the evidence entries that the value is computed from
+	extrapolation float64 // size divided by the nearest measured size, or its inverse if smaller; 1: within the range
+	// measuredAt names the size at which the value was measured if that is far from the requested size. Nothing is
+	// extrapolated then: the value is the one at that size.
 	measuredAt   string
-	isUpperBound bool // a slope behind it was not told from 0, and the upper end of its interval was taken
+	isUpperBound bool // the interval of a slope contains 0, and its upper end was used in place of the slope
 }
 
 func (e *estimate) isKnown() bool { return e.unknownReason == "" }
 
-// measured tells whether the value rests on a result, and not on sizes alone.
+// isMeasured reports whether the value depends on a result and not on sizes alone.
 func (e *estimate) isMeasured() bool { return len(e.evidence) > 0 }
 
-// times multiplies two estimates. It rests on the evidence of both, and is as far beyond what was measured as the worse.
+// multiplyBy returns the product of two estimates. It has the evidence of both and the larger extrapolation.
 func (e estimate) multiplyBy(other estimate) estimate {
 	product := e.merge(other)
 	product.value = e.value * other.value
 	return product
 }
 
-// over divides an estimate by another.
+// divideBy returns the quotient of two estimates. It is unknown if the divisor is 0.
 func (e estimate) divideBy(other estimate) estimate {
 	quotient := e.merge(other)
 	quotient.value = e.value / other.value
@@ -42,26 +42,26 @@
 	return quotient
 }
 
-// plus adds two estimates.
+// add returns the sum of two estimates.
 func (e estimate) add(other estimate) estimate {
 	sum := e.merge(other)
 	sum.value = e.value + other.value
 	return sum
 }
 
-// with joins what two estimates rest on; the value, and where it was measured, are left open.
+// merge combines everything but the value and measuredAt of two estimates.
 func (e estimate) merge(other estimate) estimate {
-	joined := estimate{unknownReason: e.unknownReason, extrapolation: max(e.extrapolation, other.extrapolation), isUpperBound: e.isUpperBound || other.isUpperBound}
-	if joined.unknownReason == "" {
-		joined.unknownReason = other.unknownReason
+	merged := estimate{unknownReason: e.unknownReason, extrapolation: max(e.extrapolation, other.extrapolation), isUpperBound: e.isUpperBound || other.isUpperBound}
+	if merged.unknownReason == "" {
+		merged.unknownReason = other.unknownReason
 	}
-	joined.evidence = append(slices.Clone(e.evidence), other.evidence...)
-	slices.Sort(joined.evidence)
-	joined.evidence = slices.Compact(joined.evidence)
-	return joined
+	merged.evidence = append(slices.Clone(e.evidence), other.evidence...)
+	slices.Sort(merged.evidence)
+	merged.evidence = slices.Compact(merged.evidence)
+	return merged
 }
 
-// estimator evaluates terms by the results of one program.
+// estimator evaluates terms with the results of one program.
 type estimator struct {
 	program  *Program
 	sizes    sizes
@@ -69,7 +69,7 @@
 	evidence *evidenceList
 }
 
-// of evaluates a term.
+// evaluate computes a term.
 func (e *estimator) evaluate(term *Term) estimate {
 	amount := estimate{value: e.sizes.product(term.Factors, term.Divisors), extrapolation: 1}
 	if term.Figure == nil {
@@ -84,59 +84,60 @@
 	return product
 }
 
-// figure evaluates a measured figure.
+// estimateFigure evaluates a measured figure in the way that its source names.
 func (e *estimator) estimateFigure(source *Source) estimate {
 	if source.Use == UsePoint {
 		return e.estimatePoint(source)
 	}
 	slope, fitted := e.findSlope(source)
-	at, given := e.sizes[source.At]
-	if source.Use == UseLine && (!fitted || slope.PoorFitReason != "" && e.isMeasuredNear(source, at)) {
+	size, hasSize := e.sizes[source.At]
+	if source.Use == UseLine && (!fitted || slope.PoorFitReason != "" && e.isMeasuredNear(source, size)) {
 		return e.estimatePoint(source)
 	}
 	if !fitted {
 		return noResult(source)
 	}
-	found := estimate{extrapolation: 1, evidence: []int{e.evidence.addLine(slope, e.countSeeds(source))}}
+	estimated := estimate{extrapolation: 1, evidence: []int{e.evidence.addLine(slope, e.countSeeds(source))}}
 	switch source.Use {
 	case UseIntercept:
-		found.value = slope.Intercept
+		estimated.value = slope.Intercept
 	case UseLine:
-		found.value = slope.Intercept + slope.Slope*at
+		estimated.value = slope.Intercept + slope.Slope*size
 	case UseSlope:
-		found.value = slope.Slope
-		if found.isUpperBound = slope.Low <= 0 && slope.High >= 0; found.isUpperBound {
-			found.value = slope.High
+		estimated.value = slope.Slope
+		if estimated.isUpperBound = slope.Low <= 0 && slope.High >= 0; estimated.isUpperBound {
+			estimated.value = slope.High
 		}
-		if given {
-			found.value *= at
+		if hasSize {
+			estimated.value *= size
 		}
 	}
-	if given {
-		found.extrapolation = extrapolationFactor(at, slope.From, slope.To)
+	if hasSize {
+		estimated.extrapolation = extrapolationFactor(size, slope.From, slope.To)
 	}
-	if found.value < 0 {
-		found.unknownReason = fmt.Sprintf("the line of %s gives less than nothing there", source.Figure)
+	if estimated.value < 0 {
+		estimated.unknownReason = fmt.Sprintf("the line of %s gives less than nothing there", source.Figure)
 	}
-	return found
+	return estimated
 }
 
-// beyond tells how many times a size lies outside of the range that was measured; 1: within it.
-func extrapolationFactor(at, from, to float64) float64 {
+// extrapolationFactor returns by which factor a size is outside of the measured range, or 1 if it is within.
+func extrapolationFactor(size, from, to float64) float64 {
 	switch {
-	case at > to && to > 0:
-		return at / to
-	case at < from && at > 0:
-		return from / at
+	case size > to && to > 0:
+		return size / to
+	case size < from && size > 0:
+		return from / size
 	}
 	return 1
 }
 
+// noResult returns the unknown estimate of a figure that the results do not contain.
 func noResult(source *Source) estimate {
 	return estimate{extrapolation: 1, unknownReason: fmt.Sprintf("no result of %s in the %s case %q", source.Figure, source.Kind, source.Case)}
 }
 
-// lineKey tells slopes apart.
+// lineKey identifies a slope.
 type lineKey struct {
 	kind                                 result.Kind
 	program, caseName, figure, parameter string
@@ -146,7 +147,7 @@
 	return lineKey{s.Kind, s.Program, s.Case, s.Figure, s.Parameter}
 }
 
-// slope finds the line of a figure.
+// findSlope returns the slope of a figure. If the program has several labels, the first one with a slope counts.
 func (e *estimator) findSlope(source *Source) (*result.Slope, bool) {
 	for _, name := range e.program.Names {
 		wanted := lineKey{source.Kind, name, source.Case, source.Figure, source.Parameter}
@@ -161,38 +162,39 @@
 	return nil, false
 }
 
-// runs are those of a figure's case that gave the figure.
-func (e *estimator) findRuns(source *Source) (found []*result.Run) {
+// findRuns returns the successful runs of the program that have the figure.
+func (e *estimator) findRuns(source *Source) (matching []*result.Run) {
 	for _, file := range e.results {
 		for i := range file.Runs {
 			run := &file.Runs[i]
 			if _, has := run.Figures[source.Figure]; has && run.MissedReason == "" && e.matches(run, source) {
-				found = append(found, run)
+				matching = append(matching, run)
 			}
 		}
 	}
-	return found
+	return matching
 }
 
-// belongs tells whether a run is one of the figure's case, in this program.
+// matches reports whether a run belongs to the figure's case and to this program.
 func (e *estimator) matches(run *result.Run, source *Source) bool {
 	return run.Kind == source.Kind && run.Case == source.Case && slices.Contains(e.program.Names, run.Program)
 }
 
-// nearEnough is the ratio of two sizes up to which a figure measured at one is taken for the other.
+// maxPointRatio is the largest ratio of two sizes at which a figure measured at one of them is used for the other.
 const maxPointRatio = 1.1
 
-// measuredNear tells whether the figure was measured at the size, or near enough to it.
+// isMeasuredNear reports whether the figure was measured at a size within maxPointRatio of the given one.
 func (e *estimator) isMeasuredNear(source *Source, size float64) bool {
 	runs, ratio := nearestRuns(e.findRuns(source), source.Parameter, size)
 	return len(runs) > 0 && ratio <= maxPointRatio
 }
 
-// seeds counts the seeds of the runs behind a figure.
+// countSeeds returns the number of distinct seeds of the runs of a figure.
 func (e *estimator) countSeeds(source *Source) int {
 	return countSeeds(e.findRuns(source))
 }
 
+// countSeeds returns the number of distinct seeds of runs.
 func countSeeds(runs []*result.Run) int {
 	seeds := map[uint64]bool{}
 	for _, run := range runs {
@@ -201,15 +203,15 @@
 	return len(seeds)
 }
 
-// point takes the mean of the runs at the size that is nearest to the one wanted.
+// estimatePoint returns the mean of the runs at the measured size nearest to the requested one.
 func (e *estimator) estimatePoint(source *Source) estimate {
 	runs := e.findRuns(source)
-	far := 1.0
+	ratio := 1.0
 	if source.Parameter != "" {
-		if why := e.missedReasonAt(source, e.sizes[source.At]); why != "" {
-			return estimate{extrapolation: 1, unknownReason: why}
+		if reason := e.missedReasonAt(source, e.sizes[source.At]); reason != "" {
+			return estimate{extrapolation: 1, unknownReason: reason}
 		}
-		runs, far = nearestRuns(runs, source.Parameter, e.sizes[source.At])
+		runs, ratio = nearestRuns(runs, source.Parameter, e.sizes[source.At])
 	}
 	if len(runs) == 0 {
 		return noResult(source)
@@ -219,16 +221,16 @@
 		sum += run.Figures[source.Figure]
 	}
 	mean := sum / float64(len(runs))
-	found := estimate{value: mean, extrapolation: far, evidence: []int{e.evidence.addPoint(source, runs, mean)}}
-	if far > maxPointRatio {
-		found.measuredAt = source.Parameter + " " + formatShort(runs[0].Parameters[source.Parameter])
+	estimated := estimate{value: mean, extrapolation: ratio, evidence: []int{e.evidence.addPoint(source, runs, mean)}}
+	if ratio > maxPointRatio {
+		estimated.measuredAt = source.Parameter + " " + formatShort(runs[0].Parameters[source.Parameter])
 	}
-	return found
+	return estimated
 }
 
-// missedAt tells why all runs at a size missed; empty: there was none, or one gave figures. What other sizes gave says
-// nothing then.
-func (e *estimator) missedReasonAt(source *Source, size float64) (why string) {
+// missedReasonAt returns why all runs at exactly this size failed, or "" if there were none or one of them succeeded.
+// If all failed, the figures at other sizes must not stand in for this one.
+func (e *estimator) missedReasonAt(source *Source, size float64) (reason string) {
 	for _, file := range e.results {
 		for i := range file.Runs {
 			run := &file.Runs[i]
@@ -238,27 +240,28 @@
 			if run.MissedReason == "" {
 				return ""
 			}
-			why = "missed at this size: " + missedReason(run)
+			reason = "missed at this size: " + missedReason(run)
 		}
 	}
-	return why
+	return reason
 }
 
-// nearest keeps the runs at the size that is nearest, by its ratio, to the one wanted, and tells that ratio, 1 or over.
-func nearestRuns(runs []*result.Run, parameter string, wanted float64) (kept []*result.Run, ratio float64) {
+// nearestRuns returns the runs at the size nearest to the wanted one, compared by ratio, and that ratio, which is at
+// least 1.
+func nearestRuns(runs []*result.Run, parameter string, wanted float64) (nearest []*result.Run, ratio float64) {
 	ratio = math.Inf(1)
 	for _, run := range runs {
 		size, has := run.Parameters[parameter]
 		if !has || size <= 0 {
 			continue
 		}
-		far := max(size/wanted, wanted/size)
-		if far < ratio {
-			kept, ratio = nil, far
+		distance := max(size/wanted, wanted/size)
+		if distance < ratio {
+			nearest, ratio = nil, distance
 		}
-		if far == ratio {
-			kept = append(kept, run)
+		if distance == ratio {
+			nearest = append(nearest, run)
 		}
 	}
-	return kept, ratio
+	return nearest, ratio
 }
--- a/internal/scale/capacity/evidence.go
+++ b/internal/scale/capacity/evidence.go
@@ -8,28 +8,28 @@
 	"cobaltflow/internal/scale/result"
 )
 
-// evidenceList numbers the slopes and measured points that figures rest on, in the order of their first use.
+// evidenceList numbers the slopes and measured points that figures are computed from, in the order of their first use.
 type evidenceList struct {
 	numbers map[evidenceKey]int
 	entries []Evidence
 }
 
-// evidenceKey tells lines of evidence apart. A point stands at a size, a line does not.
+// evidenceKey identifies an entry. A point belongs to one size, a line does not.
 type evidenceKey struct {
 	line  lineKey
 	point bool
 	at    float64
 }
 
-// Evidence is a line of the table of evidence, as text.
+// Evidence is a row of the page's table of evidence, as text.
 type Evidence struct {
 	ID, Kind, Case, Program, Figure string
-	Line                            string // slope, interval and intercept, or the mean with its range
-	Fit                             string // R2 and what speaks against a line
+	Line                            string // slope, interval and intercept; or the mean with its range
+	Fit                             string // R² and why the line does not fit
 	Range                           string // of the parameter
 	Runs                            string
 
-	poorFit bool // it is a line, and doesn't describe the figure
+	poorFit bool // the entry is a line that does not describe the figure
 }
 
 func newEvidenceList() *evidenceList { return &evidenceList{numbers: map[evidenceKey]int{}} }
@@ -44,17 +44,17 @@
 	return strings.Join(ids, ", ")
 }
 
-// bent tells whether one of the entries is a line that doesn't describe its figure.
+// hasPoorFit reports whether one of the entries is a line that does not describe its figure.
 func (l *evidenceList) hasPoorFit(numbers []int) bool {
 	return slices.ContainsFunc(numbers, func(number int) bool { return l.entries[number-1].poorFit })
 }
 
-// add gives the number of an entry, which is made where it is new.
-func (l *evidenceList) add(key evidenceKey, make func() Evidence) int {
+// add returns the number of an entry and builds the entry if it is new.
+func (l *evidenceList) add(key evidenceKey, build func() Evidence) int {
 	if number, known := l.numbers[key]; known {
 		return number
 	}
-	entry := make()
+	entry := build()
 	number := len(l.entries) + 1
 	entry.ID = evidenceID(number)
 	l.numbers[key] = number
@@ -62,7 +62,7 @@
 	return number
 }
 
-// line adds a fitted line.
+// addLine adds a fitted line and returns its number.
 func (l *evidenceList) addLine(s *result.Slope, seeds int) int {
 	return l.add(evidenceKey{line: slopeKey(s)}, func() Evidence {
 		fit := fmt.Sprintf("R² %s", formatShort(s.R2))
@@ -82,15 +82,15 @@
 	})
 }
 
-// point adds the mean of runs at one size.
+// addPoint adds the mean of the runs at one size and returns its number.
 func (l *evidenceList) addPoint(source *Source, runs []*result.Run, mean float64) int {
 	at := runs[0].Parameters[source.Parameter]
 	line := lineKey{source.Kind, runs[0].Program, source.Case, source.Figure, source.Parameter}
 	return l.add(evidenceKey{line: line, point: true, at: at}, func() Evidence {
-		least, most := mean, mean
+		smallest, largest := mean, mean
 		for _, run := range runs {
-			least = min(least, run.Figures[source.Figure])
-			most = max(most, run.Figures[source.Figure])
+			smallest = min(smallest, run.Figures[source.Figure])
+			largest = max(largest, run.Figures[source.Figure])
 		}
 		where := "the case as it stands"
 		if source.Parameter != "" {
@@ -98,26 +98,26 @@
 		}
 		return Evidence{
 			Kind: string(source.Kind), Case: source.Case, Program: runs[0].Program, Figure: source.Figure,
-			Line: fmt.Sprintf("mean %s, %s to %s", formatShort(mean), formatShort(least), formatShort(most)), Fit: "measured point", Range: where,
+			Line: fmt.Sprintf("mean %s, %s to %s", formatShort(mean), formatShort(smallest), formatShort(largest)), Fit: "measured point", Range: where,
 			Runs: fmt.Sprintf("%s, %s", countNoun(len(runs), "run"), countNoun(countSeeds(runs), "seed")),
 		}
 	})
 }
 
-// short shows a number with the digits that count; very small and large ones with an exponent.
+// formatShort formats a number with the significant digits, and with an exponent if it is below 1e-3 or at least 1e9.
 func formatShort(value float64) string {
-	const least, most = 1e-3, 1e9
-	size := value
-	if size < 0 {
-		size = -size
+	const minPlain, maxPlain = 1e-3, 1e9
+	magnitude := value
+	if magnitude < 0 {
+		magnitude = -magnitude
 	}
-	if size != 0 && (size < least || size >= most) {
+	if magnitude != 0 && (magnitude < minPlain || magnitude >= maxPlain) {
 		return fmt.Sprintf("%.*e", significantDigits-1, value)
 	}
 	return formatPlain(roundSignificant(value))
 }
 
-// counted gives a number with its noun.
+// countNoun formats a number with its noun, in the plural if needed.
 func countNoun(number int, noun string) string {
 	if number == 1 {
 		return "1 " + noun
--- a/internal/scale/capacity/fleet.go
+++ b/internal/scale/capacity/fleet.go
@@ -9,18 +9,20 @@
 	"cobaltflow/internal/scale/result"
 )
 
-// FormulaView is a constraint on the number of schedulers in one program.
+// FormulaView is a constraint on the number of schedulers with its figures for one program.
 type FormulaView struct{ Constraint, Program, Formula, From string }
 
-// FleetView is the number of schedulers that a fleet needs.
+// FleetView is the number of schedulers that a fleet needs with one program, and the constraint that determines it.
 type FleetView struct{ Fleet, Program, Needed, Binding, Each string }
 
-// demand is what a constraint comes to for a fleet: the number of schedulers follows from it.
+// demand holds the figures of a constraint for a fleet, from which the number of schedulers follows. The fields budget,
+// fixed and each have the same unit.
 type demand struct {
-	budget, events float64
-	fixed, each    estimate
+	budget, events float64  // budget of a scheduler; events of the whole fleet
+	fixed, each    estimate // fixed: need of a scheduler whatever its part of the load; each: need per event
 }
 
+// unknownReason returns why the demand cannot be computed, or "" if it can.
 func (d *demand) unknownReason() string {
 	if !d.fixed.isKnown() {
 		return d.fixed.unknownReason
@@ -28,10 +30,11 @@
 	return d.each.unknownReason
 }
 
-// left is what of the budget each scheduler has for its part of the events.
+// remainingBudget returns the part of the budget that is left for a scheduler's part of the events.
 func (d *demand) remainingBudget() float64 { return d.budget - d.fixed.value }
 
-// schedulers is the least number that carries the events; no number does where what each needs anyway is over the budget.
+// minSchedulers returns the smallest number of schedulers that can process the events. It returns false if the fixed
+// need alone exceeds the budget, so that no number is large enough.
 func (d *demand) minSchedulers() (number float64, possible bool) {
 	if d.remainingBudget() <= 0 {
 		return 0, false
@@ -39,7 +42,7 @@
 	return max(1, math.Ceil(d.events*d.each.value/d.remainingBudget())), true
 }
 
-func (m *pageBuilder) computeDemand(c *Constraint, e *estimator) demand {
+func (b *pageBuilder) computeDemand(c *Constraint, e *estimator) demand {
 	d := demand{budget: e.sizes[c.Budget], events: e.sizes[c.Events], each: e.evaluate(&c.Each), fixed: estimate{extrapolation: 1}}
 	for i := range c.Fixed {
 		d.fixed = d.fixed.add(e.evaluate(&c.Fixed[i]))
@@ -47,39 +50,39 @@
 	return d
 }
 
-// measuredPrograms are those that were run as processes.
-func (m *pageBuilder) measuredPrograms() (list []*Program) {
-	for i := range m.targets.Programs {
-		program := &m.targets.Programs[i]
-		isOfIt := func(run result.Run) bool {
+// measuredPrograms returns the programs that have runs as processes.
+func (b *pageBuilder) measuredPrograms() (list []*Program) {
+	for i := range b.targets.Programs {
+		program := &b.targets.Programs[i]
+		isRealRun := func(run result.Run) bool {
 			return run.Kind == result.Real && slices.Contains(program.Names, run.Program)
 		}
-		if slices.ContainsFunc(m.results, func(f *result.File) bool { return slices.ContainsFunc(f.Runs, isOfIt) }) {
+		if slices.ContainsFunc(b.results, func(f *result.File) bool { return slices.ContainsFunc(f.Runs, isRealRun) }) {
 			list = append(list, program)
 		}
 	}
 	return list
 }
 
-// formulas shows each constraint with its figures at the planned size.
-func (m *pageBuilder) formulaViews() (list []FormulaView) {
-	for i := range m.targets.Constraints {
-		c := &m.targets.Constraints[i]
-		unit := m.targets.size(c.Budget).Unit
-		for _, program := range m.measuredPrograms() {
-			d := m.computeDemand(c, m.estimator(program, m.sizes))
-			if why := d.unknownReason(); why != "" {
-				list = append(list, FormulaView{Constraint: c.Text, Program: program.Label, Formula: "not measured: " + why})
+// formulaViews returns each constraint with its figures at the planned size.
+func (b *pageBuilder) formulaViews() (list []FormulaView) {
+	for i := range b.targets.Constraints {
+		constraint := &b.targets.Constraints[i]
+		unit := b.targets.size(constraint.Budget).Unit
+		for _, program := range b.measuredPrograms() {
+			d := b.computeDemand(constraint, b.estimator(program, b.sizes))
+			if reason := d.unknownReason(); reason != "" {
+				list = append(list, FormulaView{Constraint: constraint.Text, Program: program.Label, Formula: "not measured: " + reason})
 				continue
 			}
 			text := fmt.Sprintf("%s × %s / (%s − %s)", countText(d.events), formatEach(unit, d.each.value), unit.format(d.budget), unit.formatRounded(d.fixed.value))
-			list = append(list, FormulaView{Constraint: c.Text, Program: program.Label, Formula: text, From: m.evidenceText(d.fixed.merge(d.each))})
+			list = append(list, FormulaView{Constraint: constraint.Text, Program: program.Label, Formula: text, From: b.evidenceText(d.fixed.merge(d.each))})
 		}
 	}
 	return list
 }
 
-// each shows what one event needs of a budget in a unit.
+// formatEach formats what one event needs of a budget in a unit.
 func formatEach(unit Unit, value float64) string {
 	if unit == Bytes || unit == BytesPerS {
 		return Bytes.formatRounded(value)
@@ -87,36 +90,37 @@
 	return formatShort(value)
 }
 
-// fleets gives the number of schedulers for each fleet by the constraints that were measured.
-func (m *pageBuilder) fleetViews() (list []FleetView) {
-	for _, fleet := range m.targets.Fleets {
-		sizes := m.targets.sizeValues(fleet.Sizes)
-		for _, program := range m.measuredPrograms() {
-			list = append(list, m.fleetView(fleet.Text, program, sizes))
+// fleetViews returns the number of schedulers for each fleet and measured program.
+func (b *pageBuilder) fleetViews() (list []FleetView) {
+	for _, fleet := range b.targets.Fleets {
+		sizes := b.targets.sizeValues(fleet.Sizes)
+		for _, program := range b.measuredPrograms() {
+			list = append(list, b.fleetView(fleet.Text, program, sizes))
 		}
 	}
 	return list
 }
 
-func (m *pageBuilder) fleetView(text string, program *Program, sizes sizes) FleetView {
+// fleetView computes the number of schedulers of a fleet from the constraints that were measured.
+func (b *pageBuilder) fleetView(text string, program *Program, sizes sizes) FleetView {
 	view := FleetView{Fleet: text, Program: program.Label}
 	most, parts, impossible := 0.0, []string{}, []string{}
-	for i := range m.targets.Constraints {
-		c := &m.targets.Constraints[i]
-		d := m.computeDemand(c, m.estimator(program, sizes))
+	for i := range b.targets.Constraints {
+		constraint := &b.targets.Constraints[i]
+		d := b.computeDemand(constraint, b.estimator(program, sizes))
 		if d.unknownReason() != "" {
-			parts = append(parts, c.Text+": not measured")
+			parts = append(parts, constraint.Text+": not measured")
 			continue
 		}
 		number, possible := d.minSchedulers()
 		if !possible {
-			impossible = append(impossible, c.Text)
-			parts = append(parts, c.Text+": none")
+			impossible = append(impossible, constraint.Text)
+			parts = append(parts, constraint.Text+": none")
 			continue
 		}
-		parts = append(parts, c.Text+": "+formatPlain(number))
+		parts = append(parts, constraint.Text+": "+formatPlain(number))
 		if number > most {
-			most, view.Binding = number, c.Text
+			most, view.Binding = number, constraint.Text
 		}
 	}
 	view.Each = strings.Join(parts, "; ")
--- a/internal/scale/capacity/page_test.go
+++ b/internal/scale/capacity/page_test.go
@@ -18,11 +18,11 @@
 	committedTargets = docs + "measurements/scale-targets.json"
 )
 
-// committedResults are the results files in the order in which the page names them.
+// committedResults lists the results files in the order in which the page names them.
 var committedResults = []string{docs + "measurements/scale-results.json", docs + "measurements/scale-results-hollow.json"}
 
-// The page and what it is made of stay together: whoever changes results, targets or template makes the page again.
-func TestCommittedPageIsMadeOfTheCommittedResults(t *testing.T) {
+// A change to the results, the targets or the template requires the page to be generated again.
+func TestCommittedPageMatchesTheCommittedResults(t *testing.T) {
 	targets, err := ReadTargets(committedTargets)
 	require.NoError(t, err)
 	var files []*result.File
@@ -34,11 +34,11 @@
 	committed, err := os.ReadFile(committedPage)
 	require.NoError(t, err)
 	require.Equal(t, renderPage(t, targets, files...), string(committed),
-		"make it again: go run ./cmd/cobaltflow measure scale --page docs/CAPACITY.md --results docs/measurements/scale-results.json --results docs/measurements/scale-results-hollow.json")
+		"generate it again: go run ./cmd/cobaltflow measure scale --page docs/CAPACITY.md --results docs/measurements/scale-results.json --results docs/measurements/scale-results-hollow.json")
 }
 
-// A row that rests on a real case rests on one that is measured: a misspelt name would only look like a missing result.
-func TestTargetsNameCasesThatAreMeasured(t *testing.T) {
+// Every real case in the targets has to exist: a misspelt name would only look like a missing result.
+func TestTargetsNameMeasuredCases(t *testing.T) {
 	targets, err := ReadTargets(committedTargets)
 	require.NoError(t, err)
 	cases := map[string]bool{}
@@ -53,7 +53,7 @@
 	}
 }
 
-// sources lists all figures that the targets name.
+// sources returns all figures that the targets name.
 func (t *Targets) sources() (list []*Source) {
 	add := func(term *Term) {
 		if term.Figure != nil {
@@ -79,8 +79,8 @@
 	return list
 }
 
-// The operators' list is on the page whole, with its numbers as they were given.
-func TestTargetsHoldTheOperatorsList(t *testing.T) {
+// The targets contain every number of the operators' list with the value that was given.
+func TestTargetsContainTheOperatorsList(t *testing.T) {
 	targets, err := ReadTargets(committedTargets)
 	require.NoError(t, err)
 	values := targets.sizeValues(nil)
--- a/internal/scale/capacity/ranking.go
+++ b/internal/scale/capacity/ranking.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Ranking is the rows of a program that are over their budget, the furthest first.
+// Ranking lists the rows of a program that exceed their budget, those with the largest factor first.
 type Ranking struct {
 	Program  string
 	Measured int          // rows that have both a figure and a budget
-	Without  []RankedView // no mechanism carries them
-	With     []RankedView // a mechanism stands, whole or in part
+	Without  []RankedView // rows whose mechanism is missing
+	With     []RankedView // rows whose mechanism works or is partial
 }
 
-// RankedView is a row over its budget.
+// RankedView is a row that exceeds its budget.
 type RankedView struct{ Place, Factor, Row, Total, Budget, Mechanism, Status string }
 
-// rankings gives the ranking of each program.
-func (m *pageBuilder) rankingViews() (list []Ranking) {
-	for p := range m.targets.Programs {
-		program := &m.targets.Programs[p]
-		over, measured := m.figuresOverBudget(program)
+// rankingViews returns the ranking of each program.
+func (b *pageBuilder) rankingViews() (list []Ranking) {
+	for p := range b.targets.Programs {
+		program := &b.targets.Programs[p]
+		overBudget, measured := b.figuresOverBudget(program)
 		ranking := Ranking{Program: program.Label, Measured: measured}
-		for _, f := range over {
-			mechanism := m.targets.mechanismOf(f.role, f.row)
+		for _, f := range overBudget {
+			mechanism := b.targets.mechanismOf(f.role, f.row)
 			status := mechanism.statusIn(program.Label)
 			ranked := RankedView{
 				Factor: "×" + formatShort(f.factor), Row: f.name(), Total: f.totalText(),
-				Budget: f.row.Unit.format(m.sizes[f.row.Budget]), Mechanism: mechanism.Name, Status: string(status),
+				Budget: f.row.Unit.format(b.sizes[f.row.Budget]), Mechanism: mechanism.Name, Status: string(status),
 			}
 			if status == Missing {
 				ranked.Place = formatPlain(float64(len(ranking.Without) + 1))
@@ -41,20 +41,22 @@
 	return list
 }
 
-// over gives a program's figures over their budget, the furthest first, and how many have a budget at all.
-func (m *pageBuilder) figuresOverBudget(program *Program) (over []*figure, measured int) {
-	for i := range m.figures {
-		f := &m.figures[i]
+// figuresOverBudget returns a program's figures over their budget, those with the largest factor first, and the number
+// of its figures that have a budget.
+func (b *pageBuilder) figuresOverBudget(program *Program) (overBudget []*figure, measured int) {
+	for i := range b.figures {
+		f := &b.figures[i]
 		if f.program != program || f.row.Budget == "" || !f.total.isKnown() {
 			continue
 		}
 		measured++
 		if f.isOverBudget() {
-			over = append(over, f)
+			overBudget = append(overBudget, f)
 		}
 	}
-	slices.SortStableFunc(over, func(a, b *figure) int { return compareDescending(a.factor, b.factor) })
-	return over, measured
+	slices.SortStableFunc(overBudget, func(a, b *figure) int { return compareDescending(a.factor, b.factor) })
+	return overBudget, measured
 }
 
+// compareDescending orders numbers from the largest to the smallest.
 func compareDescending(a, b float64) int { return cmp.Compare(b, a) }
--- a/internal/scale/capacity/size.go
+++ b/internal/scale/capacity/size.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// sizes are the values of a plan by key.
+// sizes holds the values of a plan's sizes by key.
 type sizes map[string]float64
 
-// values computes all sizes, with some replaced. The targets have been checked: each rests on those before it.
+// sizeValues computes all sizes, with the given ones replaced. It relies on the check that each size depends only on
+// sizes before it.
 func (t *Targets) sizeValues(replaced map[string]float64) sizes {
 	values := sizes{}
 	for i := range t.Sizes {
 		size := &t.Sizes[i]
-		value, given := replaced[size.Key]
-		if !given {
+		value, isReplaced := replaced[size.Key]
+		if !isReplaced {
 			value = values.product(size.Factors, size.Divisors)
 			if size.Value != nil {
 				value = *size.Value
@@ -25,7 +26,7 @@
 	return values
 }
 
-// product multiplies sizes and divides by others.
+// product multiplies the sizes of and divides by the sizes per.
 func (s sizes) product(of, per []string) float64 {
 	value := 1.0
 	for _, key := range of {
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// mechanismOf is the mechanism that carries a row: its own, or the role's first.
+// mechanismOf returns the mechanism that serves a row: its own, or the first one of its role.
 func (t *Targets) mechanismOf(role *Role, row *Row) *Mechanism {
 	if row.Mechanism != "" {
 		return t.mechanism(row.Mechanism)
@@ -63,27 +64,27 @@
 	return t.mechanism(role.Mechanisms[0])
 }
 
-// rowOfRole is a row with its role.
+// roleRow is a row with its role.
 type roleRow struct {
 	role *Role
 	row  *Row
 }
 
-// rowsOf gives the rows that rest on a size, by themselves or over other sizes.
+// rowsUsing returns the rows that depend on a size, directly or through other sizes.
 func (t *Targets) rowsUsing(size string) []roleRow {
-	var found []roleRow
+	var rows []roleRow
 	for i := range t.Roles {
 		for n := range t.Roles[i].Rows {
 			row := &t.Roles[i].Rows[n]
 			if t.dependsOn(row.sizeKeys(), size) {
-				found = append(found, roleRow{&t.Roles[i], row})
+				rows = append(rows, roleRow{&t.Roles[i], row})
 			}
 		}
 	}
-	return found
+	return rows
 }
 
-// restsOn tells whether one of the sizes is the one wanted, or rests on it.
+// dependsOn reports whether one of the sizes is the wanted one or depends on it.
 func (t *Targets) dependsOn(names []string, wanted string) bool {
 	for _, name := range names {
 		size := t.size(name)
@@ -94,7 +95,7 @@
 	return false
 }
 
-// sizes names the sizes that stand in a row.
+// sizeKeys returns the keys of the sizes that a row names.
 func (r *Row) sizeKeys() []string {
 	names := slices.Clone(r.AlsoCovers)
 	for _, part := range r.namedTerms() {
@@ -112,13 +113,13 @@
 	return names
 }
 
-// namedTerm is a term of a row with its key.
+// namedTerm is a term of a row with its JSON key.
 type namedTerm struct {
 	name string
 	term *Term
 }
 
-// terms are those that a row has.
+// namedTerms returns the terms that a row has.
 func (r *Row) namedTerms() []namedTerm {
 	all := []namedTerm{{"count", r.Count}, {"each", r.Each}, {"base", r.Base}, {"total", r.Total}}
 	return slices.DeleteFunc(all, func(t namedTerm) bool { return t.term == nil })
--- a/internal/scale/capacity/targets.go
+++ b/internal/scale/capacity/targets.go
@@ -13,42 +13,43 @@
 	"cobaltflow/internal/scale/result"
 )
 
-// FormatVersion is the version of the targets file's form. A file of another version is refused.
+// FormatVersion is the version of the targets file format. A file of any other version is rejected.
 const FormatVersion = 1
 
-// Targets is what the page is held against: the size to plan for, the roles, and the mechanisms.
+// Targets is the targets file: the size to plan for, the roles and budgets, and the mechanisms.
 type Targets struct {
 	Version     int          `json:"version"`
 	Programs    []Program    `json:"programs"` // the baseline first
 	Sizes       []Size       `json:"sizes"`
 	Mechanisms  []Mechanism  `json:"mechanisms"`
 	Roles       []Role       `json:"roles"`
-	Constraints []Constraint `json:"constraints"` // what the number of schedulers follows from
-	Fleets      []Fleet      `json:"fleets"`      // for which that number is computed
+	Constraints []Constraint `json:"constraints"` // lower bounds of the number of schedulers
+	Fleets      []Fleet      `json:"fleets"`      // fleets whose number of schedulers is computed
 }
 
 // Program is a build whose figures the page shows.
 type Program struct {
 	Label string   `json:"label"`
 	Title string   `json:"title"`
-	Names []string `json:"names"` // the labels of this build in the results
+	Names []string `json:"names"` // labels of this build in the results
 }
 
-// Size is a number of the plan: given by its value, or as the product of other sizes (Of) over others (Per).
+// Size is a number of the plan: given by its value, or computed as the product of Factors over Divisors, which are keys
+// of other sizes.
 type Size struct {
 	Key           string   `json:"key"`
 	Text          string   `json:"text"`
 	Unit          Unit     `json:"unit"`
-	FromOperators bool     `json:"operator,omitempty"` // of the operators' list: has to stand behind a row
+	FromOperators bool     `json:"operator,omitempty"` // is on the operators' list; a row has to depend on it
 	Value         *float64 `json:"value,omitempty"`
 	Factors       []string `json:"of,omitempty"`
 	Divisors      []string `json:"per,omitempty"`
 }
 
-// Status tells whether a mechanism carries what it is for.
+// Status says how far a mechanism does what it is for.
 type Status string
 
-// The states of a mechanism.
+// Statuses of a mechanism.
 const (
 	Works   Status = "works"
 	Partial Status = "partial"
@@ -57,18 +58,18 @@
 
 func (s Status) isValid() bool { return s == Works || s == Partial || s == Missing }
 
-// Mechanism is one mechanism by its standard name, and its state in the program.
+// Mechanism is a mechanism with its standard name and its status in the program.
 type Mechanism struct {
 	Key         string            `json:"key"`
 	Name        string            `json:"name"`
 	Status      Status            `json:"status"`
-	Earlier     map[string]Status `json:"earlier,omitempty"` // by the label of a program, where it was another
-	Where       string            `json:"where,omitempty"`   // packages
-	Description string            `json:"says"`              // what it does, and what it lacks
+	Earlier     map[string]Status `json:"earlier,omitempty"` // statuses that differ in earlier programs, by the program's label
+	Where       string            `json:"where,omitempty"`   // packages that implement it
+	Description string            `json:"says"`              // what it does and what it lacks
 	Options     []Option          `json:"options,omitempty"`
 }
 
-// in gives the mechanism's state in a program.
+// statusIn returns the mechanism's status in the program with the label.
 func (m *Mechanism) statusIn(label string) Status {
 	if status, differs := m.Earlier[label]; differs {
 		return status
@@ -82,7 +83,7 @@
 	Published string `json:"published,omitempty"`
 }
 
-// Role is a part of the fleet that has to be carried.
+// Role is a function of the fleet with what it needs, such as the schedulers or the distribution of configuration.
 type Role struct {
 	Key        string   `json:"key"`
 	Title      string   `json:"title"`
@@ -90,10 +91,10 @@
 	Rows       []Row    `json:"rows"`
 }
 
-// Aspect is what a row of a role tells of.
+// Aspect is the kind of need that a row of a role describes.
 type Aspect string
 
-// The aspects. Each role has a row of each of the first four.
+// Aspects. Each role needs a row of each of the first four.
 const (
 	State     Aspect = "state"
 	Messages  Aspect = "messages"
@@ -101,7 +102,7 @@
 	Memory    Aspect = "memory"
 	Delay     Aspect = "delay"
 	Sockets   Aspect = "sockets"
-	Outcome   Aspect = "outcome" // what clients get
+	Outcome   Aspect = "outcome" // what clients observe
 )
 
 var requiredAspects = []Aspect{State, Messages, Processor, Memory}
@@ -110,8 +111,8 @@
 	return slices.Contains(requiredAspects, a) || a == Delay || a == Sockets || a == Outcome
 }
 
-// Row is one figure of a role at the planned size: Total, or Count times Each with Base added; where both Total and Count
-// are given, what each needs is their quotient. NotMeasured says why a row has no figure.
+// Row is one figure of a role at the planned size: Total, or Count times Each plus Base. If both Total and Count are
+// given, the need of each item is their quotient. NotMeasured says why a row has no figure.
 type Row struct {
 	Key         string   `json:"key"`
 	Aspect      Aspect   `json:"aspect"`
@@ -121,13 +122,14 @@
 	Each        *Term    `json:"each,omitempty"`
 	Base        *Term    `json:"base,omitempty"`
 	Total       *Term    `json:"total,omitempty"`
-	Budget      string   `json:"budget,omitempty"` // a size
+	Budget      string   `json:"budget,omitempty"` // key of a size
 	Mechanism   string   `json:"mechanism,omitempty"`
 	NotMeasured string   `json:"not_measured,omitempty"`
-	AlsoCovers  []string `json:"answers,omitempty"` // further sizes that the row answers
+	AlsoCovers  []string `json:"answers,omitempty"` // further sizes that the row accounts for
 }
 
-// Term is a product: a measured figure, where there is one, over another one, times sizes, over others.
+// Term is a product: a measured figure, if any, over the figure Denominator, times the sizes Factors, over the sizes
+// Divisors.
 type Term struct {
 	Figure      *Source  `json:"figure,omitempty"`
 	Denominator *Source  `json:"over,omitempty"`
@@ -135,33 +137,34 @@
 	Divisors    []string `json:"per,omitempty"`
 }
 
-// Use tells what is made of a measured figure.
+// Use says how a value is derived from a measured figure.
 type Use string
 
-// The uses of a figure.
+// Uses of a figure.
 const (
-	UseLine      Use = "line"      // intercept + slope times the size At; where there is no line, as UsePoint
-	UseSlope     Use = "slope"     // slope times the size At; the slope alone without At
+	UseLine      Use = "line"      // intercept + slope × size At; if the figure has no line, as UsePoint
+	UseSlope     Use = "slope"     // slope × size At; the slope alone if At is not given
 	UseIntercept Use = "intercept" // the intercept alone
-	UsePoint     Use = "point"     // the mean of the runs nearest to the size At; of all runs without a Parameter
+	UsePoint     Use = "point"     // mean of the runs nearest to the size At; of all runs if Parameter is not given
 )
 
 func (u Use) isValid() bool {
 	return u == UseLine || u == UseSlope || u == UseIntercept || u == UsePoint
 }
 
-// Source names a figure of the results.
+// Source identifies a figure of the results and how it is used.
 type Source struct {
 	Kind      result.Kind `json:"kind"`
 	Case      string      `json:"case"`
 	Figure    string      `json:"figure"`
 	Parameter string      `json:"parameter,omitempty"`
 	Use       Use         `json:"use"`
-	At        string      `json:"at,omitempty"` // a size
+	At        string      `json:"at,omitempty"` // key of a size
 }
 
-// Constraint bounds the number of schedulers from below: Events of the fleet, of which each needs Each at the scheduler
-// that has it, have to fit into what Budget leaves beside Fixed, which each scheduler needs whatever their number.
+// Constraint bounds the number of schedulers from below: the fleet's Events, each of which needs Each at the scheduler
+// that processes it, have to fit into the part of Budget that is left after Fixed, which every scheduler needs whatever
+// their number.
 type Constraint struct {
 	Key    string `json:"key"`
 	Text   string `json:"text"`
@@ -177,7 +180,7 @@
 	Sizes map[string]float64 `json:"sizes"`
 }
 
-// ReadTargets reads a targets file. A key that it doesn't know is a fault.
+// ReadTargets reads and checks a targets file. An unknown key is an error.
 func ReadTargets(path string) (*Targets, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -206,7 +209,7 @@
 	return &targets, nil
 }
 
-// decodingFault names the key of a fault that the JSON decoder found.
+// decodingError converts an error of the JSON decoder to an *Error with the key.
 func decodingError(err error) error {
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) {
--- a/internal/scale/capacity/unit.go
+++ b/internal/scale/capacity/unit.go
@@ -9,7 +9,7 @@
 // Unit is the unit of a size or a row.
 type Unit string
 
-// The units. Bytes are shown in steps of 1,000: 1 KB is 1,000 bytes.
+// Units. Byte prefixes are powers of 1,000: 1 KB is 1,000 bytes.
 const (
 	Number      Unit = "number"
 	Bytes       Unit = "bytes"
@@ -30,12 +30,12 @@
 	return false
 }
 
-const significantDigits = 3 // digits of a computed figure
+const significantDigits = 3 // of a computed figure
 
-// computed shows a computed figure, rounded.
+// formatRounded formats a computed figure, rounded to the significant digits.
 func (u Unit) formatRounded(value float64) string { return u.format(roundSignificant(value)) }
 
-// show shows a figure as it is.
+// format formats a figure without rounding.
 func (u Unit) format(value float64) string {
 	switch u {
 	case Bytes:
@@ -56,22 +56,22 @@
 	return formatPlain(value)
 }
 
-// rounded keeps the significant digits of a figure.
+// roundSignificant rounds a figure to the significant digits.
 func roundSignificant(value float64) float64 {
 	text := strconv.FormatFloat(value, 'e', significantDigits-1, 64)
-	short, _ := strconv.ParseFloat(text, 64)
-	return short
+	rounded, _ := strconv.ParseFloat(text, 64)
+	return rounded
 }
 
 func formatBytes(value float64) string {
 	const step = 1000
 	names := []string{"B", "KB", "MB", "GB", "TB"}
-	at := 0
-	for math.Abs(value) >= step && at < len(names)-1 {
+	index := 0
+	for math.Abs(value) >= step && index < len(names)-1 {
 		value /= step
-		at++
+		index++
 	}
-	return formatPlain(trimFloatError(value)) + " " + names[at]
+	return formatPlain(trimFloatError(value)) + " " + names[index]
 }
 
 func formatSeconds(value float64) string {
@@ -85,26 +85,26 @@
 	return formatPlain(trimFloatError(value/micro)) + " us"
 }
 
-// trimmed takes away what division leaves behind the digits that count.
+// trimFloatError rounds to 10 significant digits, which removes the floating-point error of a division.
 func trimFloatError(value float64) float64 {
 	const digits = 9
 	text := strconv.FormatFloat(value, 'e', digits, 64)
-	short, _ := strconv.ParseFloat(text, 64)
-	return short
+	trimmed, _ := strconv.ParseFloat(text, 64)
+	return trimmed
 }
 
-// plain writes a number without exponent, with separators of thousands.
+// formatPlain formats a number without an exponent and with thousands separators.
 func formatPlain(value float64) string {
 	text := strconv.FormatFloat(value, 'f', -1, 64)
 	sign := ""
 	if strings.HasPrefix(text, "-") {
 		sign, text = "-", text[1:]
 	}
-	whole, fraction, has := strings.Cut(text, ".")
-	for at := len(whole) - 3; at > 0; at -= 3 {
-		whole = whole[:at] + "," + whole[at:]
+	whole, fraction, hasFraction := strings.Cut(text, ".")
+	for index := len(whole) - 3; index > 0; index -= 3 {
+		whole = whole[:index] + "," + whole[index:]
 	}
-	if has {
+	if hasFraction {
 		whole += "." + fraction
 	}
 	return sign + whole
--- a/internal/scale/capacity/view.go
+++ b/internal/scale/capacity/view.go
@@ -10,29 +10,29 @@
 	"cobaltflow/internal/scale/result"
 )
 
-// View is the page's content as text, for the template.
+// View holds the page's content as text. The template page.md.tmpl reads its fields.
 type View struct {
 	Programs     []Program
 	Files        []FileView
 	Rankings     []Ranking
 	Numbers      []NumberView
 	Roles        []RoleView
-	Choices      []MechanismView // the mechanisms that are missing or partial
+	Choices      []MechanismView // mechanisms that are missing or partial and have options
 	Evidence     []Evidence
-	Missed       []string // runs that gave no figures
+	Missed       []string // runs that failed, with the reason
 	Extrapolated []ExtrapolatedView
 	Unmeasured   []UnmeasuredView
 	Formulas     []FormulaView
 	Fleets       []FleetView
 }
 
-// FileView is a results file.
+// FileView describes a results file.
 type FileView struct {
 	Number, Revision, Taken, Command, Machine string
 	Runs, Missed                              int
 }
 
-// NumberView is a number of the operators' list with the rows that rest on it.
+// NumberView is a number of the operators' list with the roles whose rows depend on it.
 type NumberView struct{ Text, Value, Rows, Verdict string }
 
 // RoleView is a role with its mechanisms and rows.
@@ -42,73 +42,74 @@
 	Lines      []LineView
 }
 
-// MechanismView is a mechanism with its state.
+// MechanismView is a mechanism with its status.
 type MechanismView struct {
 	Name, Status, Where, Says string
 	Options                   []Option
 }
 
-// LineView is a row's figure in one program.
+// LineView is a row's figure for one program.
 type LineView struct{ Aspect, Quantity, Program, Parts, Total, Budget, Factor, From string }
 
-// ExtrapolatedView is a figure taken outside of the measured range.
+// ExtrapolatedView is a figure at a size outside of the measured range.
 type ExtrapolatedView struct{ Row, Program, Factor, From string }
 
 // UnmeasuredView is a row without a figure.
 type UnmeasuredView struct{ Row, Programs, Reason string }
 
-// figure is what a row comes to in one program.
+// figure holds the computed values of a row for one program.
 type figure struct {
 	roleRow
 	program            *Program
 	count, each, total estimate
-	base               estimate // of a row that has one
-	factor             float64  // over the budget; 0: there is no budget
+	base               estimate // only if the row has one
+	factor             float64  // total divided by the budget; 0: the row has no budget
 }
 
-// name is the role's and the row's name together.
+// name returns the role's title and the row's quantity.
 func (f *roleRow) name() string { return f.role.Title + ": " + f.row.Quantity }
 
-// pageMaker computes all figures first, so that every part of the page shows the same ones.
+// pageBuilder computes all figures first, so that every part of the page shows the same values.
 type pageBuilder struct {
 	targets  *Targets
 	results  []*result.File
 	evidence *evidenceList
 	sizes    sizes
-	figures  []figure // of each row, in each program
+	figures  []figure // of each row for each program
 }
 
 func newView(targets *Targets, results []*result.File) *View {
-	m := &pageBuilder{targets: targets, results: results, evidence: newEvidenceList(), sizes: targets.sizeValues(nil)}
-	m.computeFigures()
+	builder := &pageBuilder{targets: targets, results: results, evidence: newEvidenceList(), sizes: targets.sizeValues(nil)}
+	builder.computeFigures()
 	view := &View{
-		Programs: targets.Programs, Files: m.fileViews(), Rankings: m.rankingViews(), Numbers: m.numberViews(), Roles: m.roleViews(),
-		Choices: m.choiceViews(), Missed: m.missedRuns(), Extrapolated: m.extrapolatedViews(), Unmeasured: m.unmeasuredViews(),
-		Formulas: m.formulaViews(), Fleets: m.fleetViews(),
+		Programs: targets.Programs, Files: builder.fileViews(), Rankings: builder.rankingViews(), Numbers: builder.numberViews(), Roles: builder.roleViews(),
+		Choices: builder.choiceViews(), Missed: builder.missedRuns(), Extrapolated: builder.extrapolatedViews(), Unmeasured: builder.unmeasuredViews(),
+		Formulas: builder.formulaViews(), Fleets: builder.fleetViews(),
 	}
-	view.Evidence = m.evidence.entries // last: the fleets' figures add theirs
+	view.Evidence = builder.evidence.entries // read last, because computing the fleets adds entries
 	return view
 }
 
-func (m *pageBuilder) estimator(program *Program, sizes sizes) *estimator {
-	return &estimator{program: program, sizes: sizes, results: m.results, evidence: m.evidence}
+func (b *pageBuilder) estimator(program *Program, sizes sizes) *estimator {
+	return &estimator{program: program, sizes: sizes, results: b.results, evidence: b.evidence}
 }
 
-func (m *pageBuilder) computeFigures() {
-	for i := range m.targets.Roles {
-		role := &m.targets.Roles[i]
+// computeFigures computes the figure of each row for each program.
+func (b *pageBuilder) computeFigures() {
+	for i := range b.targets.Roles {
+		role := &b.targets.Roles[i]
 		for n := range role.Rows {
-			for p := range m.targets.Programs {
-				program := &m.targets.Programs[p]
-				m.figures = append(m.figures, m.computeRow(roleRow{role, &role.Rows[n]}, program))
+			for p := range b.targets.Programs {
+				program := &b.targets.Programs[p]
+				b.figures = append(b.figures, b.computeRow(roleRow{role, &role.Rows[n]}, program))
 			}
 		}
 	}
 }
 
-// figureOf computes a row in one program.
-func (m *pageBuilder) computeRow(of roleRow, program *Program) figure {
-	e, row := m.estimator(program, m.sizes), of.row
+// computeRow computes a row for one program.
+func (b *pageBuilder) computeRow(of roleRow, program *Program) figure {
+	e, row := b.estimator(program, b.sizes), of.row
 	f := figure{roleRow: of, program: program}
 	if row.NotMeasured != "" {
 		f.total.unknownReason = row.NotMeasured
@@ -132,41 +133,41 @@
 		f.each = f.total.divideBy(f.count)
 	}
 	if row.Budget != "" && f.total.isKnown() {
-		f.factor = f.total.value / m.sizes[row.Budget]
+		f.factor = f.total.value / b.sizes[row.Budget]
 	}
 	return f
 }
 
-func (m *pageBuilder) fileViews() (list []FileView) {
-	for i, file := range m.results {
-		view := FileView{Number: fmt.Sprint(i + 1), Revision: file.Revision, Taken: file.TakenAt, Command: directoryPrefix.ReplaceAllString(file.Command, "")}
-		view.Machine = "not noted"
+func (b *pageBuilder) fileViews() (list []FileView) {
+	for i, file := range b.results {
+		fileView := FileView{Number: fmt.Sprint(i + 1), Revision: file.Revision, Taken: file.TakenAt, Command: directoryPrefix.ReplaceAllString(file.Command, "")}
+		fileView.Machine = "not noted"
 		if file.Machine.Cores > 0 {
-			view.Machine = machineText(&file.Machine)
+			fileView.Machine = machineText(&file.Machine)
 		}
 		for _, run := range file.Runs {
-			view.Runs++
+			fileView.Runs++
 			if run.MissedReason != "" {
-				view.Missed++
+				fileView.Missed++
 			}
 		}
-		list = append(list, view)
+		list = append(list, fileView)
 	}
 	return list
 }
 
 func machineText(m *result.Machine) string {
-	company := "beside other work"
+	sharing := "beside other work"
 	if m.Exclusive {
-		company = "with nothing beside it"
+		sharing = "with nothing beside it"
 	}
-	return fmt.Sprintf("%d cores, %s MB, %s descriptors a process, %s", m.Cores, formatPlain(float64(m.MemoryMB)), formatPlain(float64(m.MaxFiles)), company)
+	return fmt.Sprintf("%d cores, %s MB, %s descriptors a process, %s", m.Cores, formatPlain(float64(m.MemoryMB)), formatPlain(float64(m.MaxFiles)), sharing)
 }
 
-// missed tells of runs that gave no figures, the like ones together.
-func (m *pageBuilder) missedRuns() (list []string) {
+// missedRuns lists the failed runs with their reasons and combines runs with the same text.
+func (b *pageBuilder) missedRuns() (list []string) {
 	counts := map[string]int{}
-	for _, file := range m.results {
+	for _, file := range b.results {
 		for _, run := range file.Runs {
 			if run.MissedReason == "" {
 				continue
@@ -185,13 +186,13 @@
 	return list
 }
 
-// directories stand before the names of files in a command.
+// directoryPrefix matches the directories before a file name in a command.
 var directoryPrefix = regexp.MustCompile(`[^\s=]*/`)
 
-// logTime is what a line of the program's log begins with.
+// logTimestamp matches the time at the start of a line of the program's log.
 var logTimestamp = regexp.MustCompile(`time=\S+ `)
 
-// reason is why a run missed, without the times of log lines in it, so that like reasons read alike.
+// missedReason returns why a run failed, without the times of log lines, so that equal reasons have equal texts.
 func missedReason(run *result.Run) string { return logTimestamp.ReplaceAllString(run.MissedReason, "") }
 
 func parametersText(of map[string]float64) string {
@@ -202,13 +203,13 @@
 	return strings.Join(texts, ", ")
 }
 
-func (m *pageBuilder) numberViews() (list []NumberView) {
-	for i := range m.targets.Sizes {
-		size := &m.targets.Sizes[i]
+func (b *pageBuilder) numberViews() (list []NumberView) {
+	for i := range b.targets.Sizes {
+		size := &b.targets.Sizes[i]
 		if !size.FromOperators {
 			continue
 		}
-		rows := m.targets.rowsUsing(size.Key)
+		rows := b.targets.rowsUsing(size.Key)
 		titles := []string{}
 		for _, row := range rows {
 			if !slices.Contains(titles, row.role.Title) {
@@ -216,23 +217,23 @@
 			}
 		}
 		list = append(list, NumberView{
-			Text: size.Text, Value: size.Unit.format(m.sizes[size.Key]), Rows: strings.Join(titles, "; "), Verdict: m.verdict(rows),
+			Text: size.Text, Value: size.Unit.format(b.sizes[size.Key]), Rows: strings.Join(titles, "; "), Verdict: b.verdict(rows),
 		})
 	}
 	return list
 }
 
-// verdict sums up rows: their mechanisms by state, and the one that is furthest over its budget in the last program that
-// has figures.
-func (m *pageBuilder) verdict(rows []roleRow) string {
+// verdict summarizes rows: how many are measured, the one with the largest ratio to its budget in the last program with
+// figures, and their mechanisms by status.
+func (b *pageBuilder) verdict(rows []roleRow) string {
 	worst, measured := figure{}, 0
 	states := map[Status][]string{}
 	for _, row := range rows {
-		mechanism := m.targets.mechanismOf(row.role, row.row)
+		mechanism := b.targets.mechanismOf(row.role, row.row)
 		if names := states[mechanism.Status]; !slices.Contains(names, mechanism.Name) {
 			states[mechanism.Status] = append(names, mechanism.Name)
 		}
-		latest, known := m.latestFigure(row.row)
+		latest, known := b.latestFigure(row.row)
 		if !known {
 			continue
 		}
@@ -253,9 +254,9 @@
 	return strings.Join(parts, ". ")
 }
 
-// latest is the measured figure of a row in the last program that has one.
-func (m *pageBuilder) latestFigure(row *Row) (latest figure, known bool) {
-	for _, f := range m.figures {
+// latestFigure returns the measured figure of a row in the last program that has one.
+func (b *pageBuilder) latestFigure(row *Row) (latest figure, known bool) {
+	for _, f := range b.figures {
 		if f.row == row && f.total.isKnown() && f.total.isMeasured() {
 			latest, known = f, true
 		}
@@ -263,36 +264,36 @@
 	return latest, known
 }
 
-func (m *pageBuilder) roleViews() (list []RoleView) {
-	for i := range m.targets.Roles {
-		role := &m.targets.Roles[i]
+func (b *pageBuilder) roleViews() (list []RoleView) {
+	for i := range b.targets.Roles {
+		role := &b.targets.Roles[i]
 		view := RoleView{Title: role.Title}
 		for _, key := range role.Mechanisms {
-			view.Mechanisms = append(view.Mechanisms, mechanismView(m.targets.mechanism(key)))
+			view.Mechanisms = append(view.Mechanisms, mechanismView(b.targets.mechanism(key)))
 		}
 		for n := range role.Rows {
-			view.Lines = append(view.Lines, m.lineViews(&role.Rows[n])...)
+			view.Lines = append(view.Lines, b.lineViews(&role.Rows[n])...)
 		}
 		list = append(list, view)
 	}
 	return list
 }
 
-// lines are those of a row: one for each program that has a figure, or one that says that there is none. A row of sizes
-// alone is the same in all programs, and has one line.
-func (m *pageBuilder) lineViews(row *Row) (list []LineView) {
+// lineViews returns the lines of a row: one for each program that has a figure, or a single line that says that there
+// is none. A row that depends on sizes alone is the same in all programs and has one line.
+func (b *pageBuilder) lineViews(row *Row) (list []LineView) {
 	blank := LineView{Aspect: string(row.Aspect), Quantity: row.Quantity}
 	if row.Budget != "" {
-		blank.Budget = row.Unit.format(m.sizes[row.Budget])
+		blank.Budget = row.Unit.format(b.sizes[row.Budget])
 	}
-	for i := range m.figures {
-		f := &m.figures[i]
+	for i := range b.figures {
+		f := &b.figures[i]
 		if f.row != row || !f.total.isKnown() {
 			continue
 		}
 		line := blank
 		line.Parts, line.Total = f.partsText(), f.totalText()
-		line.Factor, line.From = f.factorText(), m.evidenceText(f.total)
+		line.Factor, line.From = f.factorText(), b.evidenceText(f.total)
 		if !f.total.isMeasured() {
 			line.From = "sizes alone"
 			return []LineView{line}
@@ -303,14 +304,14 @@
 	if len(list) == 0 {
 		blank.Total = "not measured"
 		if row.Count != nil && row.Count.Figure == nil {
-			blank.Parts = countText(m.sizes.product(row.Count.Factors, row.Count.Divisors)) + " ×"
+			blank.Parts = countText(b.sizes.product(row.Count.Factors, row.Count.Divisors)) + " ×"
 		}
 		list = append(list, blank)
 	}
 	return list
 }
 
-// parts shows the count and what each needs.
+// partsText formats the count and the need of each item, after the base if the row has one.
 func (f *figure) partsText() string {
 	if f.row.Count == nil {
 		return ""
@@ -329,7 +330,7 @@
 	return text
 }
 
-// countText shows a count as it is where it is whole.
+// countText formats a count; a whole count is not rounded.
 func countText(count float64) string {
 	if count != math.Trunc(count) {
 		count = roundSignificant(count)
@@ -337,10 +338,11 @@
 	return formatPlain(count)
 }
 
-// from tells what a figure rests on, whether that is no line, and how far outside of what was measured it lies.
-func (m *pageBuilder) evidenceText(e estimate) string {
+// evidenceText formats the evidence of a figure, whether a line in it does not describe its figure, and how far the
+// size is outside of the measured range.
+func (b *pageBuilder) evidenceText(e estimate) string {
 	text := evidenceIDs(e.evidence)
-	if m.evidence.hasPoorFit(e.evidence) {
+	if b.evidence.hasPoorFit(e.evidence) {
 		text += ", not a line"
 	}
 	if e.extrapolation > 1 {
@@ -349,7 +351,7 @@
 	return text
 }
 
-// totalText shows what a row comes to.
+// totalText formats the row's total.
 func (f *figure) totalText() string {
 	text := f.row.Unit.formatRounded(f.total.value)
 	if f.total.isUpperBound {
@@ -361,10 +363,11 @@
 	return text
 }
 
-// over tells whether the figure is surely over its budget.
+// isOverBudget reports whether the total exceeds the budget. An upper bound over the budget does not count, because the
+// true value may be below.
 func (f *figure) isOverBudget() bool { return f.factor > 1 && !f.total.isUpperBound }
 
-// factorText shows the figure over its budget.
+// factorText formats the ratio of the total to the budget.
 func (f *figure) factorText() string {
 	switch {
 	case f.row.Budget == "" || !f.total.isKnown():
@@ -383,7 +386,7 @@
 	return MechanismView{Name: m.Name, Status: statusText(m), Where: m.Where, Says: m.Description, Options: m.Options}
 }
 
-// statusText is a mechanism's state, with what it was in earlier programs.
+// statusText formats a mechanism's status and those in earlier programs.
 func statusText(m *Mechanism) string {
 	text := string(m.Status)
 	for _, label := range sortedKeys(m.Earlier) {
@@ -392,10 +395,10 @@
 	return text
 }
 
-func (m *pageBuilder) choiceViews() (list []MechanismView) {
+func (b *pageBuilder) choiceViews() (list []MechanismView) {
 	for _, status := range []Status{Missing, Partial} {
-		for i := range m.targets.Mechanisms {
-			if mechanism := &m.targets.Mechanisms[i]; mechanism.Status == status && len(mechanism.Options) > 0 {
+		for i := range b.targets.Mechanisms {
+			if mechanism := &b.targets.Mechanisms[i]; mechanism.Status == status && len(mechanism.Options) > 0 {
 				list = append(list, mechanismView(mechanism))
 			}
 		}
@@ -403,15 +406,15 @@
 	return list
 }
 
-func (m *pageBuilder) extrapolatedViews() (list []ExtrapolatedView) {
-	far := []*figure{}
-	for i := range m.figures {
-		if f := &m.figures[i]; f.total.isKnown() && f.total.extrapolation > 1 {
-			far = append(far, f)
+func (b *pageBuilder) extrapolatedViews() (list []ExtrapolatedView) {
+	outside := []*figure{}
+	for i := range b.figures {
+		if f := &b.figures[i]; f.total.isKnown() && f.total.extrapolation > 1 {
+			outside = append(outside, f)
 		}
 	}
-	slices.SortStableFunc(far, func(a, b *figure) int { return compareDescending(a.total.extrapolation, b.total.extrapolation) })
-	for _, f := range far {
+	slices.SortStableFunc(outside, func(a, b *figure) int { return compareDescending(a.total.extrapolation, b.total.extrapolation) })
+	for _, f := range outside {
 		list = append(list, ExtrapolatedView{
 			Row: f.name(), Program: f.program.Label, Factor: "×" + formatShort(f.total.extrapolation), From: evidenceIDs(f.total.evidence),
 		})
@@ -419,10 +422,10 @@
 	return list
 }
 
-// unmeasured gives the rows without a figure, in the programs where they have none.
-func (m *pageBuilder) unmeasuredViews() (list []UnmeasuredView) {
-	for i := range m.figures {
-		f := &m.figures[i]
+// unmeasuredViews lists the rows without a figure with the programs that lack it.
+func (b *pageBuilder) unmeasuredViews() (list []UnmeasuredView) {
+	for i := range b.figures {
+		f := &b.figures[i]
 		if f.total.isKnown() {
 			continue
 		}
--- a/internal/scale/fit/fit.go
+++ b/internal/scale/fit/fit.go
@@ -1,4 +1,5 @@
-// Package fit puts straight lines through the figures of runs, and tells where a line does not describe them.
+// Package fit fits straight lines to the figures of runs by least squares and reports where a line does not describe
+// them. Packages scale and hollow call it.
 package fit
 
 import (
@@ -15,12 +16,12 @@
 
 const (
 	confidence            = 0.95
-	minR2                 = 0.9  // under it a line explains too little of what was seen
-	lackOfFitSignificance = 0.05 // of the F test for lack of fit
-	maxMeanDeviation      = 0.1  // how far a mean may lie off the line, as a part of the figure's range
+	minR2                 = 0.9  // below it a line explains too little of the variance
+	lackOfFitSignificance = 0.05 // significance level of the F test for lack of fit
+	maxMeanDeviation      = 0.1  // how far a mean may be from the line, as a fraction of the figure's range
 )
 
-// group is the runs of one case and build, along one parameter.
+// seriesKey identifies the runs of one case and build along one parameter.
 type seriesKey struct {
 	caseName  string
 	kind      result.Kind
@@ -28,27 +29,27 @@
 	parameter string
 }
 
-// Slopes fits each figure of each case along the one parameter in which the case's runs differ. A figure that was not
-// measured at two values of it gets no line.
+// Slopes fits a line to each figure of each case, for every parameter in which the runs of the case differ. A figure that
+// was measured at fewer than two values of the parameter gets no line.
 func Slopes(runs []result.Run) (slopes []result.Slope) {
-	groups := map[seriesKey][]result.Run{}
+	runsBySeries := map[seriesKey][]result.Run{}
 	var order []seriesKey
 	for _, r := range runs {
 		if r.MissedReason != "" {
 			continue
 		}
-		g := seriesKey{caseName: r.Case, kind: r.Kind, program: r.Program}
-		if groups[g] == nil {
-			order = append(order, g)
+		key := seriesKey{caseName: r.Case, kind: r.Kind, program: r.Program}
+		if runsBySeries[key] == nil {
+			order = append(order, key)
 		}
-		groups[g] = append(groups[g], r)
-	}
-	for _, g := range order {
-		list := groups[g]
-		for _, parameter := range variedParameters(list) {
-			g.parameter = parameter
-			for _, figure := range figureNames(list) {
-				if s, ok := fitLine(g, figure, list); ok {
+		runsBySeries[key] = append(runsBySeries[key], r)
+	}
+	for _, key := range order {
+		series := runsBySeries[key]
+		for _, parameter := range variedParameters(series) {
+			key.parameter = parameter
+			for _, figure := range figureNames(series) {
+				if s, ok := fitLine(key, figure, series); ok {
 					slopes = append(slopes, s)
 				}
 			}
@@ -57,7 +58,7 @@
 	return slopes
 }
 
-// varied names the parameters that differ among runs.
+// variedParameters returns the sorted names of the parameters whose values differ between the runs.
 func variedParameters(runs []result.Run) (names []string) {
 	for name, first := range runs[0].Parameters {
 		if slices.ContainsFunc(runs, func(r result.Run) bool { return r.Parameters[name] != first }) {
@@ -68,6 +69,7 @@
 	return names
 }
 
+// figureNames returns the names of all figures of the runs, sorted.
 func figureNames(runs []result.Run) (names []string) {
 	for _, r := range runs {
 		for name := range r.Figures {
@@ -80,15 +82,16 @@
 	return names
 }
 
-// line fits one figure.
-func fitLine(g seriesKey, figure string, runs []result.Run) (result.Slope, bool) {
+// fitLine fits a line to one figure of a series. It returns false if the figure was measured at fewer than two values
+// of the parameter.
+func fitLine(key seriesKey, figure string, runs []result.Run) (result.Slope, bool) {
 	var xs, ys []float64
 	for _, r := range runs {
 		if y, measured := r.Figures[figure]; measured {
-			xs, ys = append(xs, r.Parameters[g.parameter]), append(ys, y)
+			xs, ys = append(xs, r.Parameters[key.parameter]), append(ys, y)
 		}
 	}
-	s := result.Slope{Case: g.caseName, Kind: g.kind, Program: g.program, Figure: figure, Parameter: g.parameter, Points: len(xs)}
+	s := result.Slope{Case: key.caseName, Kind: key.kind, Program: key.program, Figure: figure, Parameter: key.parameter, Points: len(xs)}
 	if len(xs) == 0 {
 		return s, false
 	}
@@ -99,35 +102,36 @@
 	s.Intercept, s.Slope = stat.LinearRegression(xs, ys, nil, false)
 	s.R2 = stat.RSquared(xs, ys, nil, s.Intercept, s.Slope)
 	if math.IsNaN(s.R2) || math.IsInf(s.R2, 0) {
-		s.R2 = 1 // all figures are the same: the level line meets each
+		s.R2 = 1 // all values are equal: the horizontal line fits exactly
 	}
-	half := intervalHalfWidth(xs, ys, s.Intercept, s.Slope)
-	s.Low, s.High = s.Slope-half, s.Slope+half
+	halfWidth := intervalHalfWidth(xs, ys, s.Intercept, s.Slope)
+	s.Low, s.High = s.Slope-halfWidth, s.Slope+halfWidth
 	s.PoorFitReason = poorFitReason(xs, ys, &s)
 	return s, true
 }
 
-// interval is half the width of the slope's confidence interval; 0 where two points leave no freedom.
+// intervalHalfWidth returns half the width of the slope's confidence interval, or 0 if two points leave no degree of
+// freedom.
 func intervalHalfWidth(xs, ys []float64, intercept, slope float64) float64 {
-	freedom := float64(len(xs) - 2)
-	if freedom < 1 {
+	degreesOfFreedom := float64(len(xs) - 2)
+	if degreesOfFreedom < 1 {
 		return 0
 	}
-	residual := 0.0
+	residualSum := 0.0
 	for i := range xs {
-		off := ys[i] - intercept - slope*xs[i]
-		residual += off * off
+		residual := ys[i] - intercept - slope*xs[i]
+		residualSum += residual * residual
 	}
 	spread := stat.Variance(xs, nil) * float64(len(xs)-1)
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile(1 - (1-confidence)/2)
-	return t * math.Sqrt(residual/freedom/spread)
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile(1 - (1-confidence)/2)
+	return t * math.Sqrt(residualSum/degreesOfFreedom/spread)
 }
 
-// whyNot tells why a line does not describe the figures; empty: nothing speaks against it.
+// poorFitReason returns why a line does not describe the figures, or "" if no check rejects it.
 func poorFitReason(xs, ys []float64, s *result.Slope) string {
 	switch {
 	case slices.Min(ys) == slices.Max(ys):
-		return "" // the level line meets each
+		return "" // the horizontal line fits exactly
 	case len(xs) < 3:
 		return "two points: any line would do"
 	case s.Low <= 0 && s.High >= 0:
@@ -142,33 +146,34 @@
 	return meanDeviation(xs, ys, s)
 }
 
-// offTheLine tells of means that lie far off the line, for runs whose scatter tells nothing: they are not repeated, or
-// are counts that come out the same.
+// meanDeviation returns a reason if the mean at one value of the parameter is too far from the line. It covers runs for
+// which the F test has no scatter to compare with: runs that are not repeated, and counts that do not vary.
 func meanDeviation(xs, ys []float64, s *result.Slope) string {
-	height := slices.Max(ys) - slices.Min(ys)
+	valueRange := slices.Max(ys) - slices.Min(ys)
 	for _, l := range groupByLevel(xs, ys) {
-		off := l.mean - s.Intercept - s.Slope*l.x
-		if math.Abs(off) > maxMeanDeviation*height {
-			return fmt.Sprintf("at %g the mean lies %+.0f %% of the range off the line", l.x, 100*off/height)
+		deviation := l.mean - s.Intercept - s.Slope*l.x
+		if math.Abs(deviation) > maxMeanDeviation*valueRange {
+			return fmt.Sprintf("at %g the mean lies %+.0f %% of the range off the line", l.x, 100*deviation/valueRange)
 		}
 	}
 	return ""
 }
 
-// level is the runs at one value of the parameter.
+// level summarizes the runs at one value of the parameter.
 type level struct {
-	x, mean, squaredError float64 // within: the sum of squares around the mean
+	x, mean, squaredError float64 // squaredError: sum of squared deviations from the mean
 	runs                  int
 }
 
+// groupByLevel groups points by x and returns the groups in ascending order of x.
 func groupByLevel(xs, ys []float64) (list []level) {
 	byX := map[float64][]float64{}
 	for i, x := range xs {
 		byX[x] = append(byX[x], ys[i])
 	}
-	for x, at := range byX {
-		l := level{x: x, mean: stat.Mean(at, nil), runs: len(at)}
-		for _, y := range at {
+	for x, values := range byX {
+		l := level{x: x, mean: stat.Mean(values, nil), runs: len(values)}
+		for _, y := range values {
 			l.squaredError += (y - l.mean) * (y - l.mean)
 		}
 		list = append(list, l)
@@ -177,32 +182,33 @@
 	return list
 }
 
-// lackOfFit is the F test for lack of fit: how far the means at each value lie off the line, beside the scatter of
-// repeated runs. It needs three values and repeated runs.
+// lackOfFit runs the F test for lack of fit, which compares the deviation of the means from the line with the scatter of
+// repeated runs, and returns a reason if the test rejects the line. It returns "" if there are fewer than three values of
+// the parameter, no repeated runs or no scatter.
 func lackOfFit(xs, ys []float64, s *result.Slope) string {
 	list := groupByLevel(xs, ys)
-	free := float64(len(xs) - len(list))
-	if len(list) < 3 || free < 1 {
+	pureErrorFreedom := float64(len(xs) - len(list))
+	if len(list) < 3 || pureErrorFreedom < 1 {
 		return ""
 	}
 	within, between, worst := 0.0, 0.0, 0.0
-	var at level
+	var worstLevel level
 	for _, l := range list {
 		within += l.squaredError
-		off := l.mean - s.Intercept - s.Slope*l.x
-		between += float64(l.runs) * off * off
-		if math.Abs(off) > math.Abs(worst) {
-			worst, at = off, l
+		deviation := l.mean - s.Intercept - s.Slope*l.x
+		between += float64(l.runs) * deviation * deviation
+		if math.Abs(deviation) > math.Abs(worst) {
+			worst, worstLevel = deviation, l
 		}
 	}
 	if within == 0 {
 		return ""
 	}
-	extra := float64(len(list) - 2)
-	ratio := between / extra / (within / free)
-	p := distuv.F{D1: extra, D2: free}.Survival(ratio)
+	lackOfFitFreedom := float64(len(list) - 2)
+	ratio := between / lackOfFitFreedom / (within / pureErrorFreedom)
+	p := distuv.F{D1: lackOfFitFreedom, D2: pureErrorFreedom}.Survival(ratio)
 	if p >= lackOfFitSignificance {
 		return ""
 	}
-	return fmt.Sprintf("lack of fit (F test, p = %.3f): at %g the mean is %.3g off the line", p, at.x, worst)
+	return fmt.Sprintf("lack of fit (F test, p = %.3f): at %g the mean is %.3g off the line", p, worstLevel.x, worst)
 }
--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -8,18 +8,18 @@
 	"cobaltflow/internal/scale/result"
 )
 
-// runsOf makes runs of a case "workers", two at each value, a little above and below a function of the workers.
+// runsAlong returns runs of a case "workers": two at each value, one scatter below f and one above.
 func runsAlong(f func(workers float64) float64, scatter float64, workers ...float64) (runs []result.Run) {
 	for _, x := range workers {
-		for _, off := range []float64{-scatter, scatter} {
+		for _, deviation := range []float64{-scatter, scatter} {
 			runs = append(runs, result.Run{Case: "workers", Kind: result.Real, Program: "now",
-				Parameters: map[string]float64{"workers": x, "schedulers": 1}, Figures: map[string]float64{"rss_bytes": f(x) + off}})
+				Parameters: map[string]float64{"workers": x, "schedulers": 1}, Figures: map[string]float64{"rss_bytes": f(x) + deviation}})
 		}
 	}
 	return runs
 }
 
-func TestLineThroughALine(t *testing.T) {
+func TestFitOfALinearFigure(t *testing.T) {
 	slopes := Slopes(runsAlong(func(x float64) float64 { return 100 + 3*x }, 1, 10, 20, 40, 80))
 	require.Len(t, slopes, 1)
 	s := slopes[0]
@@ -28,36 +28,37 @@
 	require.InDelta(t, 100, s.Intercept, 1e-9)
 	require.Equal(t, 8, s.Points)
 	require.Equal(t, []float64{10, 80}, []float64{s.From, s.To})
-	// By hand: the residuals are 1 each, their sum of squares 8, that of the workers 5750: t(6) of 97.5 % is 2.4469.
+	// Computed by hand: each residual is 1, the sum of their squares is 8 and that of the workers 5750; the 97.5 % quantile
+	// of t with 6 degrees of freedom is 2.4469.
 	require.InDelta(t, 2.4469*0.0152277, s.High-s.Slope, 1e-4)
 	require.InDelta(t, s.High-s.Slope, s.Slope-s.Low, 1e-9)
 	require.Empty(t, s.PoorFitReason)
 }
 
-func TestCurveIsNoLine(t *testing.T) {
+func TestCurveIsReportedAsLackOfFit(t *testing.T) {
 	s := Slopes(runsAlong(func(x float64) float64 { return x * x }, 1, 10, 20, 40, 80))[0]
 	require.Contains(t, s.PoorFitReason, "lack of fit")
 }
 
-func TestLevelFiguresAreNoGrowth(t *testing.T) {
+func TestConstantFigureWithScatterShowsNoGrowth(t *testing.T) {
 	s := Slopes(runsAlong(func(float64) float64 { return 5 }, 1, 10, 20, 40))[0]
 	require.Contains(t, s.PoorFitReason, "holds 0")
 }
 
-func TestTwoPointsProveNothing(t *testing.T) {
+func TestTwoPointsAreReportedAsPoorFit(t *testing.T) {
 	runs := runsAlong(func(x float64) float64 { return x }, 0, 10, 20)
 	s := Slopes([]result.Run{runs[0], runs[2]})[0]
 	require.Contains(t, s.PoorFitReason, "two points")
 	require.Equal(t, s.Low, s.High)
 }
 
-func TestMissedRunsAndSingleValuesGiveNoLine(t *testing.T) {
+func TestRunsWithoutFiguresAndSingleValuesGiveNoLine(t *testing.T) {
 	runs := runsAlong(func(x float64) float64 { return x }, 0, 10, 20)
 	runs[0].MissedReason, runs[1].MissedReason = "not ready", "not ready"
 	require.Empty(t, Slopes(runs))
 }
 
-// pointsOf makes one run of a hollow case "workers" for each point.
+// hollowRuns returns one run of a hollow case "workers" for each point.
 func hollowRuns(points ...[2]float64) (runs []result.Run) {
 	for _, p := range points {
 		runs = append(runs, result.Run{Case: "workers", Kind: result.Hollow, Program: "now",
@@ -66,7 +67,7 @@
 	return runs
 }
 
-func TestLineThroughPointsOnOne(t *testing.T) {
+func TestFitOfPointsOnALine(t *testing.T) {
 	s := Slopes(hollowRuns([2]float64{1, 5}, [2]float64{2, 7}, [2]float64{4, 11}))[0]
 	require.InDelta(t, 2, s.Slope, 1e-9)
 	require.InDelta(t, 3, s.Intercept, 1e-9)
@@ -78,14 +79,15 @@
 	require.Empty(t, s.PoorFitReason)
 }
 
-// The interval is that of the textbook: residual sum of squares 0.05 over 2 degrees of freedom, spread 5, t 4.3027.
-func TestIntervalOfTheSlope(t *testing.T) {
+// The expected interval follows from the textbook formula: residual sum of squares 0.05 over 2 degrees of freedom, spread
+// 5, t 4.3027.
+func TestConfidenceIntervalOfTheSlope(t *testing.T) {
 	s := Slopes(hollowRuns([2]float64{1, 1.0}, [2]float64{2, 2.2}, [2]float64{3, 2.9}, [2]float64{4, 4.1}))[0]
 	require.InDelta(t, 1.0, s.Slope, 1e-9)
 	require.InDelta(t, 0.3042, (s.High-s.Low)/2, 0.001)
 }
 
-func TestWhatIsNoLine(t *testing.T) {
+func TestPoorFitsAreReported(t *testing.T) {
 	for name, runs := range map[string][]result.Run{
 		"a bend":    hollowRuns([2]float64{1, 1}, [2]float64{2, 4}, [2]float64{4, 16}, [2]float64{8, 64}, [2]float64{16, 256}, [2]float64{32, 1024}),
 		"a cloud":   hollowRuns([2]float64{1, 5}, [2]float64{2, 1}, [2]float64{3, 6}, [2]float64{4, 2}, [2]float64{5, 5}),
@@ -98,11 +100,11 @@
 	require.Equal(t, 1.0, level.R2)
 }
 
-func TestOnePlaceGivesNoLine(t *testing.T) {
+func TestOneValueOfTheParameterGivesNoLine(t *testing.T) {
 	require.Empty(t, Slopes(hollowRuns([2]float64{1, 1}, [2]float64{1, 2}, [2]float64{1, 3})))
 }
 
-func TestCasesAndFiguresAreFittedApart(t *testing.T) {
+func TestCasesAndFiguresAreFittedSeparately(t *testing.T) {
 	runs := hollowRuns([2]float64{1, 1}, [2]float64{2, 1}, [2]float64{3, 1})
 	for i := range runs {
 		n := float64(i + 1)
--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -1,5 +1,5 @@
-// Package result holds the results of the scale measurements and the form in which they are stored: one JSON file
-// with the runs, the fitted slopes and the machine they were measured on. It runs nothing and fits nothing.
+// Package result defines the results of the scale measurements and their JSON file: the runs, the fitted slopes and the
+// machine that they were measured on. Packages scale and hollow fill it in, and package capacity reads it.
 package result
 
 import (
@@ -9,13 +9,13 @@
 	"os"
 )
 
-// FormatVersion is the version of the file's form. A file of another version is refused.
+// FormatVersion is the version of the file format. Read rejects a file of any other version.
 const FormatVersion = 1
 
-// File is everything that one call of the measurement command has measured.
+// File is a results file: everything that one run of the measurement command measured.
 type File struct {
 	Version  int     `json:"version"`
-	Revision string  `json:"revision"` // of the program that was measured
+	Revision string  `json:"revision"` // revision of the measured program
 	Machine  Machine `json:"machine"`
 	TakenAt  string  `json:"taken"` // RFC 3339
 	Command  string  `json:"command"`
@@ -23,63 +23,63 @@
 	Slopes   []Slope `json:"slopes"`
 }
 
-// Machine is where the runs took place.
+// Machine describes the machine that the runs took place on.
 type Machine struct {
 	Cores     int   `json:"cores"`
 	MemoryMB  int   `json:"memory_mb"`
-	Exclusive bool  `json:"alone"`     // nothing else was running, as the caller says
-	MaxFiles  int64 `json:"max_files"` // the limit of descriptors of one process
+	Exclusive bool  `json:"alone"`     // nothing else was running, according to the caller
+	MaxFiles  int64 `json:"max_files"` // file descriptor limit of one process
 }
 
-// Kind tells how the schedulers of a run were made.
+// Kind says how the schedulers of a run were executed.
 type Kind string
 
-// The kinds of runs.
+// Kinds of runs.
 const (
-	Real   Kind = "real"   // processes of the program, on sockets
-	Hollow Kind = "hollow" // the decisions in one process, in virtual time
+	Real   Kind = "real"   // processes of the program that communicate over sockets
+	Hollow Kind = "hollow" // the decision code alone, in one process and in virtual time
 )
 
-// Run is one run of one case.
+// Run holds the parameters and figures of one run of one case.
 type Run struct {
-	Case         string             `json:"case"` // what is varied, as "workers"
+	Case         string             `json:"case"` // name of the case, such as "workers"
 	Kind         Kind               `json:"kind"`
 	Seed         uint64             `json:"seed"`
-	Program      string             `json:"program"` // the label of the build: "now", or that of the build beside it
+	Program      string             `json:"program"` // label of the build: "now", or that of the build it is compared with
 	Parameters   map[string]float64 `json:"parameters"`
-	Figures      map[string]float64 `json:"figures"`          // by name with the unit at its end, as "rss_bytes"
-	MissedReason string             `json:"missed,omitempty"` // why the run gave no figures; empty: it did
+	Figures      map[string]float64 `json:"figures"`          // by name; the name ends with the unit, as in "rss_bytes"
+	MissedReason string             `json:"missed,omitempty"` // why the run is incomplete or has no figures; empty: it completed
 }
 
-// Slope is a straight line fitted through one figure of the runs of a case.
+// Slope is a straight line fitted to one figure of the runs of a case.
 type Slope struct {
 	Case          string  `json:"case"`
 	Kind          Kind    `json:"kind"`
 	Program       string  `json:"program"`
 	Figure        string  `json:"figure"`
-	Parameter     string  `json:"parameter"` // along which it was fitted
-	Slope         float64 `json:"slope"`     // figure for each unit of the parameter
+	Parameter     string  `json:"parameter"` // the independent variable of the fit
+	Slope         float64 `json:"slope"`     // change of the figure per unit of the parameter
 	Intercept     float64 `json:"intercept"`
 	R2            float64 `json:"r2"`
-	Low           float64 `json:"low"`  // of the slope's 95 % confidence interval
-	High          float64 `json:"high"` // of the same
-	Points        int     `json:"points"`
-	From          float64 `json:"from"` // least and most of the parameter that was measured
-	To            float64 `json:"to"`
-	PoorFitReason string  `json:"not_a_line,omitempty"` // why the line doesn't describe the figure; empty: it does
+	Low           float64 `json:"low"`                  // lower end of the slope's 95 % confidence interval
+	High          float64 `json:"high"`                 // upper end of the same interval
+	Points        int     `json:"points"`               // runs that the line was fitted to
+	From          float64 `json:"from"`                 // smallest measured value of the parameter
+	To            float64 `json:"to"`                   // largest measured value of the parameter
+	PoorFitReason string  `json:"not_a_line,omitempty"` // why the line does not describe the figure; empty: it does
 }
 
-// Slope gives the slope of a figure in a case, of the build labelled program.
-func (f *File) Slope(of, program, figure string) (Slope, bool) {
+// Slope returns the slope of a figure in a case for the build labelled program, and whether there is one.
+func (f *File) Slope(caseName, program, figure string) (Slope, bool) {
 	for _, s := range f.Slopes {
-		if s.Case == of && s.Program == program && s.Figure == figure {
+		if s.Case == caseName && s.Program == program && s.Figure == figure {
 			return s, true
 		}
 	}
 	return Slope{}, false
 }
 
-// Read reads a results file.
+// Read reads a results file. It returns an error for a file of another format version or without runs.
 func Read(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -98,9 +98,9 @@
 	return &f, nil
 }
 
-var errNoRuns = errors.New("runs: there are none")
+var errNoRuns = errors.New("the file contains no runs")
 
-// Write writes a results file.
+// Write writes the results to a file at path and sets f.Version to FormatVersion.
 func (f *File) Write(path string) error {
 	f.Version = FormatVersion
 	text, err := json.MarshalIndent(f, "", "  ")
