--- a/internal/scale/cases.go
+++ b/internal/scale/cases.go
@@ -10,25 +10,25 @@
 	"cobaltflow/internal/scale/process"
 )
 
-// Reasons why a run is missed.
+// Reasons why a run fails.
 var (
-	errTasksNotHeld = errors.New("the tasks could not be held")
-	errListNotKnown = errors.New("the list was not known in time")
-	errUnknownCase  = errors.New("there is no such case")
+	errTasksNotHeld = errors.New("the requested number of tasks could not be held")
+	errListNotKnown = errors.New("the worker list was not known in time")
+	errUnknownCase  = errors.New("unknown case")
 )
 
-// benchCase is one thing that is varied.
+// benchCase measures how the figures depend on one parameter.
 type benchCase struct {
 	name        string
 	description string
 	parameter   string
-	quickPoints []float64 // empty: only in full, or by its name
+	quickPoints []float64 // empty: not in the quick set; runs with FullSet or if named
 	fullPoints  []float64
 	setup       func(point float64) setup
 	measure     func(m *measurement, point float64) error
 }
 
-// fixed is a setup that the point does not change.
+// fixedSetup returns a setup that does not depend on the point.
 func fixedSetup(change func(*setup)) func(float64) setup {
 	return func(float64) setup {
 		s := baseSetup()
@@ -39,7 +39,7 @@
 	}
 }
 
-// varying is a setup that the point changes.
+// varyingSetup returns a setup that depends on the point.
 func varyingSetup(change func(*setup, float64)) func(float64) setup {
 	return func(point float64) setup {
 		s := baseSetup()
@@ -48,18 +48,19 @@
 	}
 }
 
-// manySchedulers sets up so many schedulers beside one another.
+// setSchedulers sets the number of schedulers that run side by side.
 func setSchedulers(s *setup, count int) {
 	s.schedulers, s.groupSize, s.maxSockets = count, count, 1024
 }
 
-// workersOfThousand is the smaller fleet beside which the operators' one is held.
+// smallFleetWorkers is the size of the smaller fleet that the operators' fleet is compared with.
 const smallFleetWorkers = 1000
 
-// tasksMemoryMB is the limit where many tasks are held, so that their memory shows and is not held down.
+// tasksMemoryMB is the memory limit of a scheduler that holds many tasks; it is high enough not to constrain the memory
+// that is measured.
 const tasksMemoryMB = 1024
 
-// cases lists all of them, in the order in which they run.
+// cases returns all cases in the order in which they run.
 func cases() []benchCase {
 	return slices.Concat(listCases(), taskCases(), fleetCases(), recoveryCases())
 }
@@ -138,13 +139,13 @@
 	}
 }
 
-// recoverySchedulers is how many schedulers the cases of recovery have.
+// recoverySchedulers is the number of schedulers in the recovery cases.
 const recoverySchedulers = 4
 
-// zoneWorkers is how many workers a zone of the operators' fleet has.
+// zoneWorkers is the number of workers of a zone of the operators' fleet.
 const zoneWorkers = 1_737
 
-// Names lists the cases with what each measures.
+// DescribeCases returns a line "name: description" for each case.
 func DescribeCases() (list []string) {
 	for _, c := range cases() {
 		list = append(list, c.name+": "+c.description)
@@ -152,15 +153,16 @@
 	return list
 }
 
-// choose gives the cases of a set, or those that are named.
+// selectCases returns the named cases, or all cases of the full or the quick set if no name is given. It returns an
+// error for an unknown name.
 func selectCases(names []string, full bool) (list []benchCase, err error) {
-	all := cases()
+	available := cases()
 	for _, name := range names {
-		at := slices.IndexFunc(all, func(c benchCase) bool { return c.name == name })
-		if at < 0 {
+		index := slices.IndexFunc(available, func(c benchCase) bool { return c.name == name })
+		if index < 0 {
 			return nil, fmt.Errorf("%w: %q; there are\n%s", errUnknownCase, name, strings.Join(DescribeCases(), "\n"))
 		}
-		c := all[at]
+		c := available[index]
 		if len(c.quickPoints) == 0 {
 			c.quickPoints = c.fullPoints
 		}
@@ -169,7 +171,7 @@
 	if len(names) > 0 {
 		return list, nil
 	}
-	for _, c := range all {
+	for _, c := range available {
 		if full || len(c.quickPoints) > 0 {
 			list = append(list, c)
 		}
@@ -177,7 +179,7 @@
 	return list, nil
 }
 
-// measureLoad gives a measurement at rest and under short jobs at a rate.
+// measureLoad returns a measurement at rest and then under short jobs at a rate.
 func measureLoad(perS float64) func(*measurement, float64) error {
 	return func(m *measurement, _ float64) error {
 		if _, err := m.measureRest(); err != nil {
@@ -186,7 +188,7 @@
 		if _, _, err := m.runLoad(m.shortLoad(perS, m.duration(3*time.Second, 10*time.Second)), nil); err != nil {
 			return err
 		}
-		// Pings cost the scheduler as much as jobs do, so that they get a load of their own.
+		// A ping costs the scheduler as much as a job, so the pings run beside a load of their own, which does not count.
 		return m.withPings(func() error {
 			m.clients.Run(m.ctx, m.shortLoad(perS, m.duration(time.Second, 3*time.Second)))
 			return m.ctx.Err()
--- a/internal/scale/cases_fleet.go
+++ b/internal/scale/cases_fleet.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	inForceTimeout  = 15 * time.Second // the operators' bound for a change of the configuration
+	inForceTimeout  = 15 * time.Second // the operators' limit for a change of the configuration
 	recoveryTimeout = time.Minute
 )
 
-// measureTasks puts tasks in hand, looks at the scheduler with nothing else to do, and under short jobs beside them.
+// measureTasks has the scheduler hold tasks and measures it without other load, and then under short jobs.
 func measureTasks(m *measurement, count float64) error {
 	before, err := m.measureRest()
 	if err != nil {
@@ -37,23 +37,23 @@
 	if err := m.pause(m.duration(2*time.Second, 5*time.Second)); err != nil {
 		return err
 	}
-	w, err := m.measureSince(from)
+	idle, err := m.measureSince(from)
 	if err != nil {
 		return err
 	}
-	m.merge(map[string]float64{"tasks_held": float64(m.workers.HeldJobs()), "rss_tasks_bytes": float64(w.residentBytes),
-		"rss_per_task_bytes": float64(w.residentBytes-before.residentBytes) / count, "cpu_tasks_cores": w.cores(),
-		"descriptors_tasks": float64(w.descriptors)})
+	m.merge(map[string]float64{"tasks_held": float64(m.workers.HeldJobs()), "rss_tasks_bytes": float64(idle.residentBytes),
+		"rss_per_task_bytes": float64(idle.residentBytes-before.residentBytes) / count, "cpu_tasks_cores": idle.cores(),
+		"descriptors_tasks": float64(idle.descriptors)})
 	_, _, err = m.runLoad(m.shortLoad(startsPerS, m.duration(3*time.Second, 8*time.Second)), nil)
 	return err
 }
 
-// measureGang sends tasks all at once, and waits until the last of them has started.
+// measureGang sends all tasks of a gang at once and records the time until the last of them started.
 func measureGang(m *measurement, size float64) error {
 	if _, err := m.measureRest(); err != nil {
 		return err
 	}
-	if _, _, err := m.runLoad(m.shortLoad(startsPerS, m.duration(time.Second, time.Second)), nil); err != nil { // so that it is warm
+	if _, _, err := m.runLoad(m.shortLoad(startsPerS, m.duration(time.Second, time.Second)), nil); err != nil { // warms the scheduler up
 		return err
 	}
 	r, _, err := m.runLoad(client.Load{Class: process.ShortClass, RunTime: gangRunTime, Jobs: int(size), Seed: m.seed + 1}, nil)
@@ -64,10 +64,10 @@
 	return nil
 }
 
-// gangRun is the running time of a gang's tasks.
+// gangRunTime is the running time of a gang's tasks.
 const gangRunTime = 200 * time.Millisecond
 
-// measureConfigurationChanges has all schedulers read a new configuration, at a rate.
+// measureConfigurationChanges has all schedulers reload a changed configuration, at a rate.
 func measureConfigurationChanges(m *measurement, perS float64) error {
 	if _, err := m.measureRest(); err != nil {
 		return err
@@ -78,7 +78,7 @@
 	}
 	changes := int(m.duration(3*time.Second, 10*time.Second).Seconds()*perS + 0.5)
 	changes = max(changes, 2)
-	var took []time.Duration
+	var delays []time.Duration
 	began := time.Now()
 	for number := range changes {
 		if err := m.pause(time.Until(began.Add(time.Duration(float64(number) / perS * float64(time.Second))))); err != nil {
@@ -88,7 +88,7 @@
 		if err != nil {
 			return err
 		}
-		took = append(took, inForce)
+		delays = append(delays, inForce)
 	}
 	w, err := m.measureSince(from)
 	if err != nil {
@@ -96,19 +96,20 @@
 	}
 	each := float64(changes) * w.schedulers
 	control := w.totals[traffic.Configuration]
-	m.merge(map[string]float64{"configuration_changes": float64(changes), "in_force_p50_ms": quantileMS(took, 0.5),
-		"in_force_p99_ms": quantileMS(took, 0.99), "in_force_max_ms": quantileMS(took, 1),
+	m.merge(map[string]float64{"configuration_changes": float64(changes), "in_force_p50_ms": quantileMS(delays, 0.5),
+		"in_force_p99_ms": quantileMS(delays, 0.99), "in_force_max_ms": quantileMS(delays, 1),
 		"cpu_per_event_s":              (w.cpuTime.Seconds() - m.figures["cpu_at_rest_cores"]*w.seconds*w.schedulers) / each,
 		"configuration_in_bytes_per_s": float64(control.BytesIn) / w.seconds / w.schedulers,
 		"control_bytes_per_s":          w.controlBytes() / w.seconds, "rss_loaded_bytes": float64(w.residentBytes)})
 	return nil
 }
 
-// reconfigure changes a limit of all schedulers and waits until each has told that it took it over.
+// reconfigure changes a limit of all schedulers, waits until each has logged the reload, and returns the time until the
+// last one had.
 func (m *measurement) reconfigure(count int) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(m.ctx, inForceTimeout)
 	defer cancel()
-	began := time.Now()
+	started := time.Now()
 	for _, s := range m.schedulers {
 		s.Config.Sockets = m.setup.maxSockets + count%2
 		size, err := s.Reload()
@@ -118,20 +119,20 @@
 		m.counter.AddIn(traffic.Configuration, size)
 		m.counter.AddMessage(traffic.Configuration)
 	}
-	last := began
+	last := started
 	for _, s := range m.schedulers {
-		at, err := s.WaitReloaded(ctx, count)
+		reloadedAt, err := s.WaitReloaded(ctx, count)
 		if err != nil {
 			return 0, fmt.Errorf("change %d at %s: %w", count, s.Config.Name, err)
 		}
-		if at.After(last) {
-			last = at
+		if reloadedAt.After(last) {
+			last = reloadedAt
 		}
 	}
-	return last.Sub(began), nil
+	return last.Sub(started), nil
 }
 
-// recovery notes what passes from a mark until the schedulers are right again.
+// mergeRecoveryFigures records the cost of a recovery that began at a mark.
 func (m *measurement) mergeRecoveryFigures(from mark, took time.Duration) error {
 	w, err := m.measureSince(from)
 	if err != nil {
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// measureRestart kills a scheduler and starts it with no known list.
+// measureRestart kills a scheduler and starts it again without a known list.
 func measureRestart(m *measurement, _ float64) error {
 	if _, err := m.measureRest(); err != nil {
 		return err
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// measureZoneLoss has a zone's workers go, off the list too, and come back cold, under a load.
+// measureZoneLoss stops a zone's workers and removes them from the list, and then restarts them cold, under load.
 func measureZoneLoss(m *measurement, count float64) error {
 	if _, err := m.measureRest(); err != nil {
 		return err
@@ -206,24 +207,24 @@
 	return m.mergeRecoveryFigures(from, gone+back)
 }
 
-// measureDiscoveryLoss has discovery away for a while; the list changes meanwhile, worker by worker.
+// measureDiscoveryLoss makes discovery unavailable for a while, during which the list changes worker by worker.
 func measureDiscoveryLoss(m *measurement, changes float64) error {
 	if _, err := m.measureRest(); err != nil {
 		return err
 	}
 	m.discovery.SetDown(true)
 	for number := range int(changes) {
-		at := number / 2
+		worker := number / 2
 		status := discovery.Removed
 		if number%2 == 1 {
 			status = discovery.Up
-			m.workers.Restart(at, time.Now())
+			m.workers.Restart(worker, time.Now())
 		}
-		if err := m.discovery.Update(m.workers.Entry(at, status)); err != nil {
+		if err := m.discovery.Update(m.workers.Entry(worker, status)); err != nil {
 			return err
 		}
 	}
-	// A worker more goes at the end, so that the count of workers tells when the last change is known.
+	// One more worker is removed at the end, so that the number of workers shows when the last change is known.
 	if err := m.discovery.Update(m.workers.Entry(m.setup.workers-1, discovery.Removed)); err != nil {
 		return err
 	}
@@ -243,5 +244,5 @@
 	return m.mergeRecoveryFigures(from, took)
 }
 
-// awayFor is how long discovery is away.
+// outageDuration is the time for which discovery is unavailable in the full set.
 const outageDuration = time.Minute
--- a/internal/scale/cases_list.go
+++ b/internal/scale/cases_list.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	changeTimeout     = 10 * time.Second // until a change is known
-	freshStartTimeout = 10 * time.Second // until the list is known, where none was
+	changeTimeout     = 10 * time.Second // for a change of the list to be known
+	freshStartTimeout = 10 * time.Second // for the list to be known to a scheduler that started without one
 	steadyDuration    = time.Minute
 )
 
-// measureSteady looks at the second of two minutes by itself.
+// measureSteady measures the second of two minutes by itself.
 func measureSteady(m *measurement, _ float64) error {
 	if _, err := m.measureRest(); err != nil {
 		return err
@@ -35,18 +35,18 @@
 	return nil
 }
 
-// measureListChanges takes single workers off the list and puts them back, at a rate.
+// measureListChanges removes single workers from the list and adds them again, at a rate.
 func measureListChanges(m *measurement, perS float64) error {
 	if _, err := m.measureRest(); err != nil {
 		return err
 	}
 	var applied []time.Duration
 	rng := rand.New(rand.NewPCG(m.seed, 0x6368616e6765))
-	length := m.duration(3*time.Second, 12*time.Second)
+	duration := m.duration(3*time.Second, 12*time.Second)
 	change := func(ctx context.Context) error {
 		tick := time.NewTicker(time.Duration(float64(time.Second) / perS))
 		defer tick.Stop()
-		off := -1
+		removed := -1
 		for {
 			select {
 			case <-tick.C:
@@ -54,12 +54,12 @@
 				return nil
 			}
 			entry := discovery.Entry{}
-			if off < 0 {
-				off = rng.IntN(m.setup.workers)
-				entry = m.workers.Entry(off, discovery.Removed)
+			if removed < 0 {
+				removed = rng.IntN(m.setup.workers)
+				entry = m.workers.Entry(removed, discovery.Removed)
 			} else {
-				entry = m.workers.Entry(off, discovery.Up)
-				off = -1
+				entry = m.workers.Entry(removed, discovery.Up)
+				removed = -1
 			}
 			took, err := m.changeAndWait(entry)
 			if err != nil {
@@ -69,7 +69,7 @@
 		}
 	}
 	err := m.withPings(func() error {
-		_, w, err := m.runLoad(m.shortLoad(startsPerS, length), change)
+		_, w, err := m.runLoad(m.shortLoad(startsPerS, duration), change)
 		m.figures["list_changes"] = float64(len(applied))
 		m.figures["window_s"] = w.seconds
 		return err
@@ -78,7 +78,7 @@
 	return err
 }
 
-// changeAndWait changes entries of the list as one and gives the time until the first scheduler knows it.
+// changeAndWait changes entries in one version of the list and returns the time until the first scheduler knows it.
 func (m *measurement) changeAndWait(entries ...discovery.Entry) (time.Duration, error) {
 	from := time.Now()
 	if err := m.discovery.Update(entries...); err != nil {
@@ -93,16 +93,16 @@
 	}
 }
 
-// measureZoneChange takes many workers off the list at once and puts them back, twice.
+// measureZoneChange removes many workers from the list at once and adds them again, twice.
 func measureZoneChange(m *measurement, count float64) error {
 	if _, err := m.measureRest(); err != nil {
 		return err
 	}
 	var applied []time.Duration
-	length := m.duration(3*time.Second, 8*time.Second)
+	duration := m.duration(3*time.Second, 8*time.Second)
 	change := func(ctx context.Context) error {
 		for round := range 4 {
-			if err := m.pause(length / 6); err != nil || ctx.Err() != nil {
+			if err := m.pause(duration / 6); err != nil || ctx.Err() != nil {
 				return err
 			}
 			status := discovery.Removed
@@ -118,14 +118,14 @@
 		return nil
 	}
 	err := m.withPings(func() error {
-		_, _, err := m.runLoad(m.shortLoad(startsPerS, length), change)
+		_, _, err := m.runLoad(m.shortLoad(startsPerS, duration), change)
 		return err
 	})
 	m.mergeAppliedFigures(applied)
 	return err
 }
 
-// entries are those of the first workers.
+// firstEntries returns the entries of the first workers, with a status.
 func (m *measurement) firstEntries(count int, status discovery.Status) (list []discovery.Entry) {
 	for number := range min(count, m.setup.workers) {
 		list = append(list, m.workers.Entry(number, status))
@@ -133,7 +133,8 @@
 	return list
 }
 
-// measureFreshStart waits for the list of a scheduler that was started with none, and has it serve.
+// measureFreshStart waits until a scheduler that started without a list knows it, and checks that the scheduler then
+// serves jobs.
 func measureFreshStart(m *measurement, _ float64) error {
 	began := time.Now()
 	took, err := m.waitWorkerCount(m.schedulers[0], m.setup.workers, began, freshStartTimeout)
--- a/internal/scale/hollow/candidates.go
+++ b/internal/scale/hollow/candidates.go
@@ -12,17 +12,17 @@
 // Candidate is a way of dividing the worker list among the schedulers.
 type Candidate struct {
 	Name      string
-	Directory func(f *Fleet) world.Directory // nil: none
-	Ownership *ownership.Settings            // package ownership; nil: not
+	Directory func(f *Fleet) world.Directory // nil: each scheduler has the whole list
+	Ownership *ownership.Settings            // divides the list by package ownership; nil: it does not
 }
 
-// ownershipSettings divide fleets of any size, with messages between schedulers or without, and the schedulers of a
-// worker's zone before others or not.
+// ownershipSettings returns settings that divide fleets of any size. The parameter heartbeats enables messages between
+// schedulers, and near prefers the schedulers of a worker's zone.
 func ownershipSettings(heartbeats, near bool) *ownership.Settings {
 	return &ownership.Settings{MinShare: 1, UsesHeartbeats: heartbeats, PrefersOwnZone: near, SlowStartWindow: coldDuration}
 }
 
-// Candidates are those that are compared.
+// Candidates returns the candidates that are compared.
 func Candidates() []Candidate {
 	return []Candidate{
 		{Name: "whole list"},
@@ -40,95 +40,96 @@
 	}
 }
 
-// rendezvous gives each worker to the first schedulers of an order found by rendezvous hashing over the live ones.
+// rendezvous assigns each worker to the first live schedulers in the order of rendezvous hashing.
 type rendezvous struct {
 	fleet   *Fleet
-	holders int
-	near    bool // the schedulers of the worker's zone come first, then those of its region
-	// shares holds the shares of all schedulers for the memberships that were asked for last.
+	holders int  // schedulers per worker
+	near    bool // schedulers of the worker's zone come first, then those of its region
+	// shares caches the shares of all schedulers by membership, with one byte per scheduler in the key.
 	shares map[string][][]int
 }
 
-// mostMemberships bounds the memberships whose shares are kept; past it all are forgotten.
+// maxCachedMemberships limits the cache of shares; the cache is cleared when it is full.
 const maxCachedMemberships = 16
 
 func newRendezvous(f *Fleet, holders int, near bool) *rendezvous {
 	return &rendezvous{fleet: f, holders: min(holders, f.Schedulers), near: near, shares: map[string][][]int{}}
 }
 
-// Holders is part of world.Directory.
-func (o *rendezvous) Holders() int { return o.holders }
+// Holders implements world.Directory.
+func (r *rendezvous) Holders() int { return r.holders }
 
-// Share is part of world.Directory.
-func (o *rendezvous) Share(scheduler int, alive []bool) []int {
+// Share implements world.Directory.
+func (r *rendezvous) Share(scheduler int, alive []bool) []int {
 	key := make([]byte, len(alive))
-	for i, a := range alive {
-		if a {
+	for i, isAlive := range alive {
+		if isAlive {
 			key[i] = 1
 		}
 	}
-	shares, known := o.shares[string(key)]
+	shares, known := r.shares[string(key)]
 	if !known {
-		if len(o.shares) >= maxCachedMemberships {
-			clear(o.shares)
+		if len(r.shares) >= maxCachedMemberships {
+			clear(r.shares)
 		}
-		shares = o.divide(alive)
-		o.shares[string(key)] = shares
+		shares = r.divide(alive)
+		r.shares[string(key)] = shares
 	}
 	return shares[scheduler]
 }
 
-// holder is a live scheduler in the order of a worker: the nearest first, and among these the highest weight.
+// holder is a live scheduler in the order of a worker: by distance, then by descending weight.
 type holder struct {
 	scheduler int
 	distance  int
 	weight    uint64
 }
 
-func (o *rendezvous) divide(alive []bool) [][]int {
+// divide returns the workers of each scheduler for a membership.
+func (r *rendezvous) divide(alive []bool) [][]int {
 	shares := make([][]int, len(alive))
 	order := make([]holder, 0, len(alive))
-	for worker := range o.fleet.Workers() {
+	for worker := range r.fleet.Workers() {
 		order = order[:0]
 		hash := splitmix64(uint64(worker) + 1)
-		for scheduler, a := range alive {
-			if a {
-				order = append(order, holder{scheduler, o.distance(worker, scheduler), splitmix64(hash ^ splitmix64(uint64(scheduler)))})
+		for scheduler, isAlive := range alive {
+			if isAlive {
+				order = append(order, holder{scheduler, r.distance(worker, scheduler), splitmix64(hash ^ splitmix64(uint64(scheduler)))})
 			}
 		}
 		slices.SortFunc(order, func(a, b holder) int {
 			return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(b.weight, a.weight))
 		})
-		for _, h := range order[:min(o.holders, len(order))] {
+		for _, h := range order[:min(r.holders, len(order))] {
 			shares[h.scheduler] = append(shares[h.scheduler], worker)
 		}
 	}
 	return shares
 }
 
-// distance is 0 in one zone, 1 in one region, and 2 else.
-func (o *rendezvous) distance(worker, scheduler int) int {
-	if !o.near {
+// distance returns 0 within a zone, 1 within a region and 2 otherwise. Without near, it is always 0.
+func (r *rendezvous) distance(worker, scheduler int) int {
+	if !r.near {
 		return 0
 	}
-	at, own := o.fleet.zoneOf(worker), world.ZoneOf(scheduler, o.fleet.Zones)
+	workerZone, schedulerZone := r.fleet.zoneOf(worker), world.ZoneOf(scheduler, r.fleet.Zones)
 	switch {
-	case at == own:
+	case workerZone == schedulerZone:
 		return 0
-	case o.fleet.regionOf(at) == o.fleet.regionOf(own):
+	case r.fleet.regionOf(workerZone) == r.fleet.regionOf(schedulerZone):
 		return 1
 	}
 	return 2
 }
 
-// equalShares deals the workers out in turn: what one holder each could reach with shares of one size. It takes all
-// members to be alive.
+// equalShares deals the workers to the schedulers in turn, one holder each: the result of an ideal division into equal
+// shares. It assumes that all members are alive.
 type equalShares struct{ fleet *Fleet }
 
-// Holders is part of world.Directory.
+// Holders implements world.Directory.
 func (e equalShares) Holders() int { return 1 }
 
-// Share is part of world.Directory.
+// Share implements world.Directory.
 func (e equalShares) Share(scheduler int, alive []bool) (share []int) {
 	for worker := scheduler; worker < e.fleet.Workers(); worker += len(alive) {
 		share = append(share, worker)
@@ -136,8 +137,8 @@
 	return share
 }
 
-// partialView gives a scheduler the workers that the keys of its jobs point to on the ring of the decisions: the first
-// workers of each key, and the first of the scheduler's own zone, which the decisions look at as well.
+// partialView gives a scheduler the workers that the keys of its jobs map to on the hash ring of package rules: the
+// first workers of each key, and the first ones in the scheduler's own zone, which the rules sample as well.
 type partialView struct {
 	fleet *Fleet
 	ring  []ringPoint
@@ -148,7 +149,7 @@
 	worker int
 }
 
-// The sample of the decisions and the points of a worker on their ring, as package rules has them.
+// Sample sizes and ring points per worker, equal to those of package rules.
 const (
 	sampleSize    = 4
 	ownZoneSample = 2
@@ -167,10 +168,10 @@
 	return v
 }
 
-// Holders is part of world.Directory: the keys of any scheduler may point to a worker.
+// Holders implements world.Directory. The keys of any scheduler may map to a worker.
 func (v *partialView) Holders() int { return v.fleet.Schedulers }
 
-// Share is part of world.Directory. The view is taken to be warm: all keys that come to the scheduler have been used.
+// Share implements world.Directory. It assumes that all keys that reach the scheduler have been used.
 func (v *partialView) Share(scheduler int, _ []bool) []int {
 	taken := make([]bool, v.fleet.Workers())
 	for key := range v.fleet.Keys {
@@ -179,45 +180,46 @@
 		}
 	}
 	var share []int
-	for worker, is := range taken {
-		if is {
+	for worker, isTaken := range taken {
+		if isTaken {
 			share = append(share, worker)
 		}
 	}
 	return share
 }
 
+// receivesKey reports whether jobs with the key reach the scheduler.
 func (v *partialView) receivesKey(key, scheduler int) bool {
 	return v.fleet.Traffic != world.ByKey || slices.Contains(world.SchedulersOf(key, v.fleet.Schedulers, schedulersPerKey), scheduler)
 }
 
-// take marks the workers that a key points to.
+// markWorkers marks the workers that a key maps to.
 func (v *partialView) markWorkers(key, zone int, taken []bool) {
-	at, _ := slices.BinarySearchFunc(v.ring, splitmix64(world.Key(key)), func(p ringPoint, hash uint64) int { return cmp.Compare(p.at, hash) })
-	any, own := 0, 0
+	position, _ := slices.BinarySearchFunc(v.ring, splitmix64(world.Key(key)), func(p ringPoint, hash uint64) int { return cmp.Compare(p.at, hash) })
+	sampled, sampledInZone := 0, 0
 	seen := map[int]bool{}
 	for range len(v.ring) {
-		if any >= sampleSize && own >= ownZoneSample {
+		if sampled >= sampleSize && sampledInZone >= ownZoneSample {
 			return
 		}
-		worker := v.ring[at%len(v.ring)].worker
-		at++
+		worker := v.ring[position%len(v.ring)].worker
+		position++
 		if seen[worker] {
 			continue
 		}
 		seen[worker] = true
-		near := v.fleet.zoneOf(worker) == zone
-		if any < sampleSize || near && own < ownZoneSample {
+		isInZone := v.fleet.zoneOf(worker) == zone
+		if sampled < sampleSize || isInZone && sampledInZone < ownZoneSample {
 			taken[worker] = true
 		}
-		any++
-		if near {
-			own++
+		sampled++
+		if isInZone {
+			sampledInZone++
 		}
 	}
 }
 
-// mix is the finaliser of splitmix64, and workerHash FNV-1a with it: where package rules puts a worker on its ring.
+// splitmix64 is the finalizer of the splitmix64 generator. Package rules uses it to place workers on its hash ring.
 func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -225,6 +227,7 @@
 	return x ^ x>>31
 }
 
+// workerHash is FNV-1a followed by splitmix64, as in package rules.
 func workerHash(id rules.WorkerID) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(id) {
--- a/internal/scale/hollow/compare.go
+++ b/internal/scale/hollow/compare.go
@@ -12,32 +12,32 @@
 	"cobaltflow/rules"
 )
 
-// Comparison plays candidates side by side.
+// Comparison simulates candidates with the same fleets and writes their figures as a table.
 type Comparison struct {
-	SizeDivisor        int    // of the full size
+	SizeDivisor        int    // divides the planned numbers of workers and keys
 	Tasks              string // Short, Long or Mixed
-	Traffic            string // names by commas; empty: all
-	Candidates         string // the same
+	Traffic            string // names separated by commas; empty: all
+	Candidates         string // names separated by commas; empty: all
 	ProbeCosts         []float64
 	Seeds              int
-	Parallel           int
-	Schedulers         int // 0: as many as at the full size
-	HotSchedulerFactor float64
+	Parallel           int     // simulations that run at the same time
+	Schedulers         int     // 0: the planned number
+	HotSchedulerFactor float64 // see Fleet
 	TargetStretch      float64 // of the classes of long tasks; 0: the default
 	Load               float64 // 0: the default
-	WarmUpS, DurationS float64 // begin and end of what is counted, in seconds; 0: the defaults
-	ConnectionIdleS    float64 // for which a connection is kept, in seconds
+	WarmUpS, DurationS float64 // see Fleet, in seconds; 0: the defaults
+	ConnectionIdleS    float64 // how long an idle connection is kept, in seconds
 }
 
-// ErrNothing tells that the names given fit nothing.
-var ErrNoMatch = errors.New("hollow: nothing to compare")
+// ErrNoMatch reports that no candidate or traffic has the given name.
+var ErrNoMatch = errors.New("hollow: no candidate or traffic matches the given names")
 
-// trafficNames are the kinds of traffic in the order in which they are played.
+// trafficNames lists the kinds of traffic in the order of the table.
 var trafficNames = []string{"evenly", "key", "zone"}
 
 var trafficByName = map[string]world.Traffic{"evenly": world.Evenly, "key": world.ByKey, "zone": world.ByZone}
 
-// case is one row: a fleet under a candidate, over all seeds.
+// row is a row of the table: a fleet with a candidate, over all seeds.
 type row struct {
 	traffic   string
 	candidate Candidate
@@ -46,22 +46,23 @@
 	err       error
 }
 
-// chosen tells whether a name is among names by commas; all are where there are none.
+// isSelected reports whether name is in a list of names separated by commas, or the list is empty.
 func isSelected(names, name string) bool {
 	return names == "" || slices.Contains(strings.Split(names, ","), name)
 }
 
+// selectRows returns the selected combinations of traffic, candidate and probe cost.
 func (c *Comparison) selectRows() []*row {
-	prices := c.ProbeCosts
-	if len(prices) == 0 {
-		prices = []float64{defaultProbeCost}
+	costs := c.ProbeCosts
+	if len(costs) == 0 {
+		costs = []float64{defaultProbeCost}
 	}
 	var rows []*row
 	for _, traffic := range trafficNames {
 		for _, candidate := range Candidates() {
-			for _, price := range prices {
+			for _, cost := range costs {
 				if isSelected(c.Traffic, traffic) && isSelected(c.Candidates, candidate.Name) {
-					rows = append(rows, &row{traffic: traffic, candidate: candidate, probeCost: price})
+					rows = append(rows, &row{traffic: traffic, candidate: candidate, probeCost: cost})
 				}
 			}
 		}
@@ -69,7 +70,8 @@
 	return rows
 }
 
-// Write plays all and writes a table, each row as soon as it and those before it are there.
+// Write runs all simulations and writes the table. A row is written as soon as it and all rows before it are complete.
+// It returns ErrNoMatch if the names select no row.
 func (c *Comparison) Write(out io.Writer) error {
 	rows := c.selectRows()
 	if len(rows) == 0 {
@@ -94,7 +96,8 @@
 	return nil
 }
 
-// inOrder does n pieces of work, begun in order and so many at a time, and gives for each what is closed at its end.
+// runInOrder calls do for 0 to n-1, started in order and at most atOnce at a time. It returns a channel for each call
+// that is closed when the call ends.
 func runInOrder(n, atOnce int, do func(i int)) (done []chan struct{}) {
 	for range n {
 		done = append(done, make(chan struct{}))
@@ -117,6 +120,7 @@
 	return done
 }
 
+// playRow simulates a row with all seeds and stops at the first error.
 func (c *Comparison) playRow(r *row, f Fleet) {
 	f.Traffic, f.ProbeCost, f.HotSchedulerFactor = trafficByName[r.traffic], r.probeCost, c.HotSchedulerFactor
 	f.ConnectionIdle = rules.Time(c.ConnectionIdleS * float64(second))
@@ -131,7 +135,7 @@
 	}
 }
 
-// String gives the row, its figures as means over the seeds.
+// String formats the row with the means of its figures over the seeds.
 func (r *row) String() string {
 	mean := map[string]float64{}
 	for i := range r.outcomes {
--- a/internal/scale/hollow/fleet.go
+++ b/internal/scale/hollow/fleet.go
@@ -1,6 +1,7 @@
-// Package hollow measures many schedulers in one process, in virtual time: the decisions of package rules before the
-// workers of package world, without sockets. It sets up fleets of the size to design for and parts of it, plays them
-// under several ways of dividing the worker list, and gives runs and slopes in the form of package result.
+// Package hollow simulates many schedulers in one process, in virtual time: the decisions of package rules with the
+// simulated workers of package world, without sockets. It sets up fleets of the planned size and fractions of it,
+// simulates them under several ways of dividing the worker list, and returns runs and slopes in the form of package
+// result. Command "measure hollow" calls it.
 package hollow
 
 import (
@@ -10,7 +11,7 @@
 	"cobaltflow/rules"
 )
 
-// The size to design for.
+// The planned size.
 const (
 	fullSchedulers     = 32
 	fullZones          = 19
@@ -20,21 +21,21 @@
 	fullKeys           = 20_000
 )
 
-// Lengths of time, in microseconds.
+// Durations, in microseconds.
 const (
 	millisecond rules.Time = 1_000
 	second      rules.Time = 1_000_000
 	minute                 = 60 * second
 )
 
-// Tasks tells how long the jobs of a fleet run, in the mean. Running times are exponential.
+// Tasks selects the mean running time of a fleet's jobs. Running times are exponentially distributed.
 type Tasks string
 
-// The kinds of jobs.
+// Kinds of jobs.
 const (
 	Short Tasks = "short" // 0.5 s
 	Long  Tasks = "long"  // 188 s
-	Mixed Tasks = "mixed" // as many short ones as long ones
+	Mixed Tasks = "mixed" // half of the jobs short, half long
 )
 
 // Mean running times, in microseconds.
@@ -43,7 +44,7 @@
 	longMeanRun  = 188_000_000.0
 )
 
-// Fleet is what is played. The zero value of a field that has a default stands for it.
+// Fleet describes the simulated schedulers, workers and load. NewFleet returns one with the defaults.
 type Fleet struct {
 	Schedulers         int
 	Zones, Regions     int
@@ -51,51 +52,51 @@
 	Slots              int
 	Keys               int
 	Skew               float64 // exponent of the Zipf law of the keys
-	Load               float64
+	Load               float64 // arriving work as a fraction of the capacity of all slots
 	Tasks              Tasks
 	Traffic            world.Traffic
-	TargetStretch      float64 // of the classes of long tasks: how far the aim grows with the own running time
-	HotSchedulerFactor float64 // see world.Setup
-	ProbeCost          float64 // of the decisions; below 0: probes are forbidden
-	WarmUp, Duration   rules.Time
-	ConnectionIdle     rules.Time
-	RestartsPerS       float64
+	TargetStretch      float64    // of the classes of long tasks: growth of the latency target per unit of running time
+	HotSchedulerFactor float64    // load of a tenth of the schedulers over that of the others; 0: equal loads
+	ProbeCost          float64    // in the rules' settings; below 0: probes are disabled
+	WarmUp, Duration   rules.Time // WarmUp: time before counting starts; Duration: total simulated time
+	ConnectionIdle     rules.Time // how long an idle connection to a worker is kept; 0: not kept
+	RestartsPerS       float64    // workers that drain and restart
 	Faults             []world.Fault
 	Seed               uint64
 }
 
-// Defaults of the model, which the measurement page names.
+// Defaults of the model.
 const (
 	defaultProbeCost           = 0.0018
 	crossZoneCost              = 0.13
 	schedulersPerKey           = 2
 	connectionIdle             = 48 * second
-	shortWindow                = 10 * second
-	longWindow                 = 300 * second
-	queueLimit                 = 1000
-	maxSlots                   = 64
+	shortFetchWindow           = 10 * second // of the count of jobs that come to a worker as the first of their key
+	longFetchWindow            = 300 * second
+	queueLimit                 = 1000 // jobs that wait at a worker
+	maxSlots                   = 64   // of a worker
 	defaultSkew                = 0.9
 	defaultLoad                = 0.8
 	longTargetStretch          = 1.2
-	longSamplePeriod           = second // at workers whose tasks run for minutes
+	longSamplePeriod           = second // of workers whose tasks run for minutes
 	shortSamplePeriod          = 50 * millisecond
-	minDetectDelay             = 5 * second // after which a change of members is known
+	minDetectDelay             = 5 * second // until a change of members is known
 	maxDetectDelay             = 7 * second
-	minListDelay               = 200 * millisecond // after which a change of the list is known
+	minListDelay               = 200 * millisecond // until a change of the list is known
 	maxListDelay               = second
 	longRamp                   = minute
 	longWarmUp, longDuration   = 5 * minute, 8 * minute
 	shortWarmUp, shortDuration = 8 * second, 20 * second
 	slowStartWindow            = 8_900 * millisecond
-	coldDuration               = slowStartWindow + second // with the time after which a worker is pushed over
+	coldDuration               = slowStartWindow + second // slow start plus the overload window of the rules
 	restartDuration            = 10 * second
 )
 
-// Sized gives a fleet whose workers and keys are one part of so many of those of the size to design for. Schedulers,
-// zones and slots stay: so a scheduler sees a worker as seldom as at the full size.
-func NewFleet(part int, tasks Tasks) Fleet {
-	f := Fleet{Schedulers: fullSchedulers, Zones: fullZones, Regions: fullRegions, WorkersPerZone: max(1, fullWorkersPerZone/part), Slots: fullSlots,
-		Keys: max(1, fullKeys/part), Skew: defaultSkew, Load: defaultLoad, Tasks: tasks, ProbeCost: defaultProbeCost, TargetStretch: longTargetStretch,
+// NewFleet returns a fleet whose workers and keys are the planned numbers divided by divisor. Schedulers, zones and
+// slots are those of the planned size, so a scheduler sees a worker as rarely as at the full size.
+func NewFleet(divisor int, tasks Tasks) Fleet {
+	f := Fleet{Schedulers: fullSchedulers, Zones: fullZones, Regions: fullRegions, WorkersPerZone: max(1, fullWorkersPerZone/divisor), Slots: fullSlots,
+		Keys: max(1, fullKeys/divisor), Skew: defaultSkew, Load: defaultLoad, Tasks: tasks, ProbeCost: defaultProbeCost, TargetStretch: longTargetStretch,
 		WarmUp: longWarmUp, Duration: longDuration, ConnectionIdle: connectionIdle, Seed: 1}
 	if tasks == Short {
 		f.WarmUp, f.Duration = shortWarmUp, shortDuration
@@ -103,22 +104,22 @@
 	return f
 }
 
-// Workers is the number of workers.
+// Workers returns the number of workers.
 func (f *Fleet) Workers() int { return f.Zones * f.WorkersPerZone }
 
-// regionOf is the region of a zone: neighbours share one.
+// regionOf returns the region of a zone. Consecutive zones share a region.
 func (f *Fleet) regionOf(zone int) int { return zone * f.Regions / f.Zones }
 
-// zoneOf is the zone of the worker at a place.
+// zoneOf returns the zone of a worker, from its index.
 func (f *Fleet) zoneOf(worker int) int { return worker / f.WorkersPerZone }
 
-// setup makes what the model plays.
+// worldSetup returns the setup of the simulation.
 func (f *Fleet) worldSetup() world.Setup {
 	s := world.Setup{Schedulers: f.Schedulers, Run: shortMeanRun, Load: f.Load, Keys: f.Keys, Skew: f.Skew, Unlike: f.HotSchedulerFactor, Queue: queueLimit,
 		ReportAge: world.Span{Least: 470 * millisecond, Most: 700 * millisecond}, ReportLate: world.Span{Least: 100 * millisecond, Most: 200 * millisecond},
 		Noise: 0.05, Net: world.Span{Least: 100, Most: 300}, Warm: f.WarmUp, For: f.Duration, Seed: f.Seed,
 		Traffic: f.Traffic, SchedulersPerKey: schedulersPerKey, SampleEvery: shortSamplePeriod, CountRunning: true, ConnectionIdle: f.ConnectionIdle,
-		FetchWindows: []rules.Time{shortWindow, longWindow}, ListLate: world.Span{Least: minListDelay, Most: maxListDelay}, Detect: world.Span{Least: minDetectDelay, Most: maxDetectDelay},
+		FetchWindows: []rules.Time{shortFetchWindow, longFetchWindow}, ListLate: world.Span{Least: minListDelay, Most: maxListDelay}, Detect: world.Span{Least: minDetectDelay, Most: maxDetectDelay},
 		Faults: f.Faults, RestartsPerS: f.RestartsPerS, RestartTakes: restartDuration, Rules: f.rules()}
 	for zone := range f.Zones {
 		s.Workers = append(s.Workers, world.Worker{Count: f.WorkersPerZone, Slots: f.Slots, Zone: zone})
@@ -141,8 +142,8 @@
 		CrossZoneCost: crossZoneCost, Classes: f.classes()}
 }
 
-// classes are three: urgent, usual, and one whose jobs may run once only. Long tasks may wait for as long as urgent
-// work at the size to design for (1 s), and more where there is time.
+// classes returns three classes: urgent, normal, and one whose jobs must not run twice. Long tasks may wait for as long
+// as urgent work at the planned size (1 s), and longer if their class allows it.
 func (f *Fleet) classes() []rules.Class {
 	short := []rules.Class{
 		{LatencyTarget: 500 * millisecond, TargetStretch: 2, Deadline: 5 * second, Value: 3, LateValue: 0.25, Effect: rules.Repeatable, Kind: -1},
@@ -161,15 +162,15 @@
 	return long
 }
 
-// Check tells what is wrong with a fleet; nil: nothing.
+// Validate returns an error if the fleet cannot be simulated.
 func (f *Fleet) Validate() error {
 	switch {
 	case f.Schedulers < 1 || f.Zones < 1 || f.WorkersPerZone < 1 || f.Slots < 1 || f.Slots > maxSlots:
-		return fmt.Errorf("hollow: %d schedulers, %d zones of %d workers of %d slots are no fleet", f.Schedulers, f.Zones, f.WorkersPerZone, f.Slots)
+		return fmt.Errorf("hollow: invalid fleet: %d schedulers, %d zones, %d workers per zone, %d slots per worker", f.Schedulers, f.Zones, f.WorkersPerZone, f.Slots)
 	case f.Load <= 0 || f.Load > 2:
-		return fmt.Errorf("hollow: a load of %g is not over 0 and at most 2", f.Load)
+		return fmt.Errorf("hollow: load %g is not above 0 and at most 2", f.Load)
 	case f.WarmUp >= f.Duration:
-		return fmt.Errorf("hollow: nothing is counted between %d and %d us", f.WarmUp, f.Duration)
+		return fmt.Errorf("hollow: warm-up of %d us does not end before the end of the simulation at %d us", f.WarmUp, f.Duration)
 	}
 	return nil
 }
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -12,7 +12,7 @@
 	"cobaltflow/internal/world"
 )
 
-// small is a fleet that is played within seconds: shares of 32 workers, and tasks that run for minutes.
+// smallFleet returns a fleet that is simulated within seconds: shares of 32 workers, and tasks that run for minutes.
 func smallFleet() Fleet {
 	return Fleet{Schedulers: 8, Zones: 4, Regions: 2, WorkersPerZone: 64, Slots: 8, Keys: 200, Skew: defaultSkew, Load: defaultLoad, Tasks: Long,
 		ProbeCost: defaultProbeCost, TargetStretch: 2, WarmUp: 3 * minute, Duration: 5 * minute, ConnectionIdle: connectionIdle, Seed: 1}
@@ -27,7 +27,7 @@
 	return o
 }
 
-func TestTheSameSeedGivesTheSameCounts(t *testing.T) {
+func TestSameSeedGivesTheSameCounts(t *testing.T) {
 	for _, name := range []string{"whole list", "package ownership", "partial view"} {
 		f := smallFleet()
 		f.WarmUp, f.Duration = 20*second, 50*second
@@ -38,8 +38,9 @@
 	}
 }
 
-// Each worker has as many holders as asked for, whoever is alive, and its zone's schedulers come first.
-func TestRendezvousHasEachWorkerHeld(t *testing.T) {
+// Each worker has the configured number of holders, whichever schedulers are alive, and the schedulers of its zone come
+// first.
+func TestRendezvousAssignsEachWorkerItsHolders(t *testing.T) {
 	f := smallFleet()
 	for _, holders := range []int{1, 2, 4} {
 		o := newRendezvous(&f, holders, true)
@@ -60,8 +61,8 @@
 	}
 }
 
-// A member's death moves its own workers only.
-func TestRendezvousMovesTheWorkersOfTheDeadOnly(t *testing.T) {
+// The failure of a member moves only its own workers.
+func TestRendezvousMovesOnlyTheWorkersOfADeadScheduler(t *testing.T) {
 	f := smallFleet()
 	o := newRendezvous(&f, 1, false)
 	all := []bool{true, true, true, true, true, true, true, true}
@@ -71,8 +72,9 @@
 	assert.Greater(t, len(after), len(before))
 }
 
-// Where any scheduler gets any key, the workers that its keys point to are nearly all there are; by key they are few.
-func TestPartialViewIsPartialByKeyOnly(t *testing.T) {
+// If any scheduler receives any key, its keys map to nearly all workers. If keys are bound to schedulers, they map to
+// few.
+func TestPartialViewIsSmallOnlyWithTrafficByKey(t *testing.T) {
 	f := smallFleet()
 	f.Schedulers = 32
 	alive := make([]bool, f.Schedulers)
@@ -83,8 +85,9 @@
 	assert.Less(t, byKey, whole*4/10)
 }
 
-// One owner each: few connections and probes, and all but as much worth as with the whole list.
-func TestOwnersConnectAndProbeLittle(t *testing.T) {
+// With one owner per worker there are few connections and probes, and the value of the served jobs is at most 0.01 less
+// than with the whole list.
+func TestOwnershipReducesConnectionsAndProbes(t *testing.T) {
 	whole, owned := simulateCandidate(t, smallFleet(), "whole list"), simulateCandidate(t, smallFleet(), "package ownership")
 	assert.Greater(t, whole.Counts.Probes, 0.5)
 	assert.Greater(t, whole.Counts.NewConnections, 2*owned.Counts.NewConnections)
@@ -95,13 +98,13 @@
 	for _, n := range owned.Counts.Held {
 		held += n
 	}
-	assert.InDelta(t, owned.Fleet.Workers(), held, 8, "one owner each, but for those that just move")
+	assert.InDelta(t, owned.Fleet.Workers(), held, 8, "one owner each, except for workers that are being moved")
 	assert.Zero(t, owned.Counts.UnheldAtEnd)
 }
 
-// Whatever happens to members or zones: no worker is lost for good, no job that may run once runs twice, no cold worker
-// is pushed over by all schedulers together.
-func TestRecoveries(t *testing.T) {
+// Whatever fault hits members or zones: no worker stays without a holder, no job that must not run twice does, and the
+// schedulers together do not overload a cold worker.
+func TestNoFaultLosesWorkersOrRepeatsJobs(t *testing.T) {
 	c, err := FindCandidate("package ownership")
 	require.NoError(t, err)
 	for _, r := range Recoveries() {
@@ -118,13 +121,14 @@
 		}
 		if strings.HasPrefix(r.Name, "member killed") {
 			assert.Positive(t, o.Counts.Lost)
-			assert.Positive(t, o.Counts.Held[3], "it is back")
+			assert.Positive(t, o.Counts.Held[3], "the killed member holds workers again")
 		}
 	}
 }
 
-// What a scheduler holds grows with the fleet as a whole list does, or with its share.
-func TestSlopesOfWorkersHeld(t *testing.T) {
+// The number of workers that a scheduler holds grows with the whole list, or with its share of the list under package
+// ownership.
+func TestHeldWorkersGrowWithTheListOrTheShare(t *testing.T) {
 	whole, err := FindCandidate("whole list")
 	require.NoError(t, err)
 	owned, err := FindCandidate("package ownership")
@@ -148,7 +152,7 @@
 	assert.Equal(t, result.Hollow, line.Kind)
 }
 
-func TestComparisonAsATable(t *testing.T) {
+func TestComparisonWritesATable(t *testing.T) {
 	var out bytes.Buffer
 	c := Comparison{SizeDivisor: 1000, Tasks: "short", Traffic: "evenly", Candidates: "whole list,equal shares", Seeds: 1, Schedulers: 2, Load: 0.05, Parallel: 2}
 	require.NoError(t, c.Write(&out))
@@ -158,10 +162,10 @@
 	assert.ErrorIs(t, c.Write(&out), ErrNoMatch)
 }
 
-func TestFaultyFleets(t *testing.T) {
-	for _, spoil := range []func(*Fleet){func(f *Fleet) { f.Schedulers = 0 }, func(f *Fleet) { f.Load = 0 }, func(f *Fleet) { f.Duration = f.WarmUp }, func(f *Fleet) { f.Slots = maxSlots + 1 }} {
+func TestInvalidFleetsAreRejected(t *testing.T) {
+	for _, invalidate := range []func(*Fleet){func(f *Fleet) { f.Schedulers = 0 }, func(f *Fleet) { f.Load = 0 }, func(f *Fleet) { f.Duration = f.WarmUp }, func(f *Fleet) { f.Slots = maxSlots + 1 }} {
 		f := smallFleet()
-		spoil(&f)
+		invalidate(&f)
 		_, err := Simulate(f, Candidate{})
 		assert.Error(t, err)
 	}
--- a/internal/scale/hollow/recovery.go
+++ b/internal/scale/hollow/recovery.go
@@ -9,20 +9,20 @@
 	"cobaltflow/rules"
 )
 
-// Recovery is a fault in a fleet.
+// Recovery is a fault scenario: a name and the faults that are injected into a fleet.
 type Recovery struct {
 	Name   string
 	Faults func(f *Fleet) []world.Fault
 }
 
-// Lengths of the faults.
+// Durations of the faults.
 const (
 	outageDuration = minute
 	pauseDuration  = 10 * second
 	splitDuration  = 30 * second
 )
 
-// Recoveries are the faults that are played, after the same fleet without any.
+// Recoveries returns the fault scenarios. The first one has no fault, for comparison.
 func Recoveries() []Recovery {
 	member := 3
 	return []Recovery{
@@ -46,29 +46,29 @@
 	}
 }
 
-// WriteRecoveries plays a fleet under a candidate with each fault and writes a table.
+// WriteRecoveries simulates a fleet with a candidate under each fault scenario and writes a table.
 func WriteRecoveries(out io.Writer, f Fleet, c Candidate) error {
 	fmt.Fprintf(out, "%s: %d schedulers, %d workers, %s tasks, load %.2f\n\n", c.Name, f.Schedulers, f.Workers(), f.Tasks, f.Load)
 	fmt.Fprintln(out, "| fault | worth | refused | failed | lost with a member | twice | wait mean, p99 (s) | longest queue | probes | list entries told | unheld at most, at the end | cold sends over the bound |")
 	fmt.Fprintln(out, "|"+strings.Repeat(" --- |", 12))
 	for _, r := range Recoveries() {
-		played := f
-		played.Faults = r.Faults(&played)
-		o, err := Simulate(played, c)
+		faulty := f
+		faulty.Faults = r.Faults(&faulty)
+		o, err := Simulate(faulty, c)
 		if err != nil {
 			return err
 		}
-		w := &o.Counts
-		jobs := float64(max(1, w.Jobs))
-		fmt.Fprintf(out, "| %s | %.4f | %.4f | %.5f | %d | %d | %.3f, %.2f | %.1f | %.3f | %d | %d, %d | %.2f |\n", r.Name, w.Worth, float64(w.Refused)/jobs,
-			float64(w.Failed)/jobs, w.Lost, w.Twice, w.WaitMean, w.WaitP99, w.QueueLong, w.Probes, w.ListEntries, w.Unheld, w.UnheldAtEnd, w.ColdSends)
+		counts := &o.Counts
+		jobs := float64(max(1, counts.Jobs))
+		fmt.Fprintf(out, "| %s | %.4f | %.4f | %.5f | %d | %d | %.3f, %.2f | %.1f | %.3f | %d | %d, %d | %.2f |\n", r.Name, counts.Worth, float64(counts.Refused)/jobs,
+			float64(counts.Failed)/jobs, counts.Lost, counts.Twice, counts.WaitMean, counts.WaitP99, counts.QueueLong, counts.Probes, counts.ListEntries, counts.Unheld, counts.UnheldAtEnd, counts.ColdSends)
 	}
 	return nil
 }
 
-// RecoveryFleet is a fleet with time enough for the faults.
-func RecoveryFleet(part int, tasks Tasks) Fleet {
-	f := NewFleet(part, tasks)
+// RecoveryFleet returns a fleet whose simulated time is long enough for the faults.
+func RecoveryFleet(divisor int, tasks Tasks) Fleet {
+	f := NewFleet(divisor, tasks)
 	if tasks == Short {
 		f.Duration = f.WarmUp + 10*second + outageDuration + 20*rules.Time(second)
 	}
--- a/internal/scale/hollow/play.go
+++ b/internal/scale/hollow/simulate.go
@@ -10,23 +10,23 @@
 	"cobaltflow/internal/world"
 )
 
-// Sizes on the wire, in bytes, by which messages of the model become control bytes.
+// Sizes on the wire in bytes, which convert messages of the model to control traffic.
 const (
-	probeBytes     = 250 // a probe, and the same again its answer
-	datagramBytes  = 28  // of IP and UDP around a message between schedulers; one datagram out goes to all
-	listEntryBytes = 130 // an entry of the worker list, as measured: 4.3 MB for 33,000
+	probeBytes     = 250 // of a probe; its response has the same size
+	datagramBytes  = 28  // IP and UDP headers of a message between schedulers; one datagram is sent for all receivers
+	listEntryBytes = 130 // of an entry of the worker list, as measured: 4.3 MB for 33,000 entries
 )
 
-// Outcome is a played fleet: what the model counted, and what the machine spent on it.
+// Outcome holds the counts of a simulation and the resources that it used.
 type Outcome struct {
 	Fleet        Fleet
 	Candidate    string
 	Counts       world.Figures
-	DecisionTime time.Duration // processor time within the decisions, over all schedulers
-	HeapBytes    uint64        // bytes in use at the end of the run, of schedulers and model together
+	DecisionTime time.Duration // CPU time in the rules, of all schedulers
+	HeapBytes    uint64        // largest sample of heap in use during the run, of schedulers and model together
 }
 
-// Play plays a fleet under a candidate.
+// Simulate runs a fleet with a candidate. It returns an error if the fleet is invalid.
 func Simulate(f Fleet, c Candidate) (Outcome, error) {
 	if err := f.Validate(); err != nil {
 		return Outcome{}, err
@@ -45,7 +45,7 @@
 	return o, nil
 }
 
-// meter estimates the processor time of the calling thread within events, from one in meterEvery of them.
+// meter estimates the CPU time that the calling thread spends in events by measuring one in meterInterval of them.
 type meter struct {
 	cpuTime   time.Duration
 	heapBytes uint64
@@ -53,8 +53,8 @@
 }
 
 const (
-	meterInterval      = 7       // no divisor of the events in a turn of all schedulers
-	heapSampleInterval = 1 << 20 // events after which the heap is looked at
+	meterInterval      = 7       // not a divisor of the events in a turn of all schedulers
+	heapSampleInterval = 1 << 20 // events between two samples of the heap
 )
 
 func (m *meter) measure(decide func()) {
@@ -78,6 +78,7 @@
 	m.heapBytes = max(m.heapBytes, stats.HeapInuse)
 }
 
+// threadTime returns the CPU time of the calling thread, or 0 if the clock cannot be read.
 func threadTime() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t) != nil {
@@ -86,29 +87,29 @@
 	return time.Duration(t.Nano())
 }
 
-// seconds is the length of what was counted.
+// seconds returns the length of the counted time.
 func (o *Outcome) seconds() float64 {
 	return float64(o.Fleet.Duration-o.Fleet.WarmUp) / float64(second)
 }
 
-// perScheduler gives a count as a figure a second of one scheduler.
+// perScheduler converts a count to a rate per second and scheduler.
 func (o *Outcome) perScheduler(count float64) float64 {
 	return count / o.seconds() / float64(o.Fleet.Schedulers)
 }
 
-// peerBytes is what messages between schedulers take in and out of one of them, in bytes a second.
+// peerBytes returns the traffic between schedulers in and out of one of them, in bytes per second.
 func (o *Outcome) peerBytes() float64 {
 	c := &o.Counts
 	in := float64(c.MessageBytes) + c.Messages*float64(c.Jobs)*datagramBytes
 	return o.perScheduler(in + in/float64(max(1, o.Fleet.Schedulers-1)))
 }
 
-// Run gives the outcome as a run of a case.
-func (o *Outcome) AsRun(of, program string, parameters map[string]float64) result.Run {
-	return result.Run{Case: of, Kind: result.Hollow, Seed: o.Fleet.Seed, Program: program, Parameters: parameters, Figures: o.Figures()}
+// AsRun returns the outcome as a run of a case.
+func (o *Outcome) AsRun(caseName, program string, parameters map[string]float64) result.Run {
+	return result.Run{Case: caseName, Kind: result.Hollow, Seed: o.Fleet.Seed, Program: program, Parameters: parameters, Figures: o.Figures()}
 }
 
-// Figures gives the figures by name, with their units at the end.
+// Figures returns the figures by name; each name ends with the unit.
 func (o *Outcome) Figures() map[string]float64 {
 	c := &o.Counts
 	jobs := float64(max(1, c.Jobs))
--- a/internal/scale/hollow/slopes.go
+++ b/internal/scale/hollow/slopes.go
@@ -12,23 +12,23 @@
 // Case varies one parameter of a fleet.
 type Case struct {
 	Name      string
-	Parameter string // its name in runs and slopes
+	Parameter string // name in runs and slopes
 	Values    []float64
-	// Fleet gives the fleet with the parameter at a value.
+	// Fleet returns the fleet for a value of the parameter.
 	Fleet func(value float64) Fleet
 }
 
-// What the cases play.
+// Sizes and durations of the cases.
 const (
 	slopeWarmUp, slopeDuration = 20 * second, 40 * second
 	rampWarmUp, rampDuration   = longRamp, longRamp + 30*second
 	inHandSchedulers           = 4
-	slopeStartsPerS            = 320.0 // a second, over all schedulers, of the cases that hold them
+	slopeStartsPerS            = 320.0 // over all schedulers, in the cases with a constant rate of task starts
 	smallSizeDivisor           = 30
 	defaultSizeDivisor         = 10
 )
 
-// Cases are the slopes of the hollow fleet. Small ones end within seconds; the others are for the command.
+// Cases returns the cases for the slopes of the hollow fleet. The small ones end within seconds.
 func Cases(small bool) []Case {
 	schedulers, workers, changes := []float64{32, 100, 300}, []float64{1_000, 3_000, 10_000, 33_000}, []float64{0.3, 1, 5}
 	inHand := []float64{500, 1_000, 2_000, 4_000}
@@ -48,7 +48,7 @@
 	}
 }
 
-// fleetOfSchedulers has the same workers and jobs whatever the number of its schedulers.
+// fleetOfSchedulers returns a fleet with a given number of schedulers and constant workers and jobs.
 func fleetOfSchedulers(schedulers float64) Fleet {
 	f := NewFleet(smallSizeDivisor, Long)
 	f.Schedulers = int(schedulers)
@@ -56,7 +56,7 @@
 	return f
 }
 
-// fleetInHand has so many tasks in hand at each of few schedulers, at the usual load.
+// fleetInHand returns a fleet with about each tasks in hand at each of its few schedulers, at the default load.
 func fleetInHand(each float64) Fleet {
 	f := NewFleet(smallSizeDivisor, Long)
 	f.Schedulers = inHandSchedulers
@@ -65,7 +65,7 @@
 	return f
 }
 
-// fleetOfWorkers is a fleet whose jobs are as many and as short whatever the number of its workers.
+// fleetOfWorkers returns a fleet with a given number of workers and a constant rate of short jobs.
 func fleetOfWorkers(workers float64) Fleet {
 	f := NewFleet(defaultSizeDivisor, Short)
 	f.WorkersPerZone = int(workers) / f.Zones
@@ -74,7 +74,7 @@
 	return f
 }
 
-// Campaign plays cases under candidates, each with some seeds.
+// Campaign simulates cases with candidates, each with several seeds.
 type Campaign struct {
 	Cases      []Case
 	Candidates []Candidate
@@ -82,7 +82,7 @@
 	Parallel   int
 }
 
-// played is one run of a campaign and what came of it.
+// campaignRun is one run of a campaign and its result.
 type campaignRun struct {
 	testCase  Case
 	value     float64
@@ -91,64 +91,65 @@
 	run       result.Run
 }
 
-// Run plays all and fits the slopes. The program of a run is the name of its candidate. Progress is called after each
-// run, from several goroutines.
+// Run executes all runs and fits the slopes. The program of a run is the name of its candidate. Progress is called
+// after each run, concurrently from several goroutines.
 func (c *Campaign) Run(progress func(result.Run)) ([]result.Run, []result.Slope) {
-	plan := c.planRuns()
-	done := runInOrder(len(plan), c.Parallel, func(i int) {
-		plan[i].simulate()
-		progress(plan[i].run)
+	runsToDo := c.planRuns()
+	done := runInOrder(len(runsToDo), c.Parallel, func(i int) {
+		runsToDo[i].simulate()
+		progress(runsToDo[i].run)
 	})
 	for i := range done {
 		<-done[i]
 	}
-	runs := make([]result.Run, 0, len(plan))
-	for _, p := range plan {
+	runs := make([]result.Run, 0, len(runsToDo))
+	for _, p := range runsToDo {
 		runs = append(runs, p.run)
 	}
 	var slopes []result.Slope
 	for _, s := range fit.Slopes(runs) {
-		if slices.ContainsFunc(c.Cases, func(of Case) bool { return of.Name == s.Case && of.Parameter == s.Parameter }) {
+		if slices.ContainsFunc(c.Cases, func(testCase Case) bool { return testCase.Name == s.Case && testCase.Parameter == s.Parameter }) {
 			slopes = append(slopes, s)
 		}
 	}
 	return runs, slopes
 }
 
-func (c *Campaign) planRuns() (plan []*campaignRun) {
-	for _, of := range c.Cases {
-		for _, value := range of.Values {
+// planRuns returns a run for each case, value, candidate and seed.
+func (c *Campaign) planRuns() (runs []*campaignRun) {
+	for _, testCase := range c.Cases {
+		for _, value := range testCase.Values {
 			for _, candidate := range c.Candidates {
 				for seed := range max(1, c.Seeds) {
-					plan = append(plan, &campaignRun{testCase: of, value: value, candidate: candidate, seed: uint64(seed + 1)})
+					runs = append(runs, &campaignRun{testCase: testCase, value: value, candidate: candidate, seed: uint64(seed + 1)})
 				}
 			}
 		}
 	}
-	return plan
+	return runs
 }
 
-func (p *campaignRun) simulate() {
-	f := p.testCase.Fleet(p.value)
-	f.Seed = p.seed
-	parameters := map[string]float64{p.testCase.Parameter: p.value, "schedulers": float64(f.Schedulers), "workers": float64(f.Workers())}
-	o, err := Simulate(f, p.candidate)
+func (r *campaignRun) simulate() {
+	f := r.testCase.Fleet(r.value)
+	f.Seed = r.seed
+	parameters := map[string]float64{r.testCase.Parameter: r.value, "schedulers": float64(f.Schedulers), "workers": float64(f.Workers())}
+	o, err := Simulate(f, r.candidate)
 	if err != nil {
-		p.run = result.Run{Case: p.testCase.Name, Kind: result.Hollow, Seed: p.seed, Program: p.candidate.Name, Parameters: parameters, MissedReason: err.Error()}
+		r.run = result.Run{Case: r.testCase.Name, Kind: result.Hollow, Seed: r.seed, Program: r.candidate.Name, Parameters: parameters, MissedReason: err.Error()}
 		return
 	}
-	p.run = o.AsRun(p.testCase.Name, p.candidate.Name, parameters)
+	r.run = o.AsRun(r.testCase.Name, r.candidate.Name, parameters)
 }
 
-// CandidateNamed gives the candidate of a name.
+// FindCandidate returns the candidate with a name, or ErrNoMatch.
 func FindCandidate(name string) (Candidate, error) {
 	for _, c := range Candidates() {
 		if c.Name == name {
 			return c, nil
 		}
 	}
-	return Candidate{}, fmt.Errorf("%w: no candidate is called %q", ErrNoMatch, name)
+	return Candidate{}, fmt.Errorf("%w: there is no candidate %q", ErrNoMatch, name)
 }
 
-// faultAt is when a fault of the recovery cases begins, in a fleet's counted time.
+// faultStart returns when the fault of a recovery scenario begins: 10 s after the warm-up.
 func faultStart(f *Fleet) rules.Time { return f.WarmUp + 10*second }
--- a/internal/scale/stage.go
+++ b/internal/scale/measurement.go
@@ -23,19 +23,19 @@
 	"cobaltflow/internal/scale/worker"
 )
 
-// setup is what a case stands on.
+// setup configures the workers, discovery and schedulers of a case.
 type setup struct {
 	workers     int
 	zones       int
 	slots       int // of each worker
 	schedulers  int
-	groupSize   int // that the schedulers are told; 0: their number
+	groupSize   int // group size in the schedulers' configuration; 0: their number
 	mode        process.Mode
-	listUnknown bool // no list is known at the start
+	listUnknown bool // the schedulers start without a known list
 	tenants     int
-	http2       bool // clients use it
-	memoryMB    int  // the limit of a scheduler
-	maxSockets  int  // the same
+	http2       bool // the clients use HTTP/2
+	memoryMB    int  // memory limit of a scheduler
+	maxSockets  int  // socket limit of a scheduler
 }
 
 // The operators' fleet.
@@ -45,29 +45,29 @@
 	fleetSchedulers = 32
 )
 
-// baseSetup is one scheduler of the operators' fleet, as the operators' budget has it.
+// baseSetup is one scheduler of the operators' fleet with the operators' budget.
 func baseSetup() setup {
 	return setup{workers: fleetWorkers, zones: fleetZones, slots: 8, schedulers: 1, groupSize: fleetSchedulers, mode: process.Pull,
 		memoryMB: 256, maxSockets: 20_000}
 }
 
-// parameters are those that stand beside the one that the case varies.
+// parameters returns the parameters of the setup that are recorded beside the one that the case varies.
 func (s *setup) parameters() map[string]float64 {
-	one := func(b bool) float64 {
+	boolToFloat := func(b bool) float64 {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	list := map[string]float64{"workers": float64(s.workers), "schedulers": float64(s.schedulers), "memory_limit_mb": float64(s.memoryMB),
-		"sockets_limit": float64(s.maxSockets), "list_known": one(!s.listUnknown), "list_pushed": one(s.mode == process.Push), "http2": one(s.http2)}
-	if s.groupSize != s.schedulers { // else it says the same, and lines would be fitted along both
-		list["group_size"] = float64(s.groupSize)
+	parameters := map[string]float64{"workers": float64(s.workers), "schedulers": float64(s.schedulers), "memory_limit_mb": float64(s.memoryMB),
+		"sockets_limit": float64(s.maxSockets), "list_known": boolToFloat(!s.listUnknown), "list_pushed": boolToFloat(s.mode == process.Push), "http2": boolToFloat(s.http2)}
+	if s.groupSize != s.schedulers { // otherwise both have the same values, and lines would be fitted along each
+		parameters["group_size"] = float64(s.groupSize)
 	}
-	return list
+	return parameters
 }
 
-// measurement is one run of a case, with all that it stands on.
+// measurement is one run of a case with its workers, discovery, schedulers and clients.
 type measurement struct {
 	ctx     context.Context
 	program Program
@@ -76,7 +76,7 @@
 	pace    pace
 	figures map[string]float64
 
-	memoryBytes int64 // of the machine
+	memoryBytes int64 // memory of the machine
 
 	setup        setup
 	counter      traffic.Counter
@@ -85,22 +85,22 @@
 	network      *relay.Network
 	peers        *relay.PeerRelay
 	configs      []process.Config
-	mu           sync.Mutex // guards schedulers while they start together
+	mu           sync.Mutex // guards schedulers and maxReadyTime while the schedulers start concurrently
 	schedulers   []*process.Scheduler
 	clients      *client.Clients
-	maxReadyTime time.Duration
+	maxReadyTime time.Duration // longest time that a scheduler needed to become ready
 }
 
-// tenantQuotaPerS is each tenant's quota of jobs a second, far above what the cases send.
+// tenantQuotaPerS is each tenant's quota in jobs per second, far above the rates of the cases.
 const tenantQuotaPerS = 1000
 
-// startsAtOnce bounds how many processes start at the same time.
+// maxConcurrentStarts limits how many processes start at the same time.
 const maxConcurrentStarts = 8
 
-// readyLimit is how long a scheduler may take to be ready.
+// readyTimeout is the time limit for a scheduler to become ready.
 const readyTimeout = 20 * time.Second
 
-// prepare brings up the surroundings and all schedulers.
+// prepare starts the workers, discovery, clients and all schedulers.
 func (m *measurement) prepare(s setup) error {
 	if s.groupSize == 0 {
 		s.groupSize = s.schedulers
@@ -122,6 +122,7 @@
 	return nil
 }
 
+// startEnvironment starts the workers, discovery, the clients and the peer relay, and configures the schedulers.
 func (m *measurement) startEnvironment() error {
 	s := m.setup
 	ports, err := endpoints.FreePorts([4]byte{127, 0, 2, 1}, 3*s.schedulers, false)
@@ -157,7 +158,8 @@
 	return m.startPeerRelay()
 }
 
-// preparePeers puts a relay between the schedulers, which counts their messages; one alone has nobody to tell.
+// startPeerRelay puts a relay that counts messages between the schedulers. A single scheduler has no peers and gets
+// none.
 func (m *measurement) startPeerRelay() error {
 	s := m.setup
 	if s.schedulers < 2 || s.schedulers != s.groupSize {
@@ -178,7 +180,7 @@
 	return nil
 }
 
-// startScheduler runs one scheduler, in the place of an earlier process of it if there was one.
+// startScheduler starts one scheduler and replaces an earlier process of it.
 func (m *measurement) startScheduler(number int) error {
 	dir := filepath.Join(m.dir, fmt.Sprintf("s%02d", number))
 	p, took, err := process.Start(m.ctx, m.program.Path, dir, m.configs[number], readyTimeout)
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// close ends all of it.
+// close stops all schedulers, workers, discovery, the relay and the clients.
 func (m *measurement) close() {
 	for _, s := range m.schedulers {
 		if s != nil {
@@ -213,7 +215,7 @@
 	}
 }
 
-// mark is a moment from which something is measured.
+// mark is a reading of all counters at the start or the end of a measured window.
 type mark struct {
 	at     time.Time
 	usage  []process.Usage
@@ -221,20 +223,20 @@
 	counts worker.Counts
 }
 
-// mark reads all counters.
+// takeMark reads all counters and checks the memory limit.
 func (m *measurement) takeMark() (mark, error) {
-	at := mark{at: time.Now(), totals: m.totals(), counts: m.workers.ReadCounts()}
+	reading := mark{at: time.Now(), totals: m.totals(), counts: m.workers.ReadCounts()}
 	for _, s := range m.schedulers {
-		u, err := s.Usage()
+		usage, err := s.Usage()
 		if err != nil {
-			return at, err
+			return reading, err
 		}
-		at.usage = append(at.usage, u)
+		reading.usage = append(reading.usage, usage)
 	}
-	return at, m.checkMemory(at.usage)
+	return reading, m.checkMemory(reading.usage)
 }
 
-// checkMemory ends the run where all processes together take more of the machine's memory than they may.
+// checkMemory returns an error if all processes together use more than their share of the machine's memory.
 func (m *measurement) checkMemory(usage []process.Usage) error {
 	sum, err := procfs.Memory(os.Getpid(), procfs.ResidentMemory)
 	if err != nil {
@@ -243,37 +245,38 @@
 	for _, u := range usage {
 		sum += u.ResidentBytes
 	}
-	if most := m.memoryBytes / memoryDivisor; sum > most {
-		return fmt.Errorf("%w: %d bytes, %d are allowed", errMemoryLimit, sum, most)
+	if limit := m.memoryBytes / memoryDivisor; sum > limit {
+		return fmt.Errorf("%w: %d bytes, %d are allowed", errMemoryLimit, sum, limit)
 	}
 	return nil
 }
 
-var errMemoryLimit = errors.New("the processes take too much memory")
+var errMemoryLimit = errors.New("the processes use too much memory")
 
-// totals is what has passed on all sockets, the messages between schedulers among them.
+// totals returns the traffic on all sockets so far, including the messages between schedulers.
 func (m *measurement) totals() traffic.Totals {
 	t := m.counter.Totals()
 	if m.peers != nil {
-		passed := m.network.Traffic(relay.Peer)
-		t[traffic.Peer].BytesIn, t[traffic.Peer].Messages = passed.Bytes, passed.Messages
-		// Each message leaves its scheduler once and is passed on to all others.
-		t[traffic.Peer].BytesOut = passed.Bytes / uint64(len(m.schedulers)-1)
+		relayed := m.network.Traffic(relay.Peer)
+		t[traffic.Peer].BytesIn, t[traffic.Peer].Messages = relayed.Bytes, relayed.Messages
+		// The relay counts a message once for each receiver, but the scheduler sends it only once.
+		t[traffic.Peer].BytesOut = relayed.Bytes / uint64(len(m.schedulers)-1)
 	}
 	return t
 }
 
-// window is what happened between two marks.
+// window holds what happened between two marks.
 type window struct {
 	seconds       float64
 	cpuTime       time.Duration // of all schedulers
-	residentBytes int64         // of the largest
-	descriptors   int           // of the one that has most
+	residentBytes int64         // of the scheduler with the most
+	descriptors   int           // of the scheduler with the most
 	totals        traffic.Totals
 	counts        worker.Counts
 	schedulers    float64
 }
 
+// measureSince returns what happened from a mark until now.
 func (m *measurement) measureSince(from mark) (window, error) {
 	to, err := m.takeMark()
 	if err != nil {
@@ -289,10 +292,10 @@
 	return w, nil
 }
 
-// cores is the processor time a second of one scheduler.
+// cores returns the CPU time per second and scheduler.
 func (w *window) cores() float64 { return w.cpuTime.Seconds() / w.seconds / w.schedulers }
 
-// controlBytes is the control traffic of one scheduler, in and out.
+// controlBytes returns the control traffic per scheduler, in and out.
 func (w *window) controlBytes() float64 {
 	sum := uint64(0)
 	for _, k := range traffic.ControlKinds() {
@@ -301,12 +304,12 @@
 	return float64(sum) / w.schedulers
 }
 
-// workerConnections is the number of connections to workers that were opened.
+// workerConnections returns the number of connections to workers that were opened.
 func (w *window) workerConnections() float64 {
 	return float64(w.totals[traffic.Probe].Connections + w.totals[traffic.Job].Connections)
 }
 
-// pause waits, unless the run ends first.
+// pause waits for a duration. It returns an error if the run ends first.
 func (m *measurement) pause(d time.Duration) error {
 	select {
 	case <-time.After(d):
@@ -316,38 +319,39 @@
 	}
 }
 
-// pace is how long the parts of a run take.
+// pace selects how long the phases of a run take.
 type pace uint8
 
 const (
-	quickPace pace = iota // of the small set
+	quickPace pace = iota // of the quick set
 	fullPace
-	testPace // shows only that a case runs
+	testPace // checks only that a case runs
 )
 
-// shortPart divides the lengths of the small set where a case is only shown to run.
+// testPaceDivisor shortens the phases of the quick set for testPace.
 const testPaceDivisor = 10
 
-// pick gives one of two lengths of time, by whether all is measured or the small set.
-func (m *measurement) duration(small, full time.Duration) time.Duration {
+// duration returns the length of a phase for the run's pace.
+func (m *measurement) duration(quick, full time.Duration) time.Duration {
 	switch m.pace {
 	case fullPace:
 		return full
 	case testPace:
-		return small / testPaceDivisor
+		return quick / testPaceDivisor
 	}
-	return small
+	return quick
 }
 
-// merge takes figures over.
+// merge adds figures to those of the run.
 func (m *measurement) merge(figures map[string]float64) { maps.Copy(m.figures, figures) }
 
-// quantile gives a quantile of lengths of time in milliseconds; 1 is the longest.
+// quantileMS returns a quantile of durations in milliseconds, and the longest for part 1. It returns 0 for an empty
+// list.
 func quantileMS(list []time.Duration, part float64) float64 {
 	if len(list) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(list))
-	at := min(len(sorted)-1, int(part*float64(len(sorted))))
-	return sorted[at].Seconds() * 1000
+	index := min(len(sorted)-1, int(part*float64(len(sorted))))
+	return sorted[index].Seconds() * 1000
 }
--- a/internal/scale/phases.go
+++ b/internal/scale/phases.go
@@ -12,19 +12,19 @@
 	"cobaltflow/internal/scale/traffic"
 )
 
-// startsPerS is the rate of task starts at one scheduler that the operators' peak comes to.
+// startsPerS is the rate of task starts per scheduler at the operators' peak.
 const startsPerS = 100
 
-// shortRun is the running time of a short job.
+// shortRunTime is the running time of a short job.
 const shortRunTime = 50 * time.Millisecond
 
-// settleFor is left to a scheduler before it counts as at rest.
+// settleDuration is the time after which a scheduler counts as at rest.
 const settleDuration = 1500 * time.Millisecond
 
-// settle waits until what came before has come to rest.
+// settle waits until the effects of earlier phases have ended.
 func (m *measurement) settle() error { return m.pause(m.duration(settleDuration, settleDuration)) }
 
-// rest measures the schedulers with the list known and nothing to do.
+// measureRest measures the schedulers with the list known and no load.
 func (m *measurement) measureRest() (window, error) {
 	if err := m.settle(); err != nil {
 		return window{}, err
@@ -45,12 +45,13 @@
 	return w, nil
 }
 
-// shortLoad is short jobs at a rate for a time.
-func (m *measurement) shortLoad(perS float64, length time.Duration) client.Load {
-	return client.Load{Class: process.ShortClass, RunTime: shortRunTime, StartsPerS: perS, Jobs: int(perS * length.Seconds()), Seed: m.seed}
+// shortLoad returns a load of short jobs at a rate for a duration.
+func (m *measurement) shortLoad(perS float64, duration time.Duration) client.Load {
+	return client.Load{Class: process.ShortClass, RunTime: shortRunTime, StartsPerS: perS, Jobs: int(perS * duration.Seconds()), Seed: m.seed}
 }
 
-// underLoad sends a load and measures the schedulers meanwhile; beside, which may be nil, runs along with it.
+// runLoad sends a load, measures the schedulers meanwhile and records the figures. The function beside, which may be
+// nil, runs concurrently; its context ends with the load.
 func (m *measurement) runLoad(load client.Load, beside func(ctx context.Context) error) (*client.Result, window, error) {
 	from, err := m.takeMark()
 	if err != nil {
@@ -69,8 +70,8 @@
 	r := m.clients.Run(m.ctx, load)
 	w, err := m.measureSince(from)
 	stop()
-	if failed := <-done; err == nil {
-		err = failed
+	if besideErr := <-done; err == nil {
+		err = besideErr
 	}
 	if err == nil {
 		err = m.ctx.Err()
@@ -101,7 +102,7 @@
 	m.merge(f)
 }
 
-// pinged runs a function while one scheduler is asked for its readiness all the time.
+// withPings runs f while the readiness of one scheduler is polled continuously, and records the round trips.
 func (m *measurement) withPings(f func() error) error {
 	ctx, stop := context.WithCancel(m.ctx)
 	ended := make(chan *hdrhistogram.Histogram, 1)
@@ -114,8 +115,8 @@
 	return err
 }
 
-// holdTasks puts tasks on the first scheduler until it holds so many, and keeps them in hand until the run's end. The
-// jobs are given up when release is called.
+// holdTasks sends tasks until the workers hold count of them, and keeps them until the run ends. Calling release
+// cancels the tasks.
 func (m *measurement) holdTasks(count int) (release func(), err error) {
 	ctx, stop := context.WithCancel(m.ctx)
 	ended := make(chan *client.Result, 1)
@@ -126,8 +127,8 @@
 		stop()
 		<-ended
 	}
-	began := time.Now()
-	deadline := began.Add(time.Duration(float64(count)/taskFillPerS*float64(time.Second)) + taskFillSlack)
+	started := time.Now()
+	deadline := started.Add(time.Duration(float64(count)/taskFillPerS*float64(time.Second)) + taskFillSlack)
 	for {
 		held := m.workers.HeldJobs()
 		m.figures["tasks_held"] = float64(held)
@@ -137,7 +138,7 @@
 		case m.ctx.Err() != nil:
 			return release, m.ctx.Err()
 		case time.Now().After(deadline):
-			return release, fmt.Errorf("%w: %d of %d after %v", errTasksNotHeld, held, count, time.Since(began).Round(time.Second))
+			return release, fmt.Errorf("%w: %d of %d after %v", errTasksNotHeld, held, count, time.Since(started).Round(time.Second))
 		}
 		select {
 		case result := <-ended:
@@ -150,23 +151,23 @@
 }
 
 const (
-	taskFillPerS   = 800              // the rate at which tasks are put in hand
-	taskFillSlack  = 15 * time.Second // beyond what that takes
+	taskFillPerS   = 800              // rate at which tasks are sent
+	taskFillSlack  = 15 * time.Second // added to the time that sending takes
 	taskPollPeriod = 20 * time.Millisecond
 )
 
-// waitListed waits until a scheduler counts so many workers, and gives the time that took from a moment on.
+// waitWorkerCount waits until a scheduler reports count workers on its list, and returns the time since from.
 func (m *measurement) waitWorkerCount(s *process.Scheduler, count int, from time.Time, limit time.Duration) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(m.ctx, limit)
 	defer cancel()
 	last := 0
 	for {
-		listed, err := s.WorkerCount(ctx)
-		if err == nil && listed == count {
+		reported, err := s.WorkerCount(ctx)
+		if err == nil && reported == count {
 			return time.Since(from), nil
 		}
 		if err == nil {
-			last = listed
+			last = reported
 		}
 		select {
 		case <-time.After(countPollPeriod):
@@ -178,7 +179,7 @@
 
 const countPollPeriod = 2 * time.Millisecond
 
-// waitAllListed waits for all schedulers.
+// waitAllWorkerCounts waits until all schedulers report count workers, and returns the time since from.
 func (m *measurement) waitAllWorkerCounts(count int, from time.Time, limit time.Duration) (longest time.Duration, err error) {
 	for _, s := range m.schedulers {
 		took, err := m.waitWorkerCount(s, count, from, limit)
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -1,48 +1,48 @@
-// Package scale measures real schedulers, processes of the program, before tens of thousands of hollow workers: how
-// what they use grows with the workers they know, the tasks they hold, their number, and what changes. It runs the
-// cases, keeps what was measured, and fits lines; it decides nothing on the schedulers.
+// Package scale measures real schedulers, which run as processes of the program, with tens of thousands of hollow
+// workers: how their resource use grows with the workers they know, the tasks they hold, their number and the rate of
+// changes. It runs the cases, records the figures and fits lines; command "measure scale" calls it.
 //
 // # Figures
 //
-// A figure's name ends with its unit. Where several schedulers run, processor time and bytes are means of one
-// scheduler; memory, descriptors and times are those of the worst one. Bytes are payload of sockets, counted at the
-// ends outside the schedulers; "in" is to a scheduler. In the list below KIND is list, probe, peer, configuration, job,
-// callback or client; the first four together are control.
+// A figure's name ends with its unit. If several schedulers run, CPU time and bytes are means per scheduler; memory,
+// descriptors and times are those of the worst one. Bytes are socket payload, counted at the ends outside the
+// schedulers; "in" is to a scheduler. In the list below KIND is list, probe, peer, configuration, job, callback or
+// client; the first four together are control.
 //
-//	ready_s                    from the process's start until /-/ready says 200
-//	rss_bytes                  resident memory at rest, the list known
-//	cpu_at_rest_cores          processor time a second, the list known and nothing to do
+//	ready_s                    from the process's start until /-/ready returns 200
+//	rss_bytes                  resident memory at rest, with the list known
+//	cpu_at_rest_cores          CPU time per second, with the list known and no load
 //	rest_control_bytes_per_s   control traffic in and out, at rest
-//	cpu_loaded_cores           processor time a second under the load
-//	cpu_per_job_s              processor time under the load above that at rest, for each job
-//	cpu_per_event_s            the same for each change, of the list or of the configuration
+//	cpu_loaded_cores           CPU time per second under load
+//	cpu_per_job_s              CPU time under load above that at rest, per job
+//	cpu_per_event_s            the same per change of the list or of the configuration
 //	rss_loaded_bytes           resident memory at the end of the load
-//	descriptors                open at the end of the load
+//	descriptors                open descriptors at the end of the load
 //	KIND_in_bytes_per_s, KIND_out_bytes_per_s, control_bytes_per_s
-//	                           traffic under the load
-//	connections_per_job        connections to workers opened for each job, those for probes with them
-//	probes_per_job             probes answered for each job
+//	                           traffic under load
+//	connections_per_job        connections to workers opened per job, including those for probes
+//	probes_per_job             probes answered per job
 //	jobs_per_s                 jobs sent to all schedulers
-//	served_ratio               the part of the jobs that was served
+//	served_ratio               fraction of the jobs that was served
 //	latency_p50_ms, latency_p99_ms, latency_max_ms
-//	                           of the served jobs, seen by the clients, running time included
+//	                           of the served jobs, measured by the clients, including the running time
 //	loop_ping_p99_ms, loop_ping_max_ms
-//	                           round trips of readiness calls beside a load, a millisecond or more apart: the slowest
-//	                           turn of the loop is no longer than the longest of them, as far as one met it
+//	                           round trips of readiness calls under load, at least one millisecond apart: the longest
+//	                           is an upper bound of the slowest turn of the loop during which a call arrived
 //	change_applied_p50_ms, change_applied_max_ms
-//	                           from a change of the list until the scheduler counts the workers so
+//	                           from a change of the list until the scheduler reports the new number of workers
 //	tasks_held, rss_tasks_bytes, rss_per_task_bytes, cpu_tasks_cores, descriptors_tasks
-//	                           with the tasks in hand and nothing else to do
+//	                           with the tasks held and no other load
 //	in_force_p50_ms, in_force_p99_ms, in_force_max_ms
-//	                           from a change of the configuration until all schedulers took it over
-//	list_known_s               from the start of a process that knew no list until it counts all workers
-//	gone_known_s, back_known_s from a zone's loss, or its return, until all schedulers count the workers so
+//	                           from a change of the configuration until all schedulers have applied it
+//	list_known_s               from the start of a process without a known list until it reports all workers
+//	gone_known_s, back_known_s from a zone's loss, or its return, until all schedulers report the new number of workers
 //	recovery_s, recovery_cpu_s, recovery_control_bytes
-//	                           until all schedulers know the list as it is, and what that cost one of them
+//	                           until all schedulers know the current list, and the cost of that per scheduler
 //	minute2_connections_per_job, minute2_probes_per_job, minute2_control_bytes_per_s
 //	                           in the second minute of a load
 //
-// A gang has gang_start_max_ms, until the last of its tasks had started. Beside these stand the numbers of what was done:
+// A gang has gang_start_max_ms, the time until the last of its tasks started. Further figures count what was done:
 // list_changes, configuration_changes, and window_s, the seconds in which the list changed.
 package scale
 
@@ -62,44 +62,45 @@
 	"cobaltflow/internal/scale/result"
 )
 
-// Program is a build that is measured.
+// Program is a build to measure.
 type Program struct {
 	Label    string
 	Path     string
-	Sections json.RawMessage // sections of the project's own file, beside the measurement's; nil: none
+	Sections json.RawMessage // sections merged into the program's own configuration file; nil: none
 }
 
-// Options say what is measured.
+// Options select what is measured.
 type Options struct {
-	FullSet      bool
-	Cases        []string  // by name; none: all of the set
-	Points       []float64 // of each case, in the place of its own; none: its own
+	FullSet      bool      // all cases at all points
+	Cases        []string  // by name; empty: all cases of the set
+	Points       []float64 // replaces the points of each case; empty: the case's own points
 	Programs     []Program
-	RunsPerPoint int // of each point; 0: three in full, else one
+	RunsPerPoint int // 0: three with FullSet, otherwise one
 	Seed         uint64
 	Revision     string
 	Command      string
 	Exclusive    bool      // nothing else runs on the machine
-	Log          io.Writer // a line for each run
+	Log          io.Writer // receives a line per run; nil: none
 }
 
-// Bounds of a measurement.
+// Limits of a measurement.
 const (
 	fullRuns      = 3
 	runTimeout    = 4 * time.Minute // of one run of a case
-	memoryDivisor = 2               // all processes together keep under this part of the machine's memory
+	memoryDivisor = 2               // all processes together must stay below this fraction of the machine's memory
 )
 
-// Run measures and gives what was measured, also where the context ended it early.
+// Run executes the selected cases and returns their runs and slopes. If the context ends early, it returns the runs so
+// far, without slopes, and the context's error.
 func Run(ctx context.Context, o Options) (*result.File, error) {
 	cases, err := selectCases(o.Cases, o.FullSet)
 	if err != nil {
 		return nil, err
 	}
-	runs := o.RunsPerPoint
-	if runs == 0 {
-		if runs = 1; o.FullSet {
-			runs = fullRuns
+	runsPerPoint := o.RunsPerPoint
+	if runsPerPoint == 0 {
+		if runsPerPoint = 1; o.FullSet {
+			runsPerPoint = fullRuns
 		}
 	}
 	file := &result.File{Revision: o.Revision, Machine: describeMachine(o.Exclusive), TakenAt: time.Now().UTC().Format(time.RFC3339), Command: o.Command}
@@ -112,12 +113,12 @@
 			points = o.Points
 		}
 		for _, point := range points {
-			for number := range runs {
+			for repetition := range runsPerPoint {
 				for _, p := range o.Programs {
 					if ctx.Err() != nil {
 						return file, ctx.Err()
 					}
-					run := runOnce(ctx, c, point, p, o.Seed+uint64(number), o.FullSet)
+					run := runOnce(ctx, c, point, p, o.Seed+uint64(repetition), o.FullSet)
 					file.Runs = append(file.Runs, run)
 					logRun(o.Log, &run)
 				}
@@ -128,7 +129,7 @@
 	return file, nil
 }
 
-// Join puts the runs of an earlier file before those of a later one, and fits the lines anew.
+// Merge prepends the runs of an earlier file to those of a later one and fits the slopes again.
 func Merge(earlier, later *result.File) {
 	later.Runs = append(slices.Clone(earlier.Runs), later.Runs...)
 	later.Command = earlier.Command + "; " + later.Command
@@ -136,7 +137,7 @@
 	later.Slopes = fit.Slopes(later.Runs)
 }
 
-// runOnce runs a case at one point.
+// runOnce runs a case at one point. An error goes into the run's MissedReason.
 func runOnce(ctx context.Context, c benchCase, point float64, p Program, seed uint64, full bool) result.Run {
 	run := result.Run{Case: c.name, Kind: result.Real, Seed: seed, Program: p.Label, Parameters: map[string]float64{}}
 	ctx, cancel := context.WithTimeout(ctx, runTimeout)
@@ -165,6 +166,7 @@
 	return run
 }
 
+// logRun writes a line with the parameters and figures of a run.
 func logRun(w io.Writer, run *result.Run) {
 	if w == nil {
 		return
@@ -176,8 +178,9 @@
 	fmt.Fprintln(w, run.Figures)
 }
 
-func describeMachine(alone bool) result.Machine {
-	m := result.Machine{Cores: runtime.NumCPU(), Exclusive: alone}
+// describeMachine returns the machine's cores, memory and descriptor limit; what cannot be read stays 0.
+func describeMachine(exclusive bool) result.Machine {
+	m := result.Machine{Cores: runtime.NumCPU(), Exclusive: exclusive}
 	var info unix.Sysinfo_t
 	if unix.Sysinfo(&info) == nil {
 		m.MemoryMB = int(info.Totalram * uint64(info.Unit) >> 20)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -35,11 +35,11 @@
 	os.Exit(code)
 }
 
-// patience is how long a test waits for what has to come.
+// testTimeout limits how long a test waits for an expected state.
 const testTimeout = 30 * time.Second
 
-// Every case runs, on a few workers and schedulers, and gives its own figures.
-func TestEveryCaseGivesItsFigures(t *testing.T) {
+// Every case runs with a few workers and schedulers and records its own figures.
+func TestEveryCaseProducesItsFigures(t *testing.T) {
 	type expected struct {
 		point   float64
 		figures []string
@@ -62,18 +62,18 @@
 	for _, c := range cases() {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w, known := want[c.name]
+			expectation, known := want[c.name]
 			require.True(t, known)
 			m := newMeasurement(t, func(s *setup) {
-				*s = c.setup(w.point)
+				*s = c.setup(expectation.point)
 				s.workers, s.schedulers, s.maxSockets = 100, min(s.schedulers, 3), 1024
 				if s.schedulers > 1 {
 					s.groupSize = s.schedulers
 				}
 			})
 			m.pace = testPace
-			require.NoError(t, c.measure(m, w.point))
-			for _, figure := range w.figures {
+			require.NoError(t, c.measure(m, expectation.point))
+			for _, figure := range expectation.figures {
 				require.Contains(t, m.figures, figure)
 			}
 		})
@@ -81,7 +81,7 @@
 	require.Len(t, want, len(cases()))
 }
 
-// prepared is a measurement that stands, with workers before schedulers.
+// newMeasurement returns a measurement whose workers, discovery and schedulers are running.
 func newMeasurement(t *testing.T, change func(*setup)) *measurement {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
@@ -96,7 +96,7 @@
 	return m
 }
 
-// served sends jobs and gives what passed until all were answered.
+// serveJobs sends jobs, requires that all are served, and returns what happened until the last answer.
 func serveJobs(t *testing.T, m *measurement, jobs int) window {
 	t.Helper()
 	r, w, err := m.runLoad(client.Load{Class: process.ShortClass, RunTime: time.Millisecond, StartsPerS: 200, Jobs: jobs, Seed: 1}, nil)
@@ -105,7 +105,7 @@
 	return w
 }
 
-// changeCost is what one worker that leaves the list costs on the sockets.
+// measureChangeCost returns the traffic that the removal of one worker from the list causes.
 func measureChangeCost(t *testing.T, m *measurement) traffic.Amount {
 	t.Helper()
 	require.Eventually(t, func() bool { return m.discovery.WatchCount() == 1 }, testTimeout, time.Millisecond)
@@ -116,16 +116,16 @@
 	return m.totals().Sub(before)[traffic.List]
 }
 
-// The list grows tenfold; what a job and a change of the list cost in messages and bytes must not grow with it. How many
-// workers are probed for a job depends on how long ago they were seen, so on time; a bound on it, and what each probe
-// costs, do not.
-func TestCostsOfAJobAndOfAChangeBesideATenfoldList(t *testing.T) {
+// The list grows tenfold; the messages and bytes per job and per change of the list must not grow with it. The number
+// of probes per job depends on time, because a worker is probed again when its report is old, so the test checks an
+// upper bound on it and the cost per probe.
+func TestCostOfAJobAndOfAChangeIsIndependentOfTheListSize(t *testing.T) {
 	const (
 		jobs            = 100
 		maxProbesPerJob = 3
-		maxPerProbe     = 512 // bytes in and out, of the request and its answer
-		heartbeatBytes  = 64  // that a watch may bring beside a change
-		watchHeadBytes  = 512 // the head of its answer, and its heartbeats
+		maxPerProbe     = 512 // bytes in and out, of the request and its response
+		heartbeatBytes  = 64  // that a watch may send in addition to a change
+		watchHeadBytes  = 512 // head of the watch's response and its heartbeats
 	)
 	var changes []traffic.Amount
 	for _, workers := range []int{100, 1_000} {
@@ -134,11 +134,11 @@
 		probes := w.totals[traffic.Probe]
 		require.LessOrEqual(t, w.counts.Probes, uint64(maxProbesPerJob*jobs), "%d workers", workers)
 		require.LessOrEqual(t, probes.BytesIn+probes.BytesOut, maxPerProbe*w.counts.Probes, "%d workers", workers)
-		require.Equal(t, uint64(jobs), w.counts.Accepted, "a worker got a job twice")
+		require.Equal(t, uint64(jobs), w.counts.Accepted, "a worker received a job twice")
 		require.Equal(t, uint64(jobs), w.totals[traffic.Job].Messages)
-		// A probe and a job need one connection each at most, whatever the number of workers.
+		// A probe and a job need at most one connection each, whatever the number of workers.
 		require.LessOrEqual(t, w.workerConnections(), float64(w.counts.Probes+jobs), "%d workers", workers)
-		require.Less(t, w.totals[traffic.List].BytesIn, uint64(watchHeadBytes), "the list is told again without a change")
+		require.Less(t, w.totals[traffic.List].BytesIn, uint64(watchHeadBytes), "the list was sent again without a change")
 		changes = append(changes, measureChangeCost(t, m))
 	}
 	require.InDelta(t, changes[0].BytesIn, changes[1].BytesIn, heartbeatBytes)
@@ -146,8 +146,8 @@
 	require.Equal(t, uint64(1), changes[1].Messages)
 }
 
-// A scheduler that knows no list gets it once, whole, whatever its size.
-func TestFreshStartTakesTheListOnce(t *testing.T) {
+// A scheduler that knows no list receives it exactly once, whole, whatever its size.
+func TestFreshStartFetchesTheListOnce(t *testing.T) {
 	m := newMeasurement(t, func(s *setup) { s.workers, s.mode, s.listUnknown = 3_000, process.Push, true })
 	_, err := m.waitWorkerCount(m.schedulers[0], m.setup.workers, time.Now(), testTimeout)
 	require.NoError(t, err)
@@ -157,7 +157,7 @@
 	serveJobs(t, m, 20)
 }
 
-func TestChangesWhileDiscoveryIsAwayAreToldOnceEach(t *testing.T) {
+func TestChangesDuringADiscoveryOutageAreSentOnceEach(t *testing.T) {
 	m := newMeasurement(t, func(s *setup) { s.workers = 200 })
 	require.Eventually(t, func() bool { return m.discovery.WatchCount() == 1 }, testTimeout, time.Millisecond)
 	m.discovery.SetDown(true)
@@ -170,11 +170,11 @@
 	m.discovery.SetDown(false)
 	_, err := m.waitWorkerCount(m.schedulers[0], m.setup.workers-changed, time.Now(), testTimeout)
 	require.NoError(t, err)
-	const call = 1 // the watch that is opened anew
-	require.Equal(t, uint64(changed+call), m.totals().Sub(before)[traffic.List].Messages)
+	const watchRequests = 1 // the watch is opened again
+	require.Equal(t, uint64(changed+watchRequests), m.totals().Sub(before)[traffic.List].Messages)
 }
 
-func TestConfigurationIsReadByAllSchedulersOnce(t *testing.T) {
+func TestEachSchedulerReadsAConfigurationOnce(t *testing.T) {
 	m := newMeasurement(t, func(s *setup) { s.workers, s.schedulers = 100, 3 })
 	for number := range 2 {
 		_, err := m.reconfigure(number + 1)
@@ -184,24 +184,25 @@
 	require.Positive(t, m.totals()[traffic.Configuration].BytesIn)
 }
 
-// A zone's machines go: what was sent there is lost, and what is asked for afterwards is served by the others.
-func TestAStoppedZoneGetsNoJob(t *testing.T) {
+// The machines of a zone disappear with the jobs that they hold; jobs that arrive afterwards are served by the other
+// zones.
+func TestStoppedZoneReceivesNoJob(t *testing.T) {
 	m := newMeasurement(t, func(s *setup) { s.workers, s.zones = 100, 4 })
-	var gone []discovery.Entry
+	var removed []discovery.Entry
 	for worker := range m.setup.workers {
 		if m.workers.Zone(worker) == 0 {
 			m.workers.Stop(worker)
-			gone = append(gone, m.workers.Entry(worker, discovery.Removed))
+			removed = append(removed, m.workers.Entry(worker, discovery.Removed))
 		}
 	}
-	require.Len(t, gone, 25)
-	require.NoError(t, m.discovery.Update(gone...))
+	require.Len(t, removed, 25)
+	require.NoError(t, m.discovery.Update(removed...))
 	_, err := m.waitWorkerCount(m.schedulers[0], 75, time.Now(), testTimeout)
 	require.NoError(t, err)
 	serveJobs(t, m, 50)
 }
 
-func TestTasksStayInHandUntilTheyAreGivenUp(t *testing.T) {
+func TestTasksAreHeldUntilTheyAreCancelled(t *testing.T) {
 	for _, http2 := range []bool{false, true} {
 		m := newMeasurement(t, func(s *setup) { s.workers, s.http2 = 100, http2 })
 		release, err := m.holdTasks(40)
@@ -212,7 +213,7 @@
 	}
 }
 
-func TestARunThatGivesNothingSaysWhy(t *testing.T) {
+func TestFailedRunReportsItsReason(t *testing.T) {
 	var log bytes.Buffer
 	file, err := Run(context.Background(), Options{Cases: []string{"workers"}, Points: []float64{10}, Log: &log,
 		Programs: []Program{{Label: "none", Path: filepath.Join(t.TempDir(), "absent")}}})
@@ -226,7 +227,7 @@
 	require.ErrorIs(t, err, errUnknownCase)
 }
 
-func TestCasesHaveNamesOfTheirOwnAndPoints(t *testing.T) {
+func TestCasesHaveUniqueNamesAndPoints(t *testing.T) {
 	seen := map[string]bool{}
 	for _, c := range cases() {
 		require.False(t, seen[c.name], c.name)
@@ -242,7 +243,7 @@
 	require.Len(t, full, len(cases()))
 }
 
-func TestStoredResultsAreReadAgain(t *testing.T) {
+func TestStoredResultsAreReadBack(t *testing.T) {
 	run := func(workers, rss float64) result.Run {
 		return result.Run{Case: "workers", Kind: result.Real, Program: "now", Parameters: map[string]float64{"workers": workers},
 			Figures: map[string]float64{"rss_bytes": rss}}
--- a/internal/scale/store.go
+++ b/internal/scale/store.go
@@ -17,12 +17,12 @@
 	"cobaltflow/internal/scale/result"
 )
 
-// Row is one figure of one run, as the Parquet file holds it.
+// Row is one figure of one run as stored in the Parquet file.
 type Row struct {
 	Case    string  `parquet:"case,dict"`
 	Kind    string  `parquet:"kind,dict"`
 	Program string  `parquet:"program,dict"`
-	Run     int32   `parquet:"run"` // its place in the results file
+	Run     int32   `parquet:"run"` // index of the run in the results file
 	Seed    uint64  `parquet:"seed"`
 	Figure  string  `parquet:"figure,dict"`
 	Value   float64 `parquet:"value"`
@@ -31,7 +31,7 @@
 	Parameters map[string]float64 `parquet:"parameters"`
 }
 
-// Rows lists the figures of all runs; a run that gave none has one row without a figure.
+// Rows returns the figures of all runs. A run without figures has one row without a figure.
 func Rows(f *result.File) (rows []Row) {
 	for number, r := range f.Runs {
 		row := Row{Case: r.Case, Kind: string(r.Kind), Program: r.Program, Run: int32(number), Seed: r.Seed, Missed: r.MissedReason, Parameters: r.Parameters}
@@ -46,7 +46,8 @@
 	return rows
 }
 
-// Store writes the results as JSON at a path, and beside it as Parquet and a chart of each slope that is a line.
+// Store writes the results as JSON to path, and beside it a Parquet file and a chart of each slope of the charted
+// figures.
 func Store(path string, f *result.File) error {
 	if err := f.Write(path); err != nil {
 		return err
@@ -67,43 +68,45 @@
 	return nil
 }
 
-// chart is one figure of a case along its parameter, of all builds.
+// chart identifies one figure of a case along a parameter, for all builds.
 type chart struct{ caseName, figure, parameter string }
 
-// charted are the figures that get a chart.
+// chartedFigures are the figures that are charted.
 var chartedFigures = []string{"rss_bytes", "rss_tasks_bytes", "cpu_at_rest_cores", "cpu_tasks_cores", "cpu_loaded_cores", "control_bytes_per_s",
 	"connections_per_job", "probes_per_job", "loop_ping_max_ms", "in_force_max_ms", "gang_start_max_ms", "recovery_s", "list_known_s"}
 
+// chartSeries is a chart with the runs and slopes that it shows.
 type chartSeries struct {
 	chart
 	runs   []result.Run
 	slopes []result.Slope
 }
 
+// collectCharts returns a chart for each charted figure that has a slope.
 func collectCharts(f *result.File) (list []chartSeries) {
 	for _, s := range f.Slopes {
 		if !slices.Contains(chartedFigures, s.Figure) {
 			continue
 		}
 		key := chart{s.Case, s.Figure, s.Parameter}
-		at := slices.IndexFunc(list, func(c chartSeries) bool { return c.chart == key })
-		if at < 0 {
-			at = len(list)
+		index := slices.IndexFunc(list, func(c chartSeries) bool { return c.chart == key })
+		if index < 0 {
+			index = len(list)
 			list = append(list, chartSeries{chart: key})
 			for _, r := range f.Runs {
 				if r.Case == s.Case && r.MissedReason == "" {
-					list[at].runs = append(list[at].runs, r)
+					list[index].runs = append(list[index].runs, r)
 				}
 			}
 		}
-		list[at].slopes = append(list[at].slopes, s)
+		list[index].slopes = append(list[index].slopes, s)
 	}
 	return list
 }
 
 var chartColors = []color.Color{color.RGBA{31, 119, 180, 255}, color.RGBA{214, 94, 20, 255}, color.RGBA{44, 140, 44, 255}}
 
-// draw writes the chart as SVG: a point for each run, and the line of each build.
+// writeSVG writes the chart: a point for each run and the line of each build.
 func (c *chartSeries) writeSVG(dir string) error {
 	p := plot.New()
 	p.Title.Text = c.caseName + ": " + c.figure
