--- a/internal/scale/client/client.go
+++ b/internal/scale/client/client.go
@@ -1,4 +1,5 @@
-// Package client puts jobs on schedulers at a rate, whatever becomes of those before, and counts how they end.
+// Package client sends jobs to schedulers at a fixed rate, independently of the responses to earlier ones, and counts
+// how they end. Package scale calls it.
 package client
 
 import (
@@ -23,23 +24,23 @@
 	"cobaltflow/internal/scale/worker"
 )
 
-// Keys is how many keys jobs are spread over.
+// KeyCount is the number of keys that jobs are spread over.
 const KeyCount = 1 << 20
 
 const (
 	maxIdleConns   = 20_000  // to one scheduler
-	shortTimeoutMS = 5_000   // that a client waits for a short job
-	longTimeoutMS  = 600_000 // that one waits for a task
+	shortTimeoutMS = 5_000   // time that a client waits for a short job
+	longTimeoutMS  = 600_000 // time that a client waits for a long task
 )
 
-// Clients is the clients of all schedulers. Its methods may be called from any goroutine.
+// Clients sends requests to all schedulers. Its methods may be called from any goroutine.
 type Clients struct {
 	addresses []netip.AddrPort
-	pools     [][]*http.Client // by scheduler; requests take the clients of one in turn
+	pools     [][]*http.Client // by scheduler; requests to a scheduler use its clients in turn
 	serial    atomic.Uint64
 }
 
-// New makes clients of the schedulers' HTTP/1.1 fronts.
+// New returns clients of the schedulers' HTTP/1.1 fronts.
 func New(counter *traffic.Counter, addresses []netip.AddrPort) *Clients {
 	c := &Clients{addresses: addresses}
 	for range addresses {
@@ -49,7 +50,7 @@
 	return c
 }
 
-// NewHTTP2 makes clients of the schedulers' HTTP/2 fronts, with so many connections to each.
+// NewHTTP2 returns clients of the schedulers' HTTP/2 fronts, with a fixed number of connections to each.
 func NewHTTP2(counter *traffic.Counter, addresses []netip.AddrPort, connections int) *Clients {
 	c := &Clients{addresses: addresses}
 	dial := countingDialer(counter)
@@ -67,6 +68,7 @@
 	return c
 }
 
+// countingDialer returns a dial function whose connections are counted as client traffic.
 func countingDialer(counter *traffic.Counter) func(context.Context, string, string) (net.Conn, error) {
 	dialer := &net.Dialer{}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -78,7 +80,7 @@
 	}
 }
 
-// Close ends connections that are idle.
+// Close closes idle connections.
 func (c *Clients) Close() {
 	for _, pool := range c.pools {
 		for _, client := range pool {
@@ -87,40 +89,41 @@
 	}
 }
 
-// Load says which jobs are sent.
+// Load describes the jobs to send.
 type Load struct {
 	Class      string
-	RunTime    time.Duration // running time of each
-	StartsPerS float64       // starts, over all schedulers, evenly; 0: all at once
-	Jobs       int           // so many in all
-	Tenants    int           // the jobs are spread over them; 0: they name none
+	RunTime    time.Duration // of each job
+	StartsPerS float64       // over all schedulers, evenly spaced; 0: all jobs at once
+	Jobs       int           // total number
+	Tenants    int           // number of tenants that the jobs are spread over; 0: the jobs name none
 	Seed       uint64
 }
 
-// Result is how the jobs of a load ended.
+// Result holds the outcomes of a load's jobs.
 type Result struct {
 	Sent       int
 	Served     int
-	Refused    int // 429 and 503
+	Refused    int // answered 429 or 503
 	Failed     int // any other answer, or none
 	Latency    *hdrhistogram.Histogram
 	StartedAt  time.Time
-	FirstError string // the first answer that was no result, for the log
+	FirstError string // status or error of the first job that was not served
 }
 
-// QuantileMS is a quantile of the latency of the served jobs in milliseconds.
+// QuantileMS returns a quantile of the latency of the served jobs in milliseconds. Percent is between 0 and 100.
 func (r *Result) QuantileMS(percent float64) float64 {
 	return float64(r.Latency.ValueAtQuantile(percent)) / 1000
 }
 
-// MaxMS is the longest latency of a served job in milliseconds.
+// MaxMS returns the longest latency of a served job in milliseconds.
 func (r *Result) MaxMS() float64 { return float64(r.Latency.Max()) / 1000 }
 
-// Run sends a load and waits for all answers, or until the context ends.
+// Run sends a load and waits until all jobs are answered or the context ends. Jobs that the end of the context cancels
+// count as sent only.
 func (c *Clients) Run(ctx context.Context, load Load) *Result {
 	run := &loadRun{clients: c, load: load, rng: rand.New(rand.NewPCG(load.Seed, 0x6c6f6164)),
 		result: Result{Latency: hdrhistogram.New(1, longTimeoutMS*1000, 3), StartedAt: time.Now()}}
-	var open sync.WaitGroup
+	var pending sync.WaitGroup
 	for i := range load.Jobs {
 		if load.StartsPerS > 0 {
 			due := run.result.StartedAt.Add(time.Duration(float64(i) / load.StartsPerS * float64(time.Second)))
@@ -129,20 +132,20 @@
 			}
 		}
 		scheduler, request, err := run.nextRequest(i)
-		if err != nil { // an address that no request can name
+		if err != nil { // the address makes no valid URL
 			run.result.FirstError = err.Error()
 			break
 		}
 		run.result.Sent++
 		pool := c.pools[scheduler]
 		client := pool[i/len(c.pools)%len(pool)]
-		open.Go(func() { run.send(ctx, client, request) })
+		pending.Go(func() { run.send(ctx, client, request) })
 	}
-	open.Wait()
+	pending.Wait()
 	return &run.result
 }
 
-// waitUntil waits for a moment, and tells whether it came before the context's end.
+// waitUntil waits for a point in time. It returns false if the context ends first.
 func waitUntil(ctx context.Context, due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
@@ -158,39 +161,39 @@
 	}
 }
 
-// loadRun is one load on its way.
+// loadRun is a load that is being sent.
 type loadRun struct {
 	clients *Clients
 	load    Load
-	rng     *rand.Rand // used by the sender alone
+	rng     *rand.Rand // used by the sending goroutine only
 
 	mu     sync.Mutex
 	result Result
 }
 
-// draw makes the next job and names the scheduler that gets it.
-func (r *loadRun) nextRequest(number int) (int, *http.Request, error) {
-	scheduler := number % len(r.clients.addresses)
+// nextRequest returns the request of the next job and the number of the scheduler that it goes to.
+func (r *loadRun) nextRequest(index int) (int, *http.Request, error) {
+	scheduler := index % len(r.clients.addresses)
 	url := fmt.Sprintf("http://%s/%s/k%d", r.clients.addresses[scheduler], r.load.Class, r.rng.IntN(KeyCount))
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(r.load.RunTime.String()))
 	if err != nil {
 		return 0, nil, err
 	}
-	left := int64(shortTimeoutMS)
+	timeLeftMS := int64(shortTimeoutMS)
 	if r.load.Class == process.LongClass {
-		left = longTimeoutMS
+		timeLeftMS = longTimeoutMS
 	}
 	request.Header.Set(platform.HeaderID, worker.JobID(scheduler, r.clients.serial.Add(1)))
-	request.Header.Set(platform.HeaderTimeLeft, fmt.Sprint(left))
+	request.Header.Set(platform.HeaderTimeLeft, fmt.Sprint(timeLeftMS))
 	if r.load.Tenants > 0 {
-		request.Header.Set(admission.HeaderTenant, process.TenantName(number%r.load.Tenants))
+		request.Header.Set(admission.HeaderTenant, process.TenantName(index%r.load.Tenants))
 	}
 	return scheduler, request, nil
 }
 
-// ask sends one job and counts how it ends.
+// send sends one job and counts its outcome.
 func (r *loadRun) send(ctx context.Context, client *http.Client, request *http.Request) {
-	began := time.Now()
+	started := time.Now()
 	response, err := client.Do(request.WithContext(ctx))
 	status, text := 0, ""
 	if err == nil {
@@ -200,18 +203,18 @@
 	} else {
 		text = err.Error()
 	}
-	took := time.Since(began)
+	latency := time.Since(started)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case status == http.StatusOK:
 		r.result.Served++
-		r.result.Latency.RecordValue(max(1, took.Microseconds()))
+		r.result.Latency.RecordValue(max(1, latency.Microseconds()))
 		return
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 		r.result.Refused++
 	case ctx.Err() != nil:
-		return // given up by the measurement: no verdict on the job
+		return // cancelled by the measurement: neither refused nor failed
 	default:
 		r.result.Failed++
 	}
--- a/internal/scale/client/client_test.go
+++ b/internal/scale/client/client_test.go
@@ -15,7 +15,7 @@
 	"cobaltflow/internal/scale/traffic"
 )
 
-// served is a stand-in for a scheduler's front of either protocol.
+// startServer starts a fake scheduler that serves HTTP/1.1 and HTTP/2 with a handler.
 func startServer(t *testing.T, handler http.HandlerFunc) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -28,12 +28,12 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func TestAnswersAreCountedByWhatTheySay(t *testing.T) {
+func TestAnswersAreCountedByStatus(t *testing.T) {
 	var seen sync.Map
 	var number atomic.Int64
 	address := startServer(t, func(rw http.ResponseWriter, r *http.Request) {
 		if _, twice := seen.LoadOrStore(r.Header.Get("X-Correlation-Id"), true); twice {
-			t.Error("an id came twice")
+			t.Error("an ID was received twice")
 		}
 		rw.WriteHeader([]int{200, 429, 503, 500}[number.Add(1)%4])
 	})
@@ -45,17 +45,17 @@
 	require.NotEmpty(t, r.FirstError)
 }
 
-// Streams of one connection carry more than one request at a time, and no more connections are opened than were asked for.
-func TestHTTP2KeepsToItsConnections(t *testing.T) {
+// A connection multiplexes several requests, and no more connections are opened than configured.
+func TestHTTP2UsesTheGivenNumberOfConnections(t *testing.T) {
 	const jobs, connections = 40, 2
-	var open sync.WaitGroup
-	open.Add(jobs)
+	var arrivals sync.WaitGroup
+	arrivals.Add(jobs)
 	address := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.ProtoMajor != 2 {
 			t.Error(r.Proto)
 		}
-		open.Done()
-		open.Wait() // until all of them are here
+		arrivals.Done()
+		arrivals.Wait() // until all requests have arrived
 	})
 	counter := &traffic.Counter{}
 	c := NewHTTP2(counter, []netip.AddrPort{address}, connections)
--- a/internal/scale/discovery/discovery.go
+++ b/internal/scale/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery stands in for service discovery in the scale measurements: one list of workers, told whole or as a
-// watch of changes, to as many schedulers as ask. It plays no faults but its own absence.
+// Package discovery is a fake service discovery for the scale measurements. It serves one worker list, whole or as a
+// watch of changes, to any number of schedulers; its only fault is an outage.
 package discovery
 
 import (
@@ -19,13 +19,13 @@
 )
 
 const (
-	chunkBytes        = 16 << 10        // a list is sent in chunks of at most so many bytes
-	heartbeatPeriod   = 2 * time.Second // an empty line tells that a watch is alive
-	maxHistoryUpdates = 20_000          // a watch that continues from before them gets the whole list first
-	maxHistoryBytes   = 64 << 20        // of kept updates; past it the oldest are dropped
+	chunkBytes        = 16 << 10        // a list is sent in chunks of at most this size
+	heartbeatPeriod   = 2 * time.Second // an empty line is sent this often on an idle watch
+	maxHistoryUpdates = 20_000          // a watch that continues from before them receives the whole list first
+	maxHistoryBytes   = 64 << 20        // beyond it the oldest updates are dropped
 )
 
-// Server holds the list and answers schedulers. Its methods may be called from any goroutine.
+// Server holds the list and serves it to schedulers. Its methods may be called from any goroutine.
 type Server struct {
 	counter *traffic.Counter
 	http    *http.Server
@@ -34,16 +34,16 @@
 	mu           sync.Mutex
 	version      int64
 	entries      map[string]Entry
-	fullList     update   // the whole list, of the version it names
-	history      []update // the last versions, in order
+	fullList     update   // cache of the whole list, valid for the version that it names
+	history      []update // the latest updates, in order
 	historyBytes int
-	changed      chan struct{} // closed at each change
+	changed      chan struct{} // closed and replaced at each update
 	down         bool
-	wentDown     chan struct{} // closed when it goes away
+	wentDown     chan struct{} // closed when an outage begins
 	watches      int
 }
 
-// Start serves a list on a port from the kernel.
+// Start serves a list on a port of 127.0.3.1 that the kernel chooses.
 func Start(entries []Entry, counter *traffic.Counter) (*Server, error) {
 	s := &Server{counter: counter, version: 1, entries: make(map[string]Entry, len(entries)),
 		changed: make(chan struct{}), wentDown: make(chan struct{})}
@@ -60,13 +60,13 @@
 	return s, nil
 }
 
-// Close ends it, with its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() error { return s.http.Close() }
 
-// Address is where the list is served.
+// Address returns the address at which the list is served.
 func (s *Server) Address() netip.AddrPort { return s.address }
 
-// Whole is the whole list as it is now, in the form of the protocol.
+// FullList returns the whole current list in the form of the protocol.
 func (s *Server) FullList() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,21 +74,21 @@
 	return u.text, err
 }
 
-// Version is the version of the list.
+// Version returns the current version of the list.
 func (s *Server) Version() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
-// Listed is the number of workers on the list.
+// WorkerCount returns the number of workers on the list.
 func (s *Server) WorkerCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.entries)
 }
 
-// Watches is the number of watches that are open.
+// WatchCount returns the number of open watches.
 func (s *Server) WatchCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +111,7 @@
 	return u, err
 }
 
-// Change makes one new version of the list with the entries, and tells it to all watches as one line.
+// Update makes one new version of the list with the entries and sends it to all watches as one line.
 func (s *Server) Update(entries ...Entry) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,14 +138,15 @@
 	return nil
 }
 
-// SetAway has discovery go: all connections end, and new ones are reset until it is back. Changes are kept meanwhile.
-func (s *Server) SetDown(away bool) {
+// SetDown starts or ends an outage. During an outage all connections are closed and new ones are reset; updates are
+// kept.
+func (s *Server) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if away == s.down {
+	if down == s.down {
 		return
 	}
-	if s.down = away; away {
+	if s.down = down; down {
 		close(s.wentDown)
 		return
 	}
@@ -158,13 +159,13 @@
 	return s.down
 }
 
-// countingListener counts what passes on its connections as traffic of the list.
+// countingListener counts the traffic on its connections as traffic of the list.
 type countingListener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept resets what comes while discovery is away.
+// Accept resets connections that arrive during an outage.
 func (l *countingListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
@@ -179,7 +180,7 @@
 	}
 }
 
-// ServeHTTP answers a scheduler's call.
+// ServeHTTP answers a request for the list or a watch.
 func (s *Server) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != platform.PathTargets {
 		rw.WriteHeader(http.StatusNotFound)
@@ -203,7 +204,7 @@
 	s.watch(rw, r, after)
 }
 
-// watch tells of versions behind one until the scheduler, or discovery, goes.
+// watch sends the updates after a version until the scheduler disconnects or an outage begins.
 func (s *Server) watch(rw http.ResponseWriter, r *http.Request, after int64) {
 	s.mu.Lock()
 	s.watches++
@@ -244,7 +245,8 @@
 	}
 }
 
-// behind gives what a watch is to be told next, and what tells of the next change.
+// updatesAfter returns the updates that a watch has to send next, and a channel that is closed at the next update. If
+// the history does not reach back far enough, it returns the whole list as the only update.
 func (s *Server) updatesAfter(after int64) ([]update, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,14 +261,14 @@
 	return slices.Clone(s.history[first:]), s.changed, nil
 }
 
-// writeChunks sends a text in chunks, and tells whether all of it could be written.
+// writeChunks sends a text in chunks and reports whether all of it was written.
 func writeChunks(rw http.ResponseWriter, text []byte) bool {
-	flush := rw.(http.Flusher)
-	for part := range slices.Chunk(text, chunkBytes) {
-		if _, err := rw.Write(part); err != nil {
+	flusher := rw.(http.Flusher)
+	for chunk := range slices.Chunk(text, chunkBytes) {
+		if _, err := rw.Write(chunk); err != nil {
 			return false
 		}
-		flush.Flush()
+		flusher.Flush()
 	}
 	return true
 }
--- a/internal/scale/discovery/discovery_test.go
+++ b/internal/scale/discovery/discovery_test.go
@@ -40,7 +40,7 @@
 	return s, counter
 }
 
-// watch follows from a version; next gives the lines that hold something.
+// watch opens a watch from a version. The function next returns the next line that is not a heartbeat.
 func watch(t *testing.T, s *Server, after int64) (next func() line) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestWholeListIsToldWithItsVersion(t *testing.T) {
+func TestFullListContainsItsVersion(t *testing.T) {
 	s, counter := startServer(t, 300)
 	response, err := http.Get(fmt.Sprintf("http://%s%s", s.Address(), platform.PathTargets))
 	require.NoError(t, err)
@@ -80,7 +80,7 @@
 	require.Greater(t, counter.Totals()[traffic.List].BytesIn, uint64(len(text)))
 }
 
-func TestWatchContinuesFromTheVersionItNames(t *testing.T) {
+func TestWatchContinuesFromTheRequestedVersion(t *testing.T) {
 	s, _ := startServer(t, 3)
 	known := s.Version()
 	require.NoError(t, s.Update(Entry{Name: "w0001", Status: Removed}))
@@ -96,7 +96,7 @@
 	require.Equal(t, 4, s.WorkerCount())
 }
 
-func TestWatchOfAVersionThatIsNotKeptGetsTheWholeList(t *testing.T) {
+func TestWatchFromAVersionBeforeTheHistoryReceivesTheFullList(t *testing.T) {
 	s, _ := startServer(t, 2)
 	for range maxHistoryUpdates + 1 {
 		require.NoError(t, s.Update(Entry{Name: "w0000", Status: Up}))
@@ -108,7 +108,7 @@
 	require.Len(t, l.Endpoints, 2)
 }
 
-func TestAbsentDiscoveryEndsWatchesAndTakesNone(t *testing.T) {
+func TestOutageClosesWatchesAndRefusesConnections(t *testing.T) {
 	s, _ := startServer(t, 1)
 	watch(t, s, s.Version())
 	require.Eventually(t, func() bool { return s.WatchCount() == 1 }, testTimeout, time.Millisecond)
--- a/internal/scale/discovery/entry.go
+++ b/internal/scale/discovery/entry.go
@@ -7,16 +7,16 @@
 	"net/netip"
 )
 
-// Status is a worker's state in the list.
+// Status is a worker's state on the list.
 type Status string
 
-// The states of the platform's protocol.
+// Statuses of the platform's protocol.
 const (
 	Up      Status = "up"
 	Removed Status = "removed"
 )
 
-// Entry is a worker as the list names it.
+// Entry is a worker's entry on the list.
 type Entry struct {
 	Name    string         `json:"name"`
 	Address netip.AddrPort `json:"address"`
@@ -25,16 +25,16 @@
 	Group   int            `json:"group"`
 	Status  Status         `json:"status"`
 	Weight  float64        `json:"weight"`
-	SinceMS int64          `json:"since_ms"` // Unix time of its start in milliseconds; 0: long ago
+	SinceMS int64          `json:"since_ms"` // Unix time of the worker's start in milliseconds; 0: long ago
 }
 
-// update is one version of the list: a line of a watch, or the whole list.
+// update is one version of the list: the changed entries, or the whole list.
 type update struct {
 	version int64
 	text    []byte // JSON, without a line feed
 }
 
-// newUpdate makes the text of an update.
+// newUpdate encodes an update.
 func newUpdate(version int64, whole bool, entries []Entry) (update, error) {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, `{"index":%d,"snapshot":%t,"endpoints":[`, version, whole)
--- a/internal/scale/process/config.go
+++ b/internal/scale/process/config.go
@@ -9,30 +9,30 @@
 	"cobaltflow/internal/scale/worker"
 )
 
-// Mode is how a scheduler learns of the list.
+// Mode selects how a scheduler learns the worker list.
 type Mode string
 
-// The modes of discovery.
+// Modes of discovery.
 const (
 	Pull Mode = "ask"  // it watches from the version that it knows
-	Push Mode = "push" // it asks for the whole list first, as of an agent on its own machine
+	Push Mode = "push" // it requests the whole list first, as from a discovery server on its own machine
 )
 
-// Names of the classes of jobs.
+// Names of the job classes.
 const (
 	ShortClass = "short" // jobs of well under a second
-	LongClass  = "long"  // tasks that stay in hand
+	LongClass  = "long"  // tasks that run until they are cancelled
 )
 
-// Config is what one scheduler is configured with.
+// Config is the configuration of one scheduler.
 type Config struct {
 	Name       string
-	Listen     netip.AddrPort // clients and callbacks
+	Listen     netip.AddrPort // for clients and callbacks
 	Admin      netip.AddrPort
-	HTTP2      netip.AddrPort // not valid: the front is off
+	HTTP2      netip.AddrPort // not valid: the HTTP/2 front is off
 	Discovery  netip.AddrPort
 	Mode       Mode
-	KnownList  json.RawMessage // the list known at the start; nil: none
+	KnownList  json.RawMessage // worker list known at the start; nil: none
 	MemoryMB   int
 	Sockets    int
 	Seed       uint64
@@ -41,19 +41,19 @@
 	Zone       int
 	Zones      int
 	Tenants    int
-	QuotaPerS  float64 // of each tenant
-	Peers      *Peers  // nil: nothing is told to other schedulers
-	Subsystems json.RawMessage
+	QuotaPerS  float64         // of each tenant
+	Peers      *Peers          // nil: no messages to other schedulers
+	Subsystems json.RawMessage // sections merged into the program's own configuration file; nil: none
 }
 
-// Peers is how a scheduler reaches the others.
+// Peers holds the addresses for messages between schedulers.
 type Peers struct {
 	Listen netip.AddrPort
 	Each   []string
 	All    string
 }
 
-// The platform's file.
+// Types of the platform's configuration file.
 type (
 	platformFile struct {
 		Name       string          `json:"name"`
@@ -134,7 +134,7 @@
 	}
 )
 
-// Deadlines and aims of the two classes.
+// Latency targets and deadlines of the two classes.
 const (
 	shortLatencyTarget = 500 * time.Millisecond
 	shortDeadline      = 5 * time.Second
@@ -142,7 +142,7 @@
 	longDeadline       = 20 * time.Minute
 )
 
-// processorLimit is how many cores a scheduler is told that it has.
+// coreLimit is the number of cores in a scheduler's configuration.
 const coreLimit = 1
 
 func (c *Config) newPlatformFile() platformFile {
@@ -180,15 +180,15 @@
 	return s
 }
 
-// TenantName is a tenant's name, from its number.
+// TenantName returns a tenant's name, from its number.
 func TenantName(number int) string { return fmt.Sprintf("team-%03d", number) }
 
 func microseconds(d time.Duration) int64 { return d.Microseconds() }
 
-// Limits of the HTTP/2 front where it is on: enough for all tasks that one scheduler has to hold.
+// Limits of the HTTP/2 front: enough for all tasks that one scheduler has to hold.
 const (
 	HTTP2Connections = 128
-	HTTP2Streams     = 250 // at once, of a connection
+	HTTP2Streams     = 250 // concurrent streams of a connection
 )
 
 type programFile struct {
@@ -207,7 +207,8 @@
 	MaxStreams     int    `json:"max_streams,omitempty"`
 }
 
-// own is the project's own file. What Subsystems holds is put beside it, section by section.
+// marshalProgramFile returns the program's own configuration file, merged with the sections of Subsystems. A section of
+// Subsystems replaces one of the same name.
 func (c *Config) marshalProgramFile() ([]byte, error) {
 	f := programFile{Log: programLog{Format: "text", Level: "info"}}
 	if c.HTTP2.IsValid() {
@@ -220,7 +221,7 @@
 	sections := map[string]json.RawMessage{}
 	for _, part := range [][]byte{text, c.Subsystems} {
 		if err := json.Unmarshal(part, &sections); err != nil {
-			return nil, fmt.Errorf("sections of the own file: %w", err)
+			return nil, fmt.Errorf("sections of the program's configuration file: %w", err)
 		}
 	}
 	return json.Marshal(sections)
--- a/internal/scale/process/config_test.go
+++ b/internal/scale/process/config_test.go
@@ -14,18 +14,18 @@
 	"cobaltflow/rules"
 )
 
-// The program itself reads the files, and finds in them what was asked for.
-func TestFilesAreTheProgramsOwnForm(t *testing.T) {
+// The program's own loader reads the files and finds the configured values in them.
+func TestProgramReadsTheConfigurationFiles(t *testing.T) {
 	c := Config{Name: "s03", Listen: netip.MustParseAddrPort("127.0.2.1:1000"), Admin: netip.MustParseAddrPort("127.0.2.1:1001"),
 		HTTP2: netip.MustParseAddrPort("127.0.2.1:1002"), Discovery: netip.MustParseAddrPort("127.0.3.1:1003"), Mode: Push,
 		KnownList: json.RawMessage(`{"index":7,"snapshot":true,"endpoints":[]}`), MemoryMB: 256, Sockets: 2048, Seed: 9, Rank: 1, GroupSize: 2,
 		Zone: 2, Zones: 3, Tenants: 4, QuotaPerS: 25, Subsystems: json.RawMessage(`{"log":{"format":"json","level":"warn"}}`),
 		Peers: &Peers{Listen: netip.MustParseAddrPort("127.0.4.1:1"), Each: []string{"127.0.4.1:2", "127.0.4.1:3"}, All: "127.0.4.1:4"}}
 	s := &Scheduler{Config: c, dir: t.TempDir()}
-	own, err := c.marshalProgramFile()
+	programText, err := c.marshalProgramFile()
 	require.NoError(t, err)
 	path := filepath.Join(s.dir, "cobaltflow.json")
-	require.NoError(t, os.WriteFile(path, own, 0o600))
+	require.NoError(t, os.WriteFile(path, programText, 0o600))
 	_, err = s.writePlatform()
 	require.NoError(t, err)
 
--- a/internal/scale/process/process.go
+++ b/internal/scale/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs schedulers as processes of the program, each with files of its own, and reads what they use. It
-// ends a process by its id alone.
+// Package process runs schedulers as processes of the program, each with its own configuration files, and reads their
+// resource use. Package scale calls it. A process is signalled by its own ID only, never by its name.
 package process
 
 import (
@@ -28,48 +28,48 @@
 const (
 	readyPollPeriod = 5 * time.Millisecond
 	callTimeout     = 2 * time.Second
-	maxLogLines     = 200 // kept, the last ones
-	reloadedText    = "reload: taken over"
+	maxLogLines     = 200                  // the last lines that are kept
+	reloadedText    = "reload: taken over" // log message of a successful reload
 )
 
-// Errors of a start.
+// Errors of Start and WaitReloaded.
 var (
-	ErrExited   = errors.New("the scheduler ended")
-	ErrNotReady = errors.New("the scheduler was not ready in time")
+	ErrExited   = errors.New("the scheduler process exited")
+	ErrNotReady = errors.New("the scheduler did not become ready in time")
 )
 
-// Scheduler is a process of the program.
+// Scheduler is a running process of the program.
 type Scheduler struct {
 	Config  Config
 	program string
 	dir     string
 	cmd     *exec.Cmd
-	exited  chan struct{}
+	exited  chan struct{} // closed when the process has ended
 
 	mu          sync.Mutex
-	lines       []string
-	reloadTimes []time.Time // when it told that a new configuration was taken over
-	reloaded    chan struct{}
+	lines       []string      // last lines of the log
+	reloadTimes []time.Time   // when the process logged a reload
+	reloaded    chan struct{} // closed and replaced at each reload
 }
 
-// Start runs a scheduler and gives it back with the time it took until it was ready. One that is not ready within the
-// limit is ended.
+// Start runs a scheduler and returns it with the time until it was ready. A scheduler that is not ready within the
+// limit is killed.
 func Start(ctx context.Context, program, dir string, config Config, limit time.Duration) (*Scheduler, time.Duration, error) {
 	s := &Scheduler{Config: config, program: program, dir: dir, exited: make(chan struct{}), reloaded: make(chan struct{})}
 	if err := os.MkdirAll(s.path("tmp"), 0o700); err != nil {
 		return nil, 0, err
 	}
-	own, err := config.marshalProgramFile()
+	programText, err := config.marshalProgramFile()
 	if err != nil {
 		return nil, 0, err
 	}
-	if err := os.WriteFile(s.path("cobaltflow.json"), own, 0o600); err != nil {
+	if err := os.WriteFile(s.path("cobaltflow.json"), programText, 0o600); err != nil {
 		return nil, 0, err
 	}
 	if _, err := s.writePlatform(); err != nil {
 		return nil, 0, err
 	}
-	began := time.Now()
+	started := time.Now()
 	if err := s.run(); err != nil {
 		return nil, 0, err
 	}
@@ -77,12 +77,12 @@
 		s.Kill()
 		return nil, 0, fmt.Errorf("%s: %w\n%s", config.Name, err, s.Log())
 	}
-	return s, time.Since(began), nil
+	return s, time.Since(started), nil
 }
 
 func (s *Scheduler) path(name string) string { return filepath.Join(s.dir, name) }
 
-// writePlatform writes the platform's file and gives its size in bytes.
+// writePlatform writes the platform's configuration file and returns its size in bytes.
 func (s *Scheduler) writePlatform() (int, error) {
 	text, err := json.Marshal(s.Config.newPlatformFile())
 	if err != nil {
@@ -94,7 +94,7 @@
 func (s *Scheduler) run() error {
 	s.cmd = exec.Command(s.program, "serve", "--config", s.path("cobaltflow.json"))
 	s.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+s.path("platform.json"), "TMPDIR="+s.path("tmp"))
-	// A scheduler never outlives the measurement, whatever ends that.
+	// The kernel kills the scheduler if the measurement ends for any reason.
 	s.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := s.cmd.StdoutPipe()
 	if err != nil {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// readLog keeps the last lines, and notes when a new configuration was taken over.
+// readLog keeps the last lines of the log and records the times of reloads, until the output ends.
 func (s *Scheduler) readLog(out io.Reader) {
 	for r := bufio.NewReader(out); ; {
 		line, err := r.ReadString('\n')
@@ -134,14 +134,15 @@
 	}
 }
 
-// Log gives the last lines that the scheduler wrote.
+// Log returns the last lines that the scheduler logged.
 func (s *Scheduler) Log() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.Join(s.lines, "\n")
 }
 
-// LastProblem gives the last line that the scheduler wrote as a warning or an error; empty: it wrote none lately.
+// LastWarning returns the last line that the scheduler logged as a warning or an error, or "" if there is none among
+// the kept lines.
 func (s *Scheduler) LastWarning() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,10 +154,10 @@
 	return ""
 }
 
-// URL is where a path of the scheduler is found by clients.
+// URL returns the URL of a path at the scheduler's client address.
 func (s *Scheduler) URL(path string) string { return "http://" + s.Config.Listen.String() + path }
 
-// Ready tells whether the scheduler says that it serves.
+// Ready reports whether the scheduler's readiness check succeeds.
 func (s *Scheduler) Ready(ctx context.Context) bool {
 	_, err := get(ctx, s.URL(platform.PathReady))
 	return err == nil
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// Listed is the number of workers on the scheduler's list.
+// WorkerCount returns the number of workers on the scheduler's list, from its metrics.
 func (s *Scheduler) WorkerCount(ctx context.Context) (int, error) {
 	text, err := get(ctx, "http://"+s.Config.Admin.String()+"/-/metrics")
 	if err != nil {
@@ -196,9 +197,9 @@
 	return 0, errNoWorkerCount
 }
 
-var errNoWorkerCount = errors.New("the figure registry_entries is missing")
+var errNoWorkerCount = errors.New("the metrics do not contain registry_entries")
 
-// get reads an answer of status 200 on a connection of its own.
+// get fetches a URL on a connection of its own and returns the body. Any status but 200 is an error.
 func get(ctx context.Context, url string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -219,7 +220,8 @@
 	return string(text), err
 }
 
-// Reload writes the configuration anew and has the scheduler read it. It gives the bytes that the scheduler reads.
+// Reload writes the configuration again and signals the scheduler to read it. It returns the number of bytes that the
+// scheduler reads.
 func (s *Scheduler) Reload() (int, error) {
 	size, err := s.writePlatform()
 	if err != nil {
@@ -228,18 +230,18 @@
 	return size, s.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// WaitReloaded waits until the scheduler has told of so many new configurations since its start, and gives the time of
-// that one.
+// WaitReloaded waits until the scheduler has logged count reloads since its start, and returns the time of the last of
+// these. It returns ErrExited if the process ends before.
 func (s *Scheduler) WaitReloaded(ctx context.Context, count int) (time.Time, error) {
 	for {
 		s.mu.Lock()
-		reloads, told := s.reloadTimes, s.reloaded
+		times, reloaded := s.reloadTimes, s.reloaded
 		s.mu.Unlock()
-		if len(reloads) >= count {
-			return reloads[count-1], nil
+		if len(times) >= count {
+			return times[count-1], nil
 		}
 		select {
-		case <-told:
+		case <-reloaded:
 		case <-s.exited:
 			return time.Time{}, ErrExited
 		case <-ctx.Done():
@@ -248,27 +250,27 @@
 	}
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL to the process and waits for its end.
 func (s *Scheduler) Kill() {
 	s.cmd.Process.Kill()
 	<-s.exited
 }
 
-// Usage is what a process uses at a moment.
+// Usage is the resource use of a process at one moment.
 type Usage struct {
 	At            time.Time
-	CPUTime       time.Duration // since its start
+	CPUTime       time.Duration // since the process started
 	ResidentBytes int64         // bytes
 	Descriptors   int
 }
 
-// Usage reads what the scheduler uses now.
+// Usage reads the current resource use of the scheduler.
 func (s *Scheduler) Usage() (Usage, error) {
 	pid := s.cmd.Process.Pid
-	u := Usage{At: time.Now()}
-	var processor, memory, descriptors error
-	u.CPUTime, processor = procfs.ProcessorTime(pid)
-	u.ResidentBytes, memory = procfs.Memory(pid, procfs.ResidentMemory)
-	u.Descriptors, descriptors = procfs.Descriptors(pid)
-	return u, errors.Join(processor, memory, descriptors)
+	usage := Usage{At: time.Now()}
+	var cpuErr, memoryErr, descriptorsErr error
+	usage.CPUTime, cpuErr = procfs.ProcessorTime(pid)
+	usage.ResidentBytes, memoryErr = procfs.Memory(pid, procfs.ResidentMemory)
+	usage.Descriptors, descriptorsErr = procfs.Descriptors(pid)
+	return usage, errors.Join(cpuErr, memoryErr, descriptorsErr)
 }
--- a/internal/scale/traffic/traffic.go
+++ b/internal/scale/traffic/traffic.go
@@ -1,5 +1,6 @@
-// Package traffic counts the bytes, messages and connections between schedulers and their surroundings by what they
-// are for, at the ends outside the schedulers. It counts payload of sockets alone: no headers of TCP, UDP or IP.
+// Package traffic counts bytes, messages and connections between schedulers and their environment by purpose, at the
+// ends outside the schedulers. It counts socket payload only, without TCP, UDP or IP headers; the packages of the scale
+// measurements use it.
 package traffic
 
 import (
@@ -7,30 +8,30 @@
 	"sync/atomic"
 )
 
-// Kind is what a byte was sent for.
+// Kind is the purpose of traffic.
 type Kind uint8
 
-// The kinds of traffic. The first four are control; the others are the payload of jobs.
+// Kinds of traffic. The first four are control traffic; the others belong to jobs.
 const (
-	List          Kind = iota // the worker list, between discovery and a scheduler
-	Probe                     // probes of workers and the load reports in their answers
+	List          Kind = iota // the worker list, from discovery to a scheduler
+	Probe                     // probes of workers and the load reports in their responses
 	Peer                      // messages between schedulers
-	Configuration             // configuration files, read by a scheduler
-	Job                       // jobs sent to workers, and their withdrawals
-	Callback                  // what workers tell of jobs
-	Client                    // clients' requests and their answers
-	KindCount
+	Configuration             // configuration files that a scheduler reads
+	Job                       // jobs sent to workers, and their cancellations
+	Callback                  // callbacks of workers about jobs
+	Client                    // requests of clients and their answers
+	KindCount                 // number of kinds
 )
 
-// Control lists the kinds that are no payload of jobs.
+// ControlKinds returns the kinds of control traffic.
 func ControlKinds() []Kind { return []Kind{List, Probe, Peer, Configuration} }
 
 var kindNames = [KindCount]string{"list", "probe", "peer", "configuration", "job", "callback", "client"}
 
-// String is the kind's name in results.
+// String returns the kind's name in results.
 func (k Kind) String() string { return kindNames[k] }
 
-// Amount is what has passed of one kind, as the schedulers see it.
+// Amount is the traffic of one kind, from the schedulers' point of view.
 type Amount struct {
 	BytesIn     uint64 // to the schedulers
 	BytesOut    uint64 // from the schedulers
@@ -38,10 +39,10 @@
 	Connections uint64 // opened
 }
 
-// Totals is what has passed, by kind.
+// Totals holds the traffic so far by kind.
 type Totals [KindCount]Amount
 
-// Since is what has passed after an earlier reading.
+// Sub returns the traffic since an earlier reading.
 func (t Totals) Sub(before Totals) Totals {
 	for k := range t {
 		t[k].BytesIn -= before[k].BytesIn
@@ -52,12 +53,12 @@
 	return t
 }
 
-// Counter counts by kind. Its methods may be called from any goroutine.
+// Counter counts traffic by kind. Its methods may be called from any goroutine.
 type Counter struct{ kinds [KindCount]counts }
 
 type counts struct{ in, out, messages, connections atomic.Uint64 }
 
-// Totals reads the counter.
+// Totals returns the traffic counted so far.
 func (c *Counter) Totals() (t Totals) {
 	for k := range c.kinds {
 		n := &c.kinds[k]
@@ -66,29 +67,29 @@
 	return t
 }
 
-// In counts bytes to a scheduler.
+// AddIn counts bytes to a scheduler.
 func (c *Counter) AddIn(k Kind, bytes int) { c.kinds[k].in.Add(uint64(bytes)) }
 
-// Out counts bytes from a scheduler.
+// AddOut counts bytes from a scheduler.
 func (c *Counter) AddOut(k Kind, bytes int) { c.kinds[k].out.Add(uint64(bytes)) }
 
-// Message counts a message in either direction.
+// AddMessage counts a message in either direction.
 func (c *Counter) AddMessage(k Kind) { c.kinds[k].messages.Add(1) }
 
-// Connection counts a connection that was opened.
+// AddConnection counts an opened connection.
 func (c *Counter) AddConnection(k Kind) { c.kinds[k].connections.Add(1) }
 
-// Conn counts what passes on a connection whose other end is a scheduler.
+// Conn counts the traffic on a connection whose other end is a scheduler.
 type Conn struct {
 	net.Conn
 	counter      *Counter
-	kindKnown    atomic.Bool   // the kind of what is read next is known
-	connCounted  atomic.Bool   // the connection itself is
-	kind         atomic.Uint32 // of what is written, and of what is read while sorted
+	kindKnown    atomic.Bool   // all bytes read are of one kind
+	connCounted  atomic.Bool   // the connection itself has been counted
+	kind         atomic.Uint32 // of bytes written, and of bytes read if kindKnown
 	pendingBytes atomic.Int64  // bytes read whose kind is not known yet
 }
 
-// Of counts a connection that serves one kind alone.
+// WrapConn counts a connection whose traffic is all of one kind.
 func (c *Counter) WrapConn(nc net.Conn, k Kind) *Conn {
 	conn := &Conn{Conn: nc, counter: c}
 	conn.kind.Store(uint32(k))
@@ -98,10 +99,11 @@
 	return conn
 }
 
-// Mixed counts a connection that takes requests of several kinds, one after another; Begin tells of which kind each is.
+// WrapMixedConn counts a connection that receives requests of several kinds, one after another. BeginRequest sets the
+// kind of each.
 func (c *Counter) WrapMixedConn(nc net.Conn) *Conn { return &Conn{Conn: nc, counter: c} }
 
-// Begin gives the kind of the request whose head has been read, and of the answer to it. The connection counts to the
+// BeginRequest sets the kind of the request whose head has been read and of its response. The connection counts for the
 // kind of its first request.
 func (c *Conn) BeginRequest(k Kind) {
 	c.kind.Store(uint32(k))
@@ -112,7 +114,7 @@
 	}
 }
 
-// End counts the rest of the request's bytes to its kind, once its body has been read.
+// EndRequest counts the rest of the request's bytes, after its body has been read.
 func (c *Conn) EndRequest() { c.counter.AddOut(Kind(c.kind.Load()), int(c.pendingBytes.Swap(0))) }
 
 // Read implements net.Conn.
--- a/internal/scale/traffic/traffic_test.go
+++ b/internal/scale/traffic/traffic_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// exchange has the other end send a request and take an answer.
+// exchange sends a request from the other end and reads the answer there.
 func exchange(t *testing.T, here, there net.Conn, request, answer string, began func()) {
 	t.Helper()
 	send(t, there, here, request)
@@ -29,7 +29,7 @@
 	require.NoError(t, <-written)
 }
 
-func TestMixedConnectionCountsEachRequestToItsKind(t *testing.T) {
+func TestMixedConnectionCountsRequestsByKind(t *testing.T) {
 	here, there := net.Pipe()
 	defer here.Close()
 	defer there.Close()
@@ -45,7 +45,7 @@
 	require.Equal(t, Amount{BytesIn: 2, BytesOut: 3, Messages: 1}, counter.Totals().Sub(before)[Job])
 }
 
-func TestConnectionOfOneKind(t *testing.T) {
+func TestConnectionOfOneKindCountsAllTraffic(t *testing.T) {
 	here, there := net.Pipe()
 	defer here.Close()
 	defer there.Close()
--- a/internal/scale/worker/callback.go
+++ b/internal/scale/worker/callback.go
@@ -28,18 +28,19 @@
 	jobIDSeparator      = "-"
 )
 
-// JobID is the id of a job that is sent to a scheduler; the workers tell from it whom to call back.
+// JobID returns the ID of a job that is sent to a scheduler. The workers take from it which scheduler to call back.
 func JobID(scheduler int, serial uint64) string {
 	return strconv.Itoa(scheduler) + jobIDSeparator + strconv.FormatUint(serial, 36)
 }
 
-// schedulerOf gives the scheduler that a job was sent to.
+// schedulerOf returns the number of the scheduler that a job was sent to.
 func schedulerOf(id string) (int, error) {
 	parts := strings.SplitN(id, jobIDSeparator, jobIDParts)
 	return strconv.Atoi(parts[0])
 }
 
-// callbacks calls schedulers back. Connections to each are kept, and bounded: a call waits for one.
+// callbacks sends callbacks to schedulers. Connections to each scheduler are kept and limited in number; a callback
+// waits for a free one.
 type callbacks struct {
 	schedulers []netip.AddrPort
 	client     *http.Client
@@ -66,7 +67,7 @@
 	c.client.CloseIdleConnections()
 }
 
-// event is what a worker tells of a job.
+// event is the body of a callback about a job.
 type event struct {
 	ID     string `json:"id"`
 	From   string `json:"from"`
@@ -74,17 +75,17 @@
 	Result string `json:"result,omitempty"`
 }
 
-// tell calls the job's scheduler until it answers, a bounded number of times.
+// send posts an event to the job's scheduler until it is accepted, at most maxCallbackAttempts times.
 func (c *callbacks) send(id, from, state, result string) {
-	number, err := schedulerOf(id)
-	if err != nil || number < 0 || number >= len(c.schedulers) {
-		return // no job of ours
+	scheduler, err := schedulerOf(id)
+	if err != nil || scheduler < 0 || scheduler >= len(c.schedulers) {
+		return // not an ID from JobID
 	}
 	text, err := json.Marshal(event{ID: id, From: from, State: state, Result: result})
 	if err != nil {
 		return
 	}
-	url := fmt.Sprintf("http://%s%s", c.schedulers[number], platform.PathEvents)
+	url := fmt.Sprintf("http://%s%s", c.schedulers[scheduler], platform.PathEvents)
 	for range maxCallbackAttempts {
 		if c.post(url, text) {
 			return
@@ -97,7 +98,7 @@
 	}
 }
 
-// post sends a callback and tells whether it was taken.
+// post sends a callback and reports whether it was accepted with a status of 2xx.
 func (c *callbacks) post(url string, text []byte) bool {
 	request, err := http.NewRequestWithContext(c.ctx, http.MethodPost, url, bytes.NewReader(text))
 	if err != nil {
--- a/internal/scale/worker/server.go
+++ b/internal/scale/worker/server.go
@@ -20,16 +20,16 @@
 	"cobaltflow/internal/scale/traffic"
 )
 
-var errInvalidSettings = errors.New("workers, zones and slots have to be above 0, and workers within their bound")
+var errInvalidSettings = errors.New("workers, zones and slots must be above 0, and workers at most MaxWorkers")
 
 const (
 	loopbackDevice = "lo"
 	maxBodyBytes   = 64 << 10
 	idleTimeout    = 5 * time.Minute
-	addressBlock   = 64 // workers are at 127.64.x.y
+	addressBlock   = 64 // worker addresses are 127.64.x.y
 )
 
-// server takes the connections to all workers and tells by the address that was dialled which of them is meant.
+// server accepts the connections to all workers and identifies the worker by the address that was dialled.
 type server struct {
 	fleet *Fleet
 	http  *http.Server
@@ -48,16 +48,16 @@
 
 type connKey struct{}
 
-// serve opens the one listener. A socket bound to an address of the loopback network takes connections to this address
-// alone, so that one for all addresses can be had only without an address. It is bound to the loopback device instead:
-// nothing reaches it from another, and a peer outside 127.0.0.0/8 is turned away besides.
+// startServer opens the listener. A socket bound to a loopback address accepts connections to that address alone, so a
+// listener for all worker addresses has to be bound to the wildcard address. It is bound to the loopback device in
+// addition, so that no other device reaches it, and the listener rejects peers outside of 127.0.0.0/8.
 func startServer(f *Fleet) (*server, error) {
 	listen := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		var failed error
-		if err := raw.Control(func(fd uintptr) { failed = unix.BindToDevice(int(fd), loopbackDevice) }); err != nil {
+		var bindErr error
+		if err := raw.Control(func(fd uintptr) { bindErr = unix.BindToDevice(int(fd), loopbackDevice) }); err != nil {
 			return err
 		}
-		return failed
+		return bindErr
 	}}
 	ln, err := listen.Listen(context.Background(), "tcp4", "0.0.0.0:0")
 	if err != nil {
@@ -77,19 +77,19 @@
 
 func (s *server) close() { s.http.Close() }
 
-// address is a worker's.
+// address returns a worker's address.
 func (s *server) address(worker int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, addressBlock, byte(worker >> 8), byte(worker)}), s.port)
 }
 
-// workerAt is the number of the worker at an address.
+// workerAt returns the number of the worker at an address, and whether there is one.
 func (s *server) workerAt(a netip.AddrPort) (int, bool) {
-	at := a.Addr().Unmap().As4()
-	worker := int(at[2])<<8 | int(at[3])
-	return worker, at[0] == 127 && at[1] == addressBlock && worker < s.fleet.settings.Workers
+	octets := a.Addr().Unmap().As4()
+	worker := int(octets[2])<<8 | int(octets[3])
+	return worker, octets[0] == 127 && octets[1] == addressBlock && worker < s.fleet.settings.Workers
 }
 
-// listener gives out connections from the loopback network to workers that are up, and resets all others.
+// listener returns connections from the loopback network to workers that are up, and resets all others.
 type listener struct {
 	net.Listener
 	server *server
@@ -123,7 +123,7 @@
 	s.mu.Unlock()
 }
 
-// reset breaks all connections to a worker.
+// resetConns resets all connections to a worker.
 func (s *server) resetConns(worker int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// ServeHTTP takes a probe, a job or a withdrawal.
+// ServeHTTP handles a probe, a job or a cancellation.
 func (s *server) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	c := r.Context().Value(connKey{}).(*workerConn)
 	if r.URL.Path == platform.PathLoad {
@@ -153,13 +153,13 @@
 	if err != nil {
 		return
 	}
-	runs, err := time.ParseDuration(string(body))
+	runTime, err := time.ParseDuration(string(body))
 	id := r.Header.Get(platform.HeaderID)
 	if err != nil || id == "" {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if s.fleet.accept(c.worker, id, runs) {
+	if s.fleet.accept(c.worker, id, runTime) {
 		rw.WriteHeader(http.StatusAccepted)
 		return
 	}
--- a/internal/scale/worker/worker.go
+++ b/internal/scale/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker plays many workers of the platform's protocol in one process behind one listener: each has an
-// address of its own in 127.0.0.0/8, and all have the same port. They take jobs, report loads and call back; they do
-// no work.
+// Package worker simulates the workers of the platform's protocol in one process behind one listener: each has its own
+// address in 127.0.0.0/8, and all share one port. They accept jobs, report load and call back, but do no work. Package
+// scale calls it.
 package worker
 
 import (
@@ -13,24 +13,24 @@
 	"cobaltflow/internal/scale/traffic"
 )
 
-// MaxWorkers is how many workers one fleet may have.
+// MaxWorkers is the largest number of workers of a fleet.
 const MaxWorkers = 1 << 16
 
-// MaxJobs is how many jobs a fleet holds in all; past it one is turned away unprocessed.
+// MaxJobs is the largest number of jobs that a fleet holds in all; further jobs are rejected as unprocessed.
 const MaxJobs = 1 << 16
 
-// Kind is the one kind of worker that there is.
+// Kind is the kind of all workers.
 const Kind = "hollow"
 
-// Settings of a fleet.
+// Settings configure a fleet.
 type Settings struct {
 	Workers int
-	Zones   int // the workers are spread over them in order, in even shares
-	Slots   int // jobs that a worker runs at once
-	Queue   int // jobs that wait at a worker; past it one is turned away unprocessed
+	Zones   int // workers are assigned to them in order, in equal shares
+	Slots   int // jobs that a worker runs at the same time
+	Queue   int // jobs that wait at a worker; further jobs are rejected as unprocessed
 }
 
-// Fleet is the workers. Its methods may be called from any goroutine.
+// Fleet is a set of simulated workers. Its methods may be called from any goroutine.
 type Fleet struct {
 	settings  Settings
 	counter   *traffic.Counter
@@ -44,17 +44,17 @@
 	Counts  // guarded by mu
 }
 
-// Counts is what has happened at the workers.
+// Counts holds the numbers of events at the workers.
 type Counts struct {
 	Probes    uint64 // answered
-	Accepted  uint64 // jobs accepted
+	Accepted  uint64 // jobs
 	Started   uint64
 	Done      uint64
-	Rejected  uint64 // jobs turned away unprocessed
-	Cancelled uint64 // jobs withdrawn
+	Rejected  uint64 // jobs rejected as unprocessed
+	Cancelled uint64 // cancellations received, whether or not the job was waiting
 }
 
-// state is what is kept of one worker.
+// workerState is the state of one worker.
 type workerState struct {
 	running int
 	waiting []*job
@@ -70,7 +70,8 @@
 	started bool
 }
 
-// Start runs a fleet that calls back to schedulers at the addresses, by their numbers.
+// Start runs a fleet whose callbacks go to the schedulers at these addresses, which are indexed by the scheduler's
+// number.
 func Start(settings Settings, counter *traffic.Counter, schedulers []netip.AddrPort) (*Fleet, error) {
 	if settings.Workers < 1 || settings.Workers > MaxWorkers || settings.Zones < 1 || settings.Slots < 1 {
 		return nil, fmt.Errorf("fleet of %+v: %w", settings, errInvalidSettings)
@@ -82,7 +83,7 @@
 	return f, err
 }
 
-// Close ends the listener, all connections and all jobs; nothing is called back any more.
+// Close closes the listener and all connections and drops all jobs. No callback is sent afterwards.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	f.closed = true
@@ -96,16 +97,16 @@
 	f.callbacks.close()
 }
 
-// Zone is the number of a worker's zone.
+// Zone returns the number of a worker's zone.
 func (f *Fleet) Zone(worker int) int { return worker * f.settings.Zones / f.settings.Workers }
 
-// ZoneName is a zone's name, from its number.
+// ZoneName returns a zone's name, from its number.
 func ZoneName(zone int) string { return fmt.Sprintf("z%02d", zone) }
 
-// Name is a worker's name, from its number.
+// Name returns a worker's name, from its number.
 func Name(worker int) string { return fmt.Sprintf("w%05d", worker) }
 
-// Entry is a worker's entry of the list.
+// Entry returns a worker's entry for the worker list, with a status.
 func (f *Fleet) Entry(worker int, status discovery.Status) discovery.Entry {
 	f.mu.Lock()
 	since := f.workers[worker].sinceMS
@@ -115,7 +116,7 @@
 		Group: zone, Status: status, Weight: 1, SinceMS: since}
 }
 
-// Entries are those of all workers.
+// Entries returns the entries of all workers, with the status Up.
 func (f *Fleet) Entries() []discovery.Entry {
 	list := make([]discovery.Entry, f.settings.Workers)
 	for i := range list {
@@ -124,9 +125,9 @@
 	return list
 }
 
-// Stop has a worker's machine go: its connections are reset, new ones too, and its jobs are lost untold. One listener
-// stands for all, so that new connections are reset after they came up, where a machine without a listener refuses
-// them.
+// Stop simulates the loss of a worker's machine: its connections are reset, also new ones, and its jobs are lost
+// without a callback. All workers share one listener, so a new connection is reset after it is established, where a
+// machine without a listener would refuse it.
 func (f *Fleet) Stop(worker int) {
 	f.mu.Lock()
 	w := &f.workers[worker]
@@ -144,7 +145,7 @@
 	f.server.resetConns(worker)
 }
 
-// Restart has a worker come up anew, cold from now on.
+// Restart starts a stopped worker again. It counts as cold from now on.
 func (f *Fleet) Restart(worker int, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,14 +153,14 @@
 	f.workers[worker].sinceMS = now.UnixMilli()
 }
 
-// Read gives the counts so far.
+// ReadCounts returns the counts so far.
 func (f *Fleet) ReadCounts() Counts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.Counts
 }
 
-// Held is the number of jobs that are at the workers.
+// HeldJobs returns the number of jobs that run or wait at the workers.
 func (f *Fleet) HeldJobs() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,7 +173,7 @@
 	return f.workers[worker].down
 }
 
-// load is a worker's report in the form of the protocol.
+// loadReport returns a worker's load report in the form of the protocol and counts the probe.
 func (f *Fleet) loadReport(worker int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -186,18 +187,18 @@
 // reportedLatencyMS is the latency that all workers report.
 const reportedLatencyMS = 50
 
-// take accepts a job, or tells that it is turned away.
-func (f *Fleet) accept(worker int, id string, runs time.Duration) bool {
+// accept accepts a job and starts it or puts it into the worker's queue. It returns false if it rejects the job.
+func (f *Fleet) accept(worker int, id string, runTime time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := &f.workers[worker]
-	full := w.running >= f.settings.Slots && len(w.waiting) >= f.settings.Queue
-	if f.closed || w.down || full || len(f.jobs) >= MaxJobs || f.jobs[id] != nil {
+	isFull := w.running >= f.settings.Slots && len(w.waiting) >= f.settings.Queue
+	if f.closed || w.down || isFull || len(f.jobs) >= MaxJobs || f.jobs[id] != nil {
 		f.Rejected++
 		return false
 	}
 	f.Accepted++
-	j := &job{id: id, worker: worker, runTime: runs}
+	j := &job{id: id, worker: worker, runTime: runTime}
 	f.jobs[id] = j
 	if w.running < f.settings.Slots {
 		f.startLocked(j)
@@ -207,20 +208,21 @@
 	return true
 }
 
+// startLocked occupies a slot with a job, sends the callback for its start and sets the timer for its end.
 func (f *Fleet) startLocked(j *job) {
 	f.workers[j.worker].running++
 	f.Started++
 	j.started = true
-	told := make(chan struct{})
+	startReported := make(chan struct{})
 	go func() {
 		f.callbacks.send(j.id, Name(j.worker), stateStarted, "")
-		close(told)
+		close(startReported)
 	}()
-	j.timer = time.AfterFunc(j.runTime, func() { f.finish(j, told) })
+	j.timer = time.AfterFunc(j.runTime, func() { f.finish(j, startReported) })
 }
 
-// finish ends a job and calls back, behind the callback that told of its start.
-func (f *Fleet) finish(j *job, told chan struct{}) {
+// finish ends a job and sends its callback after the one for its start.
+func (f *Fleet) finish(j *job, startReported chan struct{}) {
 	f.mu.Lock()
 	if f.closed || f.jobs[j.id] != j {
 		f.mu.Unlock()
@@ -230,11 +232,11 @@
 	f.Done++
 	f.releaseSlotLocked(j.worker)
 	f.mu.Unlock()
-	<-told
+	<-startReported
 	f.callbacks.send(j.id, Name(j.worker), stateDone, "result of "+j.id)
 }
 
-// nextLocked frees a slot of a worker and starts the job that has waited longest.
+// releaseSlotLocked frees a slot of a worker and starts the job that has waited longest.
 func (f *Fleet) releaseSlotLocked(worker int) {
 	w := &f.workers[worker]
 	w.running--
@@ -245,7 +247,7 @@
 	}
 }
 
-// withdraw gives up a job that waits; one that runs goes on.
+// cancel removes a waiting job. A job that already runs continues.
 func (f *Fleet) cancel(worker int, id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
