--- a/internal/scale/capacity/evidence.go
+++ b/internal/scale/capacity/evidence.go
@@ -84,9 +84,9 @@
 
 // addPoint adds the mean of the runs at one size and returns its number.
 func (l *evidenceList) addPoint(source *Source, runs []*result.Run, mean float64) int {
-	at := runs[0].Parameters[source.Parameter]
+	size := runs[0].Parameters[source.Parameter]
 	line := lineKey{source.Kind, runs[0].Program, source.Case, source.Figure, source.Parameter}
-	return l.add(evidenceKey{line: line, point: true, at: at}, func() Evidence {
+	return l.add(evidenceKey{line: line, point: true, at: size}, func() Evidence {
 		smallest, largest := mean, mean
 		for _, run := range runs {
 			smallest = min(smallest, run.Figures[source.Figure])
@@ -94,7 +94,7 @@
 		}
 		where := "the case as it stands"
 		if source.Parameter != "" {
-			where = source.Parameter + " " + formatShort(at)
+			where = source.Parameter + " " + formatShort(size)
 		}
 		return Evidence{
 			Kind: string(source.Kind), Case: source.Case, Program: runs[0].Program, Figure: source.Figure,
--- a/internal/scale/capacity/fleet.go
+++ b/internal/scale/capacity/fleet.go
@@ -104,7 +104,7 @@
 // fleetView computes the number of schedulers of a fleet from the constraints that were measured.
 func (b *pageBuilder) fleetView(text string, program *Program, sizes sizes) FleetView {
 	view := FleetView{Fleet: text, Program: program.Label}
-	most, parts, impossible := 0.0, []string{}, []string{}
+	largest, parts, impossible := 0.0, []string{}, []string{}
 	for i := range b.targets.Constraints {
 		constraint := &b.targets.Constraints[i]
 		d := b.computeDemand(constraint, b.estimator(program, sizes))
@@ -119,8 +119,8 @@
 			continue
 		}
 		parts = append(parts, constraint.Text+": "+formatPlain(number))
-		if number > most {
-			most, view.Binding = number, constraint.Text
+		if number > largest {
+			largest, view.Binding = number, constraint.Text
 		}
 	}
 	view.Each = strings.Join(parts, "; ")
@@ -128,10 +128,10 @@
 	case len(impossible) > 0:
 		view.Needed = "no number"
 		view.Binding = strings.Join(impossible, ", ") + ": what each scheduler needs anyway is over the budget"
-	case most == 0:
+	case largest == 0:
 		view.Needed = "not measured"
 	default:
-		view.Needed = formatPlain(most)
+		view.Needed = formatPlain(largest)
 	}
 	return view
 }
--- a/internal/scale/cases_fleet.go
+++ b/internal/scale/cases_fleet.go
@@ -79,9 +79,9 @@
 	changes := int(m.duration(3*time.Second, 10*time.Second).Seconds()*perS + 0.5)
 	changes = max(changes, 2)
 	var delays []time.Duration
-	began := time.Now()
+	started := time.Now()
 	for number := range changes {
-		if err := m.pause(time.Until(began.Add(time.Duration(float64(number) / perS * float64(time.Second))))); err != nil {
+		if err := m.pause(time.Until(started.Add(time.Duration(float64(number) / perS * float64(time.Second))))); err != nil {
 			return err
 		}
 		inForce, err := m.reconfigure(number + 1)
@@ -133,12 +133,12 @@
 }
 
 // mergeRecoveryFigures records the cost of a recovery that began at a mark.
-func (m *measurement) mergeRecoveryFigures(from mark, took time.Duration) error {
+func (m *measurement) mergeRecoveryFigures(from mark, recoveryTime time.Duration) error {
 	w, err := m.measureSince(from)
 	if err != nil {
 		return err
 	}
-	m.merge(map[string]float64{"recovery_s": took.Seconds(), "recovery_cpu_s": w.cpuTime.Seconds() / w.schedulers,
+	m.merge(map[string]float64{"recovery_s": recoveryTime.Seconds(), "recovery_cpu_s": w.cpuTime.Seconds() / w.schedulers,
 		"recovery_control_bytes": w.controlBytes(), "rss_loaded_bytes": float64(w.residentBytes)})
 	return nil
 }
@@ -150,11 +150,11 @@
 	}
 	m.schedulers[0].Kill()
 	m.configs[0].KnownList = nil
-	totals, began := m.totals(), time.Now()
+	totals, started := m.totals(), time.Now()
 	if err := m.startScheduler(0); err != nil {
 		return err
 	}
-	took, err := m.waitWorkerCount(m.schedulers[0], m.discovery.WorkerCount(), began, recoveryTimeout/2)
+	recoveryTime, err := m.waitWorkerCount(m.schedulers[0], m.discovery.WorkerCount(), started, recoveryTimeout/2)
 	if err != nil {
 		return err
 	}
@@ -162,9 +162,9 @@
 	if err != nil {
 		return err
 	}
-	passed := m.totals().Sub(totals)
-	m.merge(map[string]float64{"recovery_s": took.Seconds(), "recovery_cpu_s": used.CPUTime.Seconds(),
-		"recovery_control_bytes": float64(passed[traffic.List].BytesIn + passed[traffic.List].BytesOut), "rss_loaded_bytes": float64(used.ResidentBytes)})
+	exchanged := m.totals().Sub(totals)
+	m.merge(map[string]float64{"recovery_s": recoveryTime.Seconds(), "recovery_cpu_s": used.CPUTime.Seconds(),
+		"recovery_control_bytes": float64(exchanged[traffic.List].BytesIn + exchanged[traffic.List].BytesOut), "rss_loaded_bytes": float64(used.ResidentBytes)})
 	return nil
 }
 
@@ -177,34 +177,34 @@
 	if err != nil {
 		return err
 	}
-	var gone, back time.Duration
+	var goneDelay, backDelay time.Duration
 	change := func(ctx context.Context) error {
 		for number := range int(count) {
 			m.workers.Stop(number)
 		}
-		began := time.Now()
+		changedAt := time.Now()
 		if err := m.discovery.Update(m.firstEntries(int(count), discovery.Removed)...); err != nil {
 			return err
 		}
 		var err error
-		if gone, err = m.waitAllWorkerCounts(m.discovery.WorkerCount(), began, recoveryTimeout/2); err != nil {
+		if goneDelay, err = m.waitAllWorkerCounts(m.discovery.WorkerCount(), changedAt, recoveryTimeout/2); err != nil {
 			return err
 		}
-		began = time.Now()
+		changedAt = time.Now()
 		for number := range int(count) {
-			m.workers.Restart(number, began)
+			m.workers.Restart(number, changedAt)
 		}
 		if err := m.discovery.Update(m.firstEntries(int(count), discovery.Up)...); err != nil {
 			return err
 		}
-		back, err = m.waitAllWorkerCounts(m.discovery.WorkerCount(), began, recoveryTimeout/2)
+		backDelay, err = m.waitAllWorkerCounts(m.discovery.WorkerCount(), changedAt, recoveryTimeout/2)
 		return err
 	}
 	if _, _, err := m.runLoad(m.shortLoad(startsPerS, m.duration(3*time.Second, 6*time.Second)), change); err != nil {
 		return err
 	}
-	m.merge(map[string]float64{"gone_known_s": gone.Seconds(), "back_known_s": back.Seconds()})
-	return m.mergeRecoveryFigures(from, gone+back)
+	m.merge(map[string]float64{"gone_known_s": goneDelay.Seconds(), "back_known_s": backDelay.Seconds()})
+	return m.mergeRecoveryFigures(from, goneDelay+backDelay)
 }
 
 // measureDiscoveryLoss makes discovery unavailable for a while, during which the list changes worker by worker.
@@ -235,13 +235,13 @@
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	started := time.Now()
 	m.discovery.SetDown(false)
-	took, err := m.waitAllWorkerCounts(m.discovery.WorkerCount(), began, recoveryTimeout)
+	recoveryTime, err := m.waitAllWorkerCounts(m.discovery.WorkerCount(), started, recoveryTimeout)
 	if err != nil {
 		return err
 	}
-	return m.mergeRecoveryFigures(from, took)
+	return m.mergeRecoveryFigures(from, recoveryTime)
 }
 
 // outageDuration is the time for which discovery is unavailable in the full set.
--- a/internal/scale/cases_list.go
+++ b/internal/scale/cases_list.go
@@ -40,7 +40,7 @@
 	if _, err := m.measureRest(); err != nil {
 		return err
 	}
-	var applied []time.Duration
+	var delays []time.Duration
 	rng := rand.New(rand.NewPCG(m.seed, 0x6368616e6765))
 	duration := m.duration(3*time.Second, 12*time.Second)
 	change := func(ctx context.Context) error {
@@ -61,20 +61,20 @@
 				entry = m.workers.Entry(removed, discovery.Up)
 				removed = -1
 			}
-			took, err := m.changeAndWait(entry)
+			delay, err := m.changeAndWait(entry)
 			if err != nil {
 				return err
 			}
-			applied = append(applied, took)
+			delays = append(delays, delay)
 		}
 	}
 	err := m.withPings(func() error {
 		_, w, err := m.runLoad(m.shortLoad(startsPerS, duration), change)
-		m.figures["list_changes"] = float64(len(applied))
+		m.figures["list_changes"] = float64(len(delays))
 		m.figures["window_s"] = w.seconds
 		return err
 	})
-	m.mergeAppliedFigures(applied)
+	m.mergeAppliedFigures(delays)
 	return err
 }
 
@@ -87,9 +87,9 @@
 	return m.waitWorkerCount(m.schedulers[0], m.discovery.WorkerCount(), from, changeTimeout)
 }
 
-func (m *measurement) mergeAppliedFigures(applied []time.Duration) {
-	if len(applied) > 0 {
-		m.merge(map[string]float64{"change_applied_p50_ms": quantileMS(applied, 0.5), "change_applied_max_ms": quantileMS(applied, 1)})
+func (m *measurement) mergeAppliedFigures(delays []time.Duration) {
+	if len(delays) > 0 {
+		m.merge(map[string]float64{"change_applied_p50_ms": quantileMS(delays, 0.5), "change_applied_max_ms": quantileMS(delays, 1)})
 	}
 }
 
@@ -98,7 +98,7 @@
 	if _, err := m.measureRest(); err != nil {
 		return err
 	}
-	var applied []time.Duration
+	var delays []time.Duration
 	duration := m.duration(3*time.Second, 8*time.Second)
 	change := func(ctx context.Context) error {
 		for round := range 4 {
@@ -109,11 +109,11 @@
 			if round%2 == 1 {
 				status = discovery.Up
 			}
-			took, err := m.changeAndWait(m.firstEntries(int(count), status)...)
+			delay, err := m.changeAndWait(m.firstEntries(int(count), status)...)
 			if err != nil {
 				return err
 			}
-			applied = append(applied, took)
+			delays = append(delays, delay)
 		}
 		return nil
 	}
@@ -121,7 +121,7 @@
 		_, _, err := m.runLoad(m.shortLoad(startsPerS, duration), change)
 		return err
 	})
-	m.mergeAppliedFigures(applied)
+	m.mergeAppliedFigures(delays)
 	return err
 }
 
@@ -136,12 +136,12 @@
 // measureFreshStart waits until a scheduler that started without a list knows it, and checks that the scheduler then
 // serves jobs.
 func measureFreshStart(m *measurement, _ float64) error {
-	began := time.Now()
-	took, err := m.waitWorkerCount(m.schedulers[0], m.setup.workers, began, freshStartTimeout)
+	started := time.Now()
+	delay, err := m.waitWorkerCount(m.schedulers[0], m.setup.workers, started, freshStartTimeout)
 	if err != nil {
 		return err
 	}
-	m.figures["list_known_s"] = took.Seconds() + m.maxReadyTime.Seconds()
+	m.figures["list_known_s"] = delay.Seconds() + m.maxReadyTime.Seconds()
 	r, _, err := m.runLoad(m.shortLoad(startsPerS, time.Second), nil)
 	if err == nil && r.Served == 0 {
 		err = fmt.Errorf("%w: no job of %d was served, the first got %q", errListNotKnown, r.Sent, r.FirstError)
--- a/internal/scale/measurement.go
+++ b/internal/scale/measurement.go
@@ -183,13 +183,13 @@
 // startScheduler starts one scheduler and replaces an earlier process of it.
 func (m *measurement) startScheduler(number int) error {
 	dir := filepath.Join(m.dir, fmt.Sprintf("s%02d", number))
-	p, took, err := process.Start(m.ctx, m.program.Path, dir, m.configs[number], readyTimeout)
+	p, readyTime, err := process.Start(m.ctx, m.program.Path, dir, m.configs[number], readyTimeout)
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	m.schedulers[number] = p
-	m.maxReadyTime = max(m.maxReadyTime, took)
+	m.maxReadyTime = max(m.maxReadyTime, readyTime)
 	m.mu.Unlock()
 	return nil
 }
--- a/internal/scale/phases.go
+++ b/internal/scale/phases.go
@@ -182,11 +182,11 @@
 // waitAllWorkerCounts waits until all schedulers report count workers, and returns the time since from.
 func (m *measurement) waitAllWorkerCounts(count int, from time.Time, limit time.Duration) (longest time.Duration, err error) {
 	for _, s := range m.schedulers {
-		took, err := m.waitWorkerCount(s, count, from, limit)
+		delay, err := m.waitWorkerCount(s, count, from, limit)
 		if err != nil {
 			return 0, err
 		}
-		longest = max(longest, took)
+		longest = max(longest, delay)
 	}
 	return longest, nil
 }
