--- a/cmd/cobaltflow/conformance.go
+++ b/cmd/cobaltflow/conformance.go
@@ -11,7 +11,7 @@
 // conformanceCommand tests a server's conformance to a protocol.
 func conformanceCommand() *cobra.Command {
 	c := &cobra.Command{Use: "conformance", Short: "Test a server's conformance to a protocol, over real sockets"}
-	var faktory conformance.Faktory
+	var faktory conformance.FaktoryServer
 	faktoryCommand := &cobra.Command{
 		Use: "faktory ADDRESS", Short: "Test a Faktory server against the protocol's public specification", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -24,8 +24,8 @@
 	}
 	faktoryCommand.Flags().StringVar(&faktory.Password, "password", "", "the server's password")
 	faktoryCommand.Flags().StringVar(&faktory.Jobtype, "jobtype", "conformance", "a jobtype that the server accepts, of a class that may be retried")
-	faktoryCommand.Flags().BoolVar(&faktory.Flush, "flush", false, "the server allows FLUSH and may lose all of its jobs")
-	var http2 conformance.HTTP2
+	faktoryCommand.Flags().BoolVar(&faktory.AllowsFlush, "flush", false, "the server allows FLUSH and may lose all of its jobs")
+	var http2 conformance.HTTP2Server
 	http2Command := &cobra.Command{
 		Use: "http2 ADDRESS", Short: "Test an HTTP/2 server without TLS against RFC 9113 and RFC 7541", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/cobaltflow/demo.go
+++ b/cmd/cobaltflow/demo.go
@@ -25,7 +25,7 @@
 		},
 	}
 	c.Flags().IntVar(&o.Jobs, "jobs", 400, "total number of `jobs`")
-	c.Flags().DurationVar(&o.Time, "time", 4*time.Second, "`duration` over which the jobs are spread")
+	c.Flags().DurationVar(&o.Duration, "time", 4*time.Second, "`duration` over which the jobs are spread")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "`seed` of the random choices")
 	return c
 }
--- a/cmd/cobaltflow/upgrade_test.go
+++ b/cmd/cobaltflow/upgrade_test.go
@@ -80,7 +80,7 @@
 			go h.sendCallback(worker.Name, id)
 		})
 		h.workers = append(h.workers, w)
-		list = append(list, w.Entry("up"))
+		list = append(list, w.ListEntry("up"))
 	}
 	text, err := json.Marshal(map[string]any{"index": 1, "snapshot": true, "endpoints": list})
 	require.NoError(t, err)
--- a/internal/conformance/conformance_test.go
+++ b/internal/conformance/conformance_test.go
@@ -18,16 +18,16 @@
 		c.Settings.SlowStartWindow, c.Settings.OverloadWindow = 1, 1
 	})
 	var out bytes.Buffer
-	passed, failed := conformance.Report(&out, conformance.RunFaktory(conformance.Faktory{Address: n.Faktory.Address(), Password: "pw", Flush: true}))
+	passed, failed := conformance.Report(&out, conformance.RunFaktory(conformance.FaktoryServer{Address: n.Faktory.Address(), Password: "pw", AllowsFlush: true}))
 	assert.Zero(t, failed, out.String())
-	assert.Equal(t, conformance.FaktoryCases()+1, passed)
+	assert.Equal(t, conformance.FaktoryCaseCount()+1, passed)
 }
 
 // The suite tells a server that is none: every case fails, and says why.
 func TestTheSuiteCanFail(t *testing.T) {
 	n := standin.Start(t, nil)
 	var out bytes.Buffer
-	passed, _ := conformance.Report(&out, conformance.RunFaktory(conformance.Faktory{Address: n.Front.Address()}))
+	passed, _ := conformance.Report(&out, conformance.RunFaktory(conformance.FaktoryServer{Address: n.Front.Address()}))
 	assert.Zero(t, passed, out.String())
 	assert.Contains(t, out.String(), "0 passed")
 }
@@ -36,7 +36,7 @@
 func TestHTTP2FrontConforms(t *testing.T) {
 	n := standin.Start(t, func(c *config.Config) { c.HTTP2.Listen = "127.0.0.1:0" })
 	var out bytes.Buffer
-	passed, failed := conformance.Report(&out, conformance.RunHTTP2(conformance.HTTP2{Address: n.HTTP2.Address()}))
+	passed, failed := conformance.Report(&out, conformance.RunHTTP2(conformance.HTTP2Server{Address: n.HTTP2.Address()}))
 	assert.Zero(t, failed, out.String())
-	assert.Equal(t, conformance.HTTP2Cases(), passed)
+	assert.Equal(t, conformance.HTTP2CaseCount(), passed)
 }
--- a/internal/conformance/faktory.go
+++ b/internal/conformance/faktory.go
@@ -14,28 +14,28 @@
 )
 
 // Faktory says how to reach a server of the Faktory work protocol.
-type Faktory struct {
-	Address  string
-	Password string
-	Jobtype  string // one that the server takes, and whose failed jobs it tries again; empty: "conformance"
-	Flush    bool   // the server allows FLUSH, and may lose all it has
+type FaktoryServer struct {
+	Address     string
+	Password    string
+	Jobtype     string // one that the server takes, and whose failed jobs it tries again; empty: "conformance"
+	AllowsFlush bool   // the server allows FLUSH, and may lose all it has
 }
 
 // fk is what a case of the suite works with: names that are its own, so that cases don't meet one another.
-type fk struct {
-	Faktory
-	run, name string
-	jobs      int
-	conns     []*client.Conn
+type faktoryEnv struct {
+	FaktoryServer
+	runPrefix, caseName string
+	lastID              int
+	conns               []*client.Conn
 }
 
 type faktoryCase struct {
-	name, says string
-	run        func(k *fk)
+	name, description string
+	run               func(k *faktoryEnv)
 }
 
 // RunFaktory runs the suite, some cases at a time, and gives the results in the order of the table.
-func RunFaktory(s Faktory) <-chan Result {
+func RunFaktory(s FaktoryServer) <-chan Result {
 	if s.Jobtype == "" {
 		s.Jobtype = "conformance"
 	}
@@ -44,72 +44,74 @@
 	go func() {
 		defer close(out)
 		runSuite(len(faktoryCases), func(i int) Result { return s.run(prefix, faktoryCases[i]) }, out)
-		if s.Flush { // alone, since it takes everything from everybody
-			out <- s.run(prefix, faktoryCase{"flush-empties", "FLUSH leaves no job behind", flushEmpties})
+		if s.AllowsFlush { // alone, since it takes everything from everybody
+			out <- s.run(prefix, faktoryCase{"flush-empties", "FLUSH leaves no job behind", checkFlush})
 		}
 	}()
 	return out
 }
 
 // run runs a case with connections of its own; prefix is what the names of this run begin with.
-func (s Faktory) run(prefix string, c faktoryCase) Result {
-	k := &fk{Faktory: s, run: prefix, name: c.name}
+func (s FaktoryServer) run(prefix string, c faktoryCase) Result {
+	k := &faktoryEnv{FaktoryServer: s, runPrefix: prefix, caseName: c.name}
 	began := time.Now()
-	err := caught(func() { c.run(k) })
+	err := catchFailure(func() { c.run(k) })
 	for _, conn := range k.conns {
 		conn.Close()
 	}
-	return Result{c.name, c.says, err, time.Since(began)}
+	return Result{c.name, c.description, err, time.Since(began)}
 }
 
 // FaktoryCases is the number of cases in the table.
-func FaktoryCases() int { return len(faktoryCases) }
+func FaktoryCaseCount() int { return len(faktoryCases) }
 
-func (k *fk) fail(format string, args ...any) { panic(failure{fmt.Errorf(format, args...)}) }
+func (k *faktoryEnv) fail(format string, args ...any) { panic(failure{fmt.Errorf(format, args...)}) }
 
-func (k *fk) must(err error) {
+func (k *faktoryEnv) must(err error) {
 	if err != nil {
 		panic(failure{err})
 	}
 }
 
-func (k *fk) equal(want, got any, what string) {
+func (k *faktoryEnv) expectEqual(want, got any, what string) {
 	if !reflect.DeepEqual(want, got) {
 		k.fail("%s: wanted %v, got %v", what, want, got)
 	}
 }
 
-func (k *fk) add(c *client.Conn, err error) *client.Conn {
+func (k *faktoryEnv) trackConn(c *client.Conn, err error) *client.Conn {
 	k.must(err)
 	k.conns = append(k.conns, c)
 	return c
 }
 
-func (k *fk) producer() *client.Conn {
-	return k.add(client.Dial(k.Address, client.Options{Password: k.Password}))
+func (k *faktoryEnv) dialProducer() *client.Conn {
+	return k.trackConn(client.Dial(k.Address, client.Options{Password: k.Password}))
 }
 
-func (k *fk) worker() *client.Conn {
-	k.jobs++
-	return k.add(client.Dial(k.Address, client.Options{Password: k.Password, WID: fmt.Sprintf("%s-%s-%d", k.run, k.name, k.jobs)}))
+func (k *faktoryEnv) dialWorker() *client.Conn {
+	k.lastID++
+	return k.trackConn(client.Dial(k.Address, client.Options{Password: k.Password, WID: fmt.Sprintf("%s-%s-%d", k.runPrefix, k.caseName, k.lastID)}))
 }
 
-func (k *fk) wid(n int) string { return fmt.Sprintf("%s-%s-%d", k.run, k.name, n) }
+func (k *faktoryEnv) workerID(n int) string {
+	return fmt.Sprintf("%s-%s-%d", k.runPrefix, k.caseName, n)
+}
 
 // queue is a name that only this case uses.
-func (k *fk) queue(suffix string) string { return k.run + "-" + k.name + suffix }
+func (k *faktoryEnv) queue(suffix string) string { return k.runPrefix + "-" + k.caseName + suffix }
 
 // job makes a job of this case's own, in its own queue.
-func (k *fk) job(change func(*client.Job)) client.Job {
-	k.jobs++
-	j := client.Job{JID: fmt.Sprintf("%s-%s-%d", k.run, k.name, k.jobs), Type: k.Jobtype, Args: []any{1.0, "two", nil}, Queue: k.queue("")}
+func (k *faktoryEnv) newJob(change func(*client.Job)) client.Job {
+	k.lastID++
+	j := client.Job{JID: fmt.Sprintf("%s-%s-%d", k.runPrefix, k.caseName, k.lastID), Type: k.Jobtype, Args: []any{1.0, "two", nil}, Queue: k.queue("")}
 	if change != nil {
 		change(&j)
 	}
 	return j
 }
 
-func (k *fk) do(c *client.Conn, verb, arg string) client.Reply {
+func (k *faktoryEnv) do(c *client.Conn, verb, arg string) client.Reply {
 	r, err := c.Do(verb, arg)
 	if err != nil {
 		k.fail("%s: %v", verb, err)
@@ -117,25 +119,25 @@
 	return r
 }
 
-func (k *fk) ok(c *client.Conn, verb, arg string) {
+func (k *faktoryEnv) expectOK(c *client.Conn, verb, arg string) {
 	if r := k.do(c, verb, arg); !r.IsOK() {
 		k.fail("%s %s: wanted +OK, got %s%s", verb, arg, r.Text, r.Err)
 	}
 }
 
-func (k *fk) errs(c *client.Conn, verb, arg string) {
+func (k *faktoryEnv) expectError(c *client.Conn, verb, arg string) {
 	if r := k.do(c, verb, arg); r.Err == "" {
 		k.fail("%s %s: wanted an error, got %q", verb, arg, r.Text)
 	}
 }
 
-func (k *fk) push(c *client.Conn, j client.Job) client.Job {
+func (k *faktoryEnv) push(c *client.Conn, j client.Job) client.Job {
 	k.must(c.Push(j))
 	return j
 }
 
 // fetch fetches until there is a job, for a few seconds.
-func (k *fk) fetch(c *client.Conn, queues ...string) *client.Job {
+func (k *faktoryEnv) fetch(c *client.Conn, queues ...string) *client.Job {
 	if len(queues) == 0 {
 		queues = []string{k.queue("")}
 	}
@@ -151,7 +153,7 @@
 }
 
 // none has a FETCH find nothing.
-func (k *fk) none(c *client.Conn, queues ...string) {
+func (k *faktoryEnv) expectNoJob(c *client.Conn, queues ...string) {
 	if len(queues) == 0 {
 		queues = []string{k.queue("")}
 	}
@@ -163,7 +165,7 @@
 }
 
 // tasks gives the size of a set, by INFO.
-func (k *fk) tasks(c *client.Conn, set string) int {
+func (k *faktoryEnv) setSize(c *client.Conn, set string) int {
 	info, err := c.Info()
 	k.must(err)
 	f, _ := info["faktory"].(map[string]any)
@@ -177,30 +179,30 @@
 }
 
 // failed pushes, fetches and fails a job.
-func (k *fk) failed(p, w *client.Conn, change func(*client.Job)) client.Job {
-	j := k.push(p, k.job(change))
+func (k *faktoryEnv) failJob(p, w *client.Conn, change func(*client.Job)) client.Job {
+	j := k.push(p, k.newJob(change))
 	k.fetch(w, j.Queue)
 	k.must(w.Fail(j.JID, "ConformanceError", "it failed on purpose", "one.go:1", "two.go:2"))
 	return j
 }
 
-func (k *fk) mutate(c *client.Conn, cmd, target string, filter map[string]any) {
+func (k *faktoryEnv) mutate(c *client.Conn, cmd, target string, filter map[string]any) {
 	arg := map[string]any{"cmd": cmd, "target": target}
 	if filter != nil {
 		arg["filter"] = filter
 	}
 	text, _ := json.Marshal(arg)
-	k.ok(c, "MUTATE", string(text))
+	k.expectOK(c, "MUTATE", string(text))
 }
 
-func only(ids ...string) map[string]any { return map[string]any{"jids": ids} }
+func filterJIDs(ids ...string) map[string]any { return map[string]any{"jids": ids} }
 
-func soon(d time.Duration) string { return time.Now().Add(d).UTC().Format(time.RFC3339Nano) }
+func timeFromNow(d time.Duration) string { return time.Now().Add(d).UTC().Format(time.RFC3339Nano) }
 
 func ptr(n int) *int { return &n }
 
 // eventually waits for a condition.
-func (k *fk) eventually(what string, f func() bool) {
+func (k *faktoryEnv) eventually(what string, f func() bool) {
 	for end := time.Now().Add(8 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			k.fail("it never came true that %s", what)
@@ -208,7 +210,7 @@
 	}
 }
 
-func (k *fk) state(c *client.Conn, jid string) string {
+func (k *faktoryEnv) jobState(c *client.Conn, jid string) string {
 	var t struct {
 		State string `json:"state"`
 	}
@@ -217,7 +219,7 @@
 	return t.State
 }
 
-func (k *fk) closed(c *client.Conn) {
+func (k *faktoryEnv) expectClosed(c *client.Conn) {
 	for {
 		if _, err := c.Read(); errors.Is(err, client.ErrClosed) || errors.Is(err, io.EOF) {
 			return
@@ -227,32 +229,32 @@
 	}
 }
 
-func flushEmpties(k *fk) {
-	p := k.producer()
-	k.push(p, k.job(nil))
-	k.push(p, k.job(func(j *client.Job) { j.At = soon(time.Hour) }))
-	k.ok(p, "FLUSH", "")
+func checkFlush(k *faktoryEnv) {
+	p := k.dialProducer()
+	k.push(p, k.newJob(nil))
+	k.push(p, k.newJob(func(j *client.Job) { j.At = timeFromNow(time.Hour) }))
+	k.expectOK(p, "FLUSH", "")
 	info, err := p.Info()
 	k.must(err)
 	f, _ := info["faktory"].(map[string]any)
-	k.equal(0.0, f["total_enqueued"], "total_enqueued")
-	k.equal(0, k.tasks(p, "Scheduled"), "scheduled jobs")
+	k.expectEqual(0.0, f["total_enqueued"], "total_enqueued")
+	k.expectEqual(0, k.setSize(p, "Scheduled"), "scheduled jobs")
 }
 
 // together runs functions at once and waits for them.
-func (k *fk) together(fs ...func()) {
+func (k *faktoryEnv) runParallel(fs ...func()) {
 	var wg sync.WaitGroup
 	errs := make([]error, len(fs))
 	for i, f := range fs {
-		wg.Go(func() { errs[i] = caught(f) })
+		wg.Go(func() { errs[i] = catchFailure(f) })
 	}
 	wg.Wait()
 	k.must(errors.Join(errs...))
 }
 
-func pushB(jobs ...any) string {
+func bulkArgument(jobs ...any) string {
 	text, _ := json.Marshal(jobs)
 	return string(text)
 }
 
-func has(text, part string) bool { return strings.Contains(text, part) }
+func contains(text, part string) bool { return strings.Contains(text, part) }
--- a/internal/conformance/faktory_control_cases.go
+++ b/internal/conformance/faktory_control_cases.go
@@ -7,25 +7,25 @@
 
 // beatCases are BEAT.
 var beatCases = []faktoryCase{
-	{"beat", "BEAT of a worker is answered with OK", func(k *fk) {
-		w := k.worker()
-		k.ok(w, "BEAT", fmt.Sprintf(`{"wid":%q,"rss_kb":54176}`, k.wid(1)))
+	{"beat", "BEAT of a worker is answered with OK", func(k *faktoryEnv) {
+		w := k.dialWorker()
+		k.expectOK(w, "BEAT", fmt.Sprintf(`{"wid":%q,"rss_kb":54176}`, k.workerID(1)))
 	}},
-	{"beat-quiet", "a worker whose BEAT says quiet is given nothing more", func(k *fk) {
-		p, w := k.producer(), k.worker()
-		k.none(w)
-		k.ok(w, "BEAT", fmt.Sprintf(`{"wid":%q,"current_state":"quiet"}`, k.wid(1)))
-		j := k.push(p, k.job(nil))
-		k.none(w)
-		k.equal(j.JID, k.fetch(k.worker()).JID, "another worker's")
+	{"beat-quiet", "a worker whose BEAT says quiet is given nothing more", func(k *faktoryEnv) {
+		p, w := k.dialProducer(), k.dialWorker()
+		k.expectNoJob(w)
+		k.expectOK(w, "BEAT", fmt.Sprintf(`{"wid":%q,"current_state":"quiet"}`, k.workerID(1)))
+		j := k.push(p, k.newJob(nil))
+		k.expectNoJob(w)
+		k.expectEqual(j.JID, k.fetch(k.dialWorker()).JID, "another worker's")
 	}},
-	{"beat-other", "BEAT for a wid that is not the session's is an error", func(k *fk) { k.errs(k.worker(), "BEAT", `{"wid":"somebody-else"}`) }},
+	{"beat-other", "BEAT for a wid that is not the session's is an error", func(k *faktoryEnv) { k.expectError(k.dialWorker(), "BEAT", `{"wid":"somebody-else"}`) }},
 }
 
 // infoCases are INFO, QUEUE and TRACK.
 var infoCases = []faktoryCase{
-	{"info-fields", "INFO tells of queues, sets, uptime and connections", func(k *fk) {
-		info, err := k.producer().Info()
+	{"info-fields", "INFO tells of queues, sets, uptime and connections", func(k *faktoryEnv) {
+		info, err := k.dialProducer().Info()
 		k.must(err)
 		f, _ := info["faktory"].(map[string]any)
 		s, _ := info["server"].(map[string]any)
@@ -39,65 +39,67 @@
 				k.fail("server.%s is missing", key)
 			}
 		}
-		k.tasks(k.producer(), "Retries")
-		k.tasks(k.producer(), "Dead")
+		k.setSize(k.dialProducer(), "Retries")
+		k.setSize(k.dialProducer(), "Dead")
 	}},
-	{"info-queue", "INFO counts the jobs of each queue", func(k *fk) {
-		p := k.producer()
-		k.push(p, k.job(nil))
-		k.push(p, k.job(nil))
+	{"info-queue", "INFO counts the jobs of each queue", func(k *faktoryEnv) {
+		p := k.dialProducer()
+		k.push(p, k.newJob(nil))
+		k.push(p, k.newJob(nil))
 		info, err := p.Info()
 		k.must(err)
 		f, _ := info["faktory"].(map[string]any)
 		q, _ := f["queues"].(map[string]any)
-		k.equal(2.0, q[k.queue("")], "its size")
+		k.expectEqual(2.0, q[k.queue("")], "its size")
 	}},
-	{"queue-pause", "a paused queue gives out nothing until it is resumed", func(k *fk) {
-		p, w := k.producer(), k.worker()
-		k.ok(p, "QUEUE", "PAUSE "+k.queue(""))
-		j := k.push(p, k.job(nil))
-		k.none(w)
-		k.ok(p, "QUEUE", "RESUME "+k.queue(""))
-		k.equal(j.JID, k.fetch(w).JID, "jid")
+	{"queue-pause", "a paused queue gives out nothing until it is resumed", func(k *faktoryEnv) {
+		p, w := k.dialProducer(), k.dialWorker()
+		k.expectOK(p, "QUEUE", "PAUSE "+k.queue(""))
+		j := k.push(p, k.newJob(nil))
+		k.expectNoJob(w)
+		k.expectOK(p, "QUEUE", "RESUME "+k.queue(""))
+		k.expectEqual(j.JID, k.fetch(w).JID, "jid")
 	}},
-	{"queue-resume-wakes", "a FETCH that waits gets a job when its queue is resumed", func(k *fk) {
-		p, w := k.producer(), k.worker()
-		k.ok(p, "QUEUE", "PAUSE "+k.queue(""))
-		j := k.push(p, k.job(nil))
+	{"queue-resume-wakes", "a FETCH that waits gets a job when its queue is resumed", func(k *faktoryEnv) {
+		p, w := k.dialProducer(), k.dialWorker()
+		k.expectOK(p, "QUEUE", "PAUSE "+k.queue(""))
+		j := k.push(p, k.newJob(nil))
 		k.must(w.Send("FETCH", k.queue("")))
-		k.ok(p, "QUEUE", "RESUME "+k.queue(""))
+		k.expectOK(p, "QUEUE", "RESUME "+k.queue(""))
 		r, err := w.Read()
 		k.must(err)
-		if !has(r.Text, j.JID) {
-			k.equal(j.JID, k.fetch(w).JID, "jid")
+		if !contains(r.Text, j.JID) {
+			k.expectEqual(j.JID, k.fetch(w).JID, "jid")
 		}
 	}},
-	{"queue-remove", "REMOVE empties a queue", func(k *fk) {
-		p, w := k.producer(), k.worker()
-		k.push(p, k.job(nil))
-		k.ok(p, "QUEUE", "REMOVE "+k.queue(""))
-		k.none(w)
+	{"queue-remove", "REMOVE empties a queue", func(k *faktoryEnv) {
+		p, w := k.dialProducer(), k.dialWorker()
+		k.push(p, k.newJob(nil))
+		k.expectOK(p, "QUEUE", "REMOVE "+k.queue(""))
+		k.expectNoJob(w)
 	}},
-	{"track-unknown", "TRACK GET of a job that is not known says so", func(k *fk) { k.equal("unknown", k.state(k.producer(), "nobody-knows-it"), "state") }},
-	{"track-states", "TRACK GET follows a job from enqueued to working", func(k *fk) {
-		p, w := k.producer(), k.worker()
-		j := k.push(p, k.job(nil))
-		k.equal("enqueued", k.state(p, j.JID), "before")
+	{"track-unknown", "TRACK GET of a job that is not known says so", func(k *faktoryEnv) {
+		k.expectEqual("unknown", k.jobState(k.dialProducer(), "nobody-knows-it"), "state")
+	}},
+	{"track-states", "TRACK GET follows a job from enqueued to working", func(k *faktoryEnv) {
+		p, w := k.dialProducer(), k.dialWorker()
+		j := k.push(p, k.newJob(nil))
+		k.expectEqual("enqueued", k.jobState(p, j.JID), "before")
 		k.fetch(w)
-		k.equal("working", k.state(p, j.JID), "after the FETCH")
+		k.expectEqual("working", k.jobState(p, j.JID), "after the FETCH")
 	}},
-	{"track-set", "what a worker sets with TRACK SET is read with TRACK GET", func(k *fk) {
-		p, w := k.producer(), k.worker()
-		j := k.push(p, k.job(nil))
+	{"track-set", "what a worker sets with TRACK SET is read with TRACK GET", func(k *faktoryEnv) {
+		p, w := k.dialProducer(), k.dialWorker()
+		j := k.push(p, k.newJob(nil))
 		k.fetch(w)
-		k.ok(w, "TRACK", fmt.Sprintf(`SET {"jid":%q,"percent":42,"desc":"halfway"}`, j.JID))
+		k.expectOK(w, "TRACK", fmt.Sprintf(`SET {"jid":%q,"percent":42,"desc":"halfway"}`, j.JID))
 		r := k.do(p, "TRACK", "GET "+j.JID)
 		var t struct {
 			Percent int
 			Desc    string
 		}
 		k.must(json.Unmarshal([]byte(r.Text), &t))
-		k.equal(42, t.Percent, "percent")
-		k.equal("halfway", t.Desc, "desc")
+		k.expectEqual(42, t.Percent, "percent")
+		k.expectEqual("halfway", t.Desc, "desc")
 	}},
 }
--- a/internal/conformance/faktory_queue_cases.go
+++ b/internal/conformance/faktory_queue_cases.go
@@ -11,16 +11,16 @@
 
 // pushCases are PUSH and PUSHB.
 var pushCases = []faktoryCase{
-	{"push-fetch", "a pushed job is fetched as it was pushed", func(k *fk) {
-		j := k.push(k.producer(), k.job(func(j *client.Job) { j.Custom = map[string]any{"trace": "t-1", "n": 4.0} }))
-		got := k.fetch(k.worker())
-		k.equal(j.Args, got.Args, "args")
-		k.equal(j.Custom, got.Custom, "custom")
-		k.equal([]string{j.JID, j.Type, j.Queue}, []string{got.JID, got.Type, got.Queue}, "jid, jobtype, queue")
-	}},
-	{"push-default-queue", "a job that names no queue goes to the queue named default", func(k *fk) {
-		j := k.push(k.producer(), k.job(func(j *client.Job) { j.Queue = "" }))
-		w := k.worker()
+	{"push-fetch", "a pushed job is fetched as it was pushed", func(k *faktoryEnv) {
+		j := k.push(k.dialProducer(), k.newJob(func(j *client.Job) { j.Custom = map[string]any{"trace": "t-1", "n": 4.0} }))
+		got := k.fetch(k.dialWorker())
+		k.expectEqual(j.Args, got.Args, "args")
+		k.expectEqual(j.Custom, got.Custom, "custom")
+		k.expectEqual([]string{j.JID, j.Type, j.Queue}, []string{got.JID, got.Type, got.Queue}, "jid, jobtype, queue")
+	}},
+	{"push-default-queue", "a job that names no queue goes to the queue named default", func(k *faktoryEnv) {
+		j := k.push(k.dialProducer(), k.newJob(func(j *client.Job) { j.Queue = "" }))
+		w := k.dialWorker()
 		k.eventually("the job comes from default", func() bool {
 			got, err := w.Fetch("default")
 			k.must(err)
@@ -30,118 +30,118 @@
 			return got != nil && got.JID == j.JID
 		})
 	}},
-	{"push-malformed", "a PUSH that is no object is an error, and the session goes on", func(k *fk) {
-		c := k.producer()
-		k.errs(c, "PUSH", "{nothing")
-		k.push(c, k.job(nil))
+	{"push-malformed", "a PUSH that is no object is an error, and the session goes on", func(k *faktoryEnv) {
+		c := k.dialProducer()
+		k.expectError(c, "PUSH", "{nothing")
+		k.push(c, k.newJob(nil))
 	}},
-	{"push-no-jid", "a job without a jid is an error", func(k *fk) {
-		k.errs(k.producer(), "PUSH", fmt.Sprintf(`{"jobtype":%q,"args":[]}`, k.Jobtype))
+	{"push-no-jid", "a job without a jid is an error", func(k *faktoryEnv) {
+		k.expectError(k.dialProducer(), "PUSH", fmt.Sprintf(`{"jobtype":%q,"args":[]}`, k.Jobtype))
 	}},
-	{"push-short-jid", "a jid of fewer than 8 characters is an error", func(k *fk) {
-		k.errs(k.producer(), "PUSH", fmt.Sprintf(`{"jid":"short","jobtype":%q,"args":[]}`, k.Jobtype))
+	{"push-short-jid", "a jid of fewer than 8 characters is an error", func(k *faktoryEnv) {
+		k.expectError(k.dialProducer(), "PUSH", fmt.Sprintf(`{"jid":"short","jobtype":%q,"args":[]}`, k.Jobtype))
 	}},
-	{"push-no-jobtype", "a job without a jobtype is an error", func(k *fk) {
-		k.errs(k.producer(), "PUSH", `{"jid":"conformance-1","args":[]}`)
+	{"push-no-jobtype", "a job without a jobtype is an error", func(k *faktoryEnv) {
+		k.expectError(k.dialProducer(), "PUSH", `{"jid":"conformance-1","args":[]}`)
 	}},
-	{"push-no-args", "a job without args is an error", func(k *fk) {
-		k.errs(k.producer(), "PUSH", fmt.Sprintf(`{"jid":"conformance-1","jobtype":%q}`, k.Jobtype))
+	{"push-no-args", "a job without args is an error", func(k *faktoryEnv) {
+		k.expectError(k.dialProducer(), "PUSH", fmt.Sprintf(`{"jid":"conformance-1","jobtype":%q}`, k.Jobtype))
 	}},
-	{"push-args-no-array", "args that are no array are an error", func(k *fk) {
-		k.errs(k.producer(), "PUSH", fmt.Sprintf(`{"jid":"conformance-1","jobtype":%q,"args":{}}`, k.Jobtype))
+	{"push-args-no-array", "args that are no array are an error", func(k *faktoryEnv) {
+		k.expectError(k.dialProducer(), "PUSH", fmt.Sprintf(`{"jid":"conformance-1","jobtype":%q,"args":{}}`, k.Jobtype))
 	}},
-	{"push-large", "a job of 60 KB passes unchanged", func(k *fk) {
-		j := k.push(k.producer(), k.job(func(j *client.Job) { j.Args = []any{strings.Repeat("x", 60_000)} }))
-		k.equal(j.Args, k.fetch(k.worker()).Args, "args")
+	{"push-large", "a job of 60 KB passes unchanged", func(k *faktoryEnv) {
+		j := k.push(k.dialProducer(), k.newJob(func(j *client.Job) { j.Args = []any{strings.Repeat("x", 60_000)} }))
+		k.expectEqual(j.Args, k.fetch(k.dialWorker()).Args, "args")
 	}},
-	{"push-odd-text", "text beyond ASCII, quotes and line ends in args pass unchanged", func(k *fk) {
-		j := k.push(k.producer(), k.job(func(j *client.Job) { j.Args = []any{"Vātū \"q\" \r\n \u2028 \\ 漢"} }))
-		k.equal(j.Args, k.fetch(k.worker()).Args, "args")
+	{"push-odd-text", "text beyond ASCII, quotes and line ends in args pass unchanged", func(k *faktoryEnv) {
+		j := k.push(k.dialProducer(), k.newJob(func(j *client.Job) { j.Args = []any{"Vātū \"q\" \r\n \u2028 \\ 漢"} }))
+		k.expectEqual(j.Args, k.fetch(k.dialWorker()).Args, "args")
 	}},
-	{"pushb-all", "PUSHB takes many jobs and answers with an empty object", func(k *fk) {
-		a, b := k.job(nil), k.job(nil)
-		r := k.do(k.producer(), "PUSHB", pushB(a, b))
-		k.equal("{}", r.Text, "reply")
-		w := k.worker()
-		k.equal([]string{a.JID, b.JID}, []string{k.fetch(w).JID, k.fetch(w).JID}, "jobs")
+	{"pushb-all", "PUSHB takes many jobs and answers with an empty object", func(k *faktoryEnv) {
+		a, b := k.newJob(nil), k.newJob(nil)
+		r := k.do(k.dialProducer(), "PUSHB", bulkArgument(a, b))
+		k.expectEqual("{}", r.Text, "reply")
+		w := k.dialWorker()
+		k.expectEqual([]string{a.JID, b.JID}, []string{k.fetch(w).JID, k.fetch(w).JID}, "jobs")
 	}},
-	{"pushb-some", "PUSHB says by jid which jobs were not taken, and takes the others", func(k *fk) {
-		good, bad := k.job(nil), k.job(func(j *client.Job) { j.Type = "" })
-		r := k.do(k.producer(), "PUSHB", pushB(good, bad))
+	{"pushb-some", "PUSHB says by jid which jobs were not taken, and takes the others", func(k *faktoryEnv) {
+		good, bad := k.newJob(nil), k.newJob(func(j *client.Job) { j.Type = "" })
+		r := k.do(k.dialProducer(), "PUSHB", bulkArgument(good, bad))
 		var not map[string]string
 		k.must(json.Unmarshal([]byte(r.Text), &not))
 		if len(not) != 1 || not[bad.JID] == "" {
 			k.fail("wanted an error for %s, got %s", bad.JID, r.Text)
 		}
-		k.equal(good.JID, k.fetch(k.worker()).JID, "the good one")
+		k.expectEqual(good.JID, k.fetch(k.dialWorker()).JID, "the good one")
 	}},
-	{"pushb-empty", "PUSHB of no jobs is no error", func(k *fk) { k.equal("{}", k.do(k.producer(), "PUSHB", "[]").Text, "reply") }},
-	{"pushb-malformed", "PUSHB of anything but a list is an error", func(k *fk) { k.errs(k.producer(), "PUSHB", `{"jid":1}`) }},
-	{"pushb-many", "PUSHB of 2,000 jobs takes them all", func(k *fk) {
+	{"pushb-empty", "PUSHB of no jobs is no error", func(k *faktoryEnv) { k.expectEqual("{}", k.do(k.dialProducer(), "PUSHB", "[]").Text, "reply") }},
+	{"pushb-malformed", "PUSHB of anything but a list is an error", func(k *faktoryEnv) { k.expectError(k.dialProducer(), "PUSHB", `{"jid":1}`) }},
+	{"pushb-many", "PUSHB of 2,000 jobs takes them all", func(k *faktoryEnv) {
 		var list []any
 		for range 2000 {
-			list = append(list, k.job(nil))
+			list = append(list, k.newJob(nil))
 		}
-		p := k.producer()
-		k.equal("{}", k.do(p, "PUSHB", pushB(list...)).Text, "reply")
-		k.ok(p, "QUEUE", "REMOVE "+k.queue(""))
+		p := k.dialProducer()
+		k.expectEqual("{}", k.do(p, "PUSHB", bulkArgument(list...)).Text, "reply")
+		k.expectOK(p, "QUEUE", "REMOVE "+k.queue(""))
 	}},
 }
 
 // fetchCases are FETCH and its order.
 var fetchCases = []faktoryCase{
-	{"fetch-none", "FETCH of an empty queue gives the null string, after a wait of some seconds at most", func(k *fk) {
+	{"fetch-none", "FETCH of an empty queue gives the null string, after a wait of some seconds at most", func(k *faktoryEnv) {
 		began := time.Now()
-		k.none(k.worker())
+		k.expectNoJob(k.dialWorker())
 		if took := time.Since(began); took > 5*time.Second {
 			k.fail("it took %v", took)
 		}
 	}},
-	{"fetch-producer", "FETCH by a producer is an error", func(k *fk) { k.errs(k.producer(), "FETCH", k.queue("")) }},
-	{"fetch-waits", "a FETCH that waits gets a job that is pushed meanwhile", func(k *fk) {
-		p, w := k.producer(), k.worker()
+	{"fetch-producer", "FETCH by a producer is an error", func(k *faktoryEnv) { k.expectError(k.dialProducer(), "FETCH", k.queue("")) }},
+	{"fetch-waits", "a FETCH that waits gets a job that is pushed meanwhile", func(k *faktoryEnv) {
+		p, w := k.dialProducer(), k.dialWorker()
 		k.must(w.Send("FETCH", k.queue("")))
-		j := k.push(p, k.job(nil))
+		j := k.push(p, k.newJob(nil))
 		r, err := w.Read()
 		k.must(err)
-		if !has(r.Text, j.JID) {
+		if !contains(r.Text, j.JID) {
 			k.fail("got %q", r.Text)
 		}
 	}},
-	{"fetch-fifo", "jobs of a queue come in the order of their pushes", func(k *fk) {
-		p, w := k.producer(), k.worker()
+	{"fetch-fifo", "jobs of a queue come in the order of their pushes", func(k *faktoryEnv) {
+		p, w := k.dialProducer(), k.dialWorker()
 		var want, got []string
 		for range 10 {
-			want = append(want, k.push(p, k.job(nil)).JID)
+			want = append(want, k.push(p, k.newJob(nil)).JID)
 		}
 		for range 10 {
 			got = append(got, k.fetch(w).JID)
 		}
-		k.equal(want, got, "order")
+		k.expectEqual(want, got, "order")
 	}},
-	{"fetch-priority", "jobs of a higher priority come first, 9 before 5 before 1", func(k *fk) {
-		p, w := k.producer(), k.worker()
+	{"fetch-priority", "jobs of a higher priority come first, 9 before 5 before 1", func(k *faktoryEnv) {
+		p, w := k.dialProducer(), k.dialWorker()
 		var made []client.Job
 		for _, n := range []int{1, 5, 9} {
-			made = append(made, k.push(p, k.job(func(j *client.Job) { j.Priority = n })))
+			made = append(made, k.push(p, k.newJob(func(j *client.Job) { j.Priority = n })))
 		}
-		k.equal([]string{made[2].JID, made[1].JID, made[0].JID}, []string{k.fetch(w).JID, k.fetch(w).JID, k.fetch(w).JID}, "order")
+		k.expectEqual([]string{made[2].JID, made[1].JID, made[0].JID}, []string{k.fetch(w).JID, k.fetch(w).JID, k.fetch(w).JID}, "order")
 	}},
-	{"fetch-queue-order", "a FETCH of several queues takes from the first that has jobs", func(k *fk) {
-		p, w := k.producer(), k.worker()
-		b := k.push(p, k.job(func(j *client.Job) { j.Queue = k.queue("-b") }))
-		a := k.push(p, k.job(func(j *client.Job) { j.Queue = k.queue("-a") }))
-		k.equal(a.JID, k.fetch(w, k.queue("-a"), k.queue("-b")).JID, "the first queue's")
-		k.equal(b.JID, k.fetch(w, k.queue("-a"), k.queue("-b")).JID, "then the second's")
+	{"fetch-queue-order", "a FETCH of several queues takes from the first that has jobs", func(k *faktoryEnv) {
+		p, w := k.dialProducer(), k.dialWorker()
+		b := k.push(p, k.newJob(func(j *client.Job) { j.Queue = k.queue("-b") }))
+		a := k.push(p, k.newJob(func(j *client.Job) { j.Queue = k.queue("-a") }))
+		k.expectEqual(a.JID, k.fetch(w, k.queue("-a"), k.queue("-b")).JID, "the first queue's")
+		k.expectEqual(b.JID, k.fetch(w, k.queue("-a"), k.queue("-b")).JID, "then the second's")
 	}},
-	{"fetch-other-queue", "a job is not given to a worker that does not fetch from its queue", func(k *fk) {
-		k.push(k.producer(), k.job(nil))
-		k.none(k.worker(), k.queue("-other"))
+	{"fetch-other-queue", "a job is not given to a worker that does not fetch from its queue", func(k *faktoryEnv) {
+		k.push(k.dialProducer(), k.newJob(nil))
+		k.expectNoJob(k.dialWorker(), k.queue("-other"))
 	}},
-	{"fetch-once", "a job is given to one of two workers that wait", func(k *fk) {
-		p, a, b := k.producer(), k.worker(), k.worker()
+	{"fetch-once", "a job is given to one of two workers that wait", func(k *faktoryEnv) {
+		p, a, b := k.dialProducer(), k.dialWorker(), k.dialWorker()
 		for range 10 {
-			k.push(p, k.job(nil))
+			k.push(p, k.newJob(nil))
 		}
 		seen := make(chan string, 20)
 		take := func(w *client.Conn) func() {
@@ -157,15 +157,15 @@
 				}
 			}
 		}
-		k.together(take(a), take(b))
+		k.runParallel(take(a), take(b))
 		close(seen)
 		got := map[string]int{}
 		for id := range seen {
 			got[id]++
 		}
-		k.equal(10, len(got), "jobs")
+		k.expectEqual(10, len(got), "jobs")
 		for id, n := range got {
-			k.equal(1, n, id)
+			k.expectEqual(1, n, id)
 		}
 	}},
 }
--- a/internal/conformance/http2_cases.go
+++ b/internal/conformance/http2_cases.go
@@ -3,24 +3,24 @@
 import "golang.org/x/net/http2"
 
 const (
-	tData     = http2.FrameData
-	tHeaders  = http2.FrameHeaders
-	tPriority = http2.FramePriority
-	tReset    = http2.FrameRSTStream
-	tSettings = http2.FrameSettings
-	tPush     = http2.FramePushPromise
-	tPing     = http2.FramePing
-	tGoAway   = http2.FrameGoAway
-	tWindow   = http2.FrameWindowUpdate
-	tCont     = http2.FrameContinuation
-
-	protocol    = http2.ErrCodeProtocol
-	frameSize   = http2.ErrCodeFrameSize
-	flow        = http2.ErrCodeFlowControl
-	closedS     = http2.ErrCodeStreamClosed
-	compression = http2.ErrCodeCompression
-	calm        = http2.ErrCodeEnhanceYourCalm
-	refused     = http2.ErrCodeRefusedStream
+	frameData         = http2.FrameData
+	frameHeaders      = http2.FrameHeaders
+	framePriority     = http2.FramePriority
+	frameReset        = http2.FrameRSTStream
+	frameSettings     = http2.FrameSettings
+	framePushPromise  = http2.FramePushPromise
+	framePing         = http2.FramePing
+	frameGoAway       = http2.FrameGoAway
+	frameWindowUpdate = http2.FrameWindowUpdate
+	frameContinuation = http2.FrameContinuation
+
+	codeProtocol        = http2.ErrCodeProtocol
+	codeFrameSize       = http2.ErrCodeFrameSize
+	codeFlowControl     = http2.ErrCodeFlowControl
+	codeStreamClosed    = http2.ErrCodeStreamClosed
+	codeCompression     = http2.ErrCodeCompression
+	codeEnhanceYourCalm = http2.ErrCodeEnhanceYourCalm
+	codeRefusedStream   = http2.ErrCodeRefusedStream
 )
 
 // http2Table collects the cases. Their sections are of RFC 9113, or of RFC 7541 where the name says hpack.
@@ -30,10 +30,10 @@
 func http2Cases() []http2Case {
 	t := &http2Table{}
 	for _, add := range []func(){
-		t.starting, t.framing, t.headerBlocks,
-		t.streamStates, t.streamNumbers,
-		t.frameTargets, t.dataAndHeaders, t.priorityAndReset, t.settings, t.pushPingGoAway, t.windows, t.continuations,
-		t.messages, t.malformed, t.fields, t.floods,
+		t.addPrefaceCases, t.addFramingCases, t.addHeaderBlockCases,
+		t.addStreamStateCases, t.addStreamNumberCases,
+		t.addFrameTargetCases, t.addDataAndHeadersCases, t.addPriorityAndResetCases, t.addSettingsCases, t.addPushPingGoAwayCases, t.addWindowCases, t.addContinuationCases,
+		t.addMessageCases, t.addMalformedCases, t.addFieldCases, t.addFloodCases,
 	} {
 		add()
 	}
@@ -41,22 +41,22 @@
 }
 
 // add adds a case. It starts on a connection without a handshake.
-func (t *http2Table) add(section, name, says string, run func(h *h2)) {
+func (t *http2Table) add(section, name, says string, run func(h *http2Conn)) {
 	t.cases = append(t.cases, http2Case{section, name, says, run})
 }
 
 // ends adds a case in which frames after the handshake end the connection, by one of the codes.
-func (t *http2Table) ends(section, name, says string, codes []http2.ErrCode, do func(h *h2)) {
-	t.add(section, name, says, func(h *h2) {
-		h.hello()
+func (t *http2Table) addConnectionError(section, name, says string, codes []http2.ErrCode, do func(h *http2Conn)) {
+	t.add(section, name, says, func(h *http2Conn) {
+		h.handshake()
 		do(h)
-		h.goAway(codes...)
+		h.expectGoAway(codes...)
 	})
 }
 
 // sends makes what a case does from one frame.
-func sends(kind http2.FrameType, flags http2.Flags, stream uint32, payload ...byte) func(h *h2) {
-	return func(h *h2) { h.raw(kind, flags, stream, payload...) }
+func sendFrame(kind http2.FrameType, flags http2.Flags, stream uint32, payload ...byte) func(h *http2Conn) {
+	return func(h *http2Conn) { h.writeRaw(kind, flags, stream, payload...) }
 }
 
 // anyOf are codes that will do.
--- a/internal/conformance/http2_request_cases.go
+++ b/internal/conformance/http2_request_cases.go
@@ -17,47 +17,47 @@
 }
 
 // messages has section 8.1: requests, their answers and trailers.
-func (t *http2Table) messages() {
-	t.add("8.1", "get", "a GET is answered", func(h *h2) {
-		h.hello()
-		h.ok()
+func (t *http2Table) addMessageCases() {
+	t.add("8.1", "get", "a GET is answered", func(h *http2Conn) {
+		h.handshake()
+		h.expectServed()
 	})
-	t.add("8.1", "many-at-once", "fifty requests at once are all answered", func(h *h2) {
-		h.hello()
+	t.add("8.1", "many-at-once", "fifty requests at once are all answered", func(h *http2Conn) {
+		h.handshake()
 		open := map[uint32]bool{}
 		for range 50 {
-			open[h.open(true, h.get()...)] = true
+			open[h.openStream(true, h.getRequest()...)] = true
 		}
 		for len(open) > 0 {
-			f := h.until(func(f http2.Frame) bool { return f.Header().Flags&1 != 0 && f.Header().StreamID != 0 }, "an answer's end")
+			f := h.readUntil(func(f http2.Frame) bool { return f.Header().Flags&1 != 0 && f.Header().StreamID != 0 }, "an answer's end")
 			delete(open, f.Header().StreamID)
 		}
 	})
-	t.add("8.1", "trailers", "a body may end with trailers", func(h *h2) {
-		h.hello()
-		id := h.open(false, h.get()...)
-		h.raw(tData, 0, id, 'a')
-		h.raw(tHeaders, 5, id, h.block("x-trailer", "v")...)
-		if s, _ := h.status(id); s != "200" {
+	t.add("8.1", "trailers", "a body may end with trailers", func(h *http2Conn) {
+		h.handshake()
+		id := h.openStream(false, h.getRequest()...)
+		h.writeRaw(frameData, 0, id, 'a')
+		h.writeRaw(frameHeaders, 5, id, h.encodeHeaders("x-trailer", "v")...)
+		if s, _ := h.readAnswer(id); s != "200" {
 			h.fail("status %s", s)
 		}
 	})
-	t.add("8.1", "trailers-no-end", "a second block of headers without END_STREAM is malformed", func(h *h2) {
-		h.hello()
-		id := h.open(false, h.get()...)
-		h.raw(tHeaders, 4, id, h.block("x-trailer", "v")...)
-		h.malformed(id)
+	t.add("8.1", "trailers-no-end", "a second block of headers without END_STREAM is malformed", func(h *http2Conn) {
+		h.handshake()
+		id := h.openStream(false, h.getRequest()...)
+		h.writeRaw(frameHeaders, 4, id, h.encodeHeaders("x-trailer", "v")...)
+		h.expectMalformed(id)
 	})
-	t.add("8.1", "trailers-pseudo", "trailers with a pseudo-header field are malformed", func(h *h2) {
-		h.hello()
-		id := h.open(false, h.get()...)
-		h.raw(tHeaders, 5, id, h.block(":path", "/")...)
-		h.malformed(id)
+	t.add("8.1", "trailers-pseudo", "trailers with a pseudo-header field are malformed", func(h *http2Conn) {
+		h.handshake()
+		id := h.openStream(false, h.getRequest()...)
+		h.writeRaw(frameHeaders, 5, id, h.encodeHeaders(":path", "/")...)
+		h.expectMalformed(id)
 	})
 }
 
 // malformed has sections 8.1.1 to 8.3.1: requests that are malformed by their fields.
-func (t *http2Table) malformed() {
+func (t *http2Table) addMalformedCases() {
 	for _, m := range []struct {
 		section, name, says string
 		fields              []string
@@ -96,90 +96,90 @@
 		{"8.1.1", "length-differ", "two content-lengths that differ", readyWith("content-length", "1", "content-length", "2")},
 		{"8.1.1", "length-without-data", "a content-length of 5 without DATA", readyWith("content-length", "5")},
 	} {
-		t.add(m.section, m.name, m.says+" is malformed", func(h *h2) {
-			h.hello()
-			h.malformed(h.open(true, m.fields...))
-			h.ok()
+		t.add(m.section, m.name, m.says+" is malformed", func(h *http2Conn) {
+			h.handshake()
+			h.expectMalformed(h.openStream(true, m.fields...))
+			h.expectServed()
 		})
 	}
 }
 
 // fields has sections 8.1.1 to 8.3.1: bodies that are not as long as told, and fields that are no error.
-func (t *http2Table) fields() {
+func (t *http2Table) addFieldCases() {
 	for _, n := range []int{1, 3} {
-		t.add("8.1.1", fmt.Sprint("length-2-data-", n), fmt.Sprintf("a content-length of 2 with %d bytes of DATA is malformed", n), func(h *h2) {
-			h.hello()
-			id := h.open(false, readyWith("content-length", "2")...)
-			h.raw(tData, 1, id, bytes.Repeat([]byte{'a'}, n)...)
-			h.malformed(id)
-			h.ok()
+		t.add("8.1.1", fmt.Sprint("length-2-data-", n), fmt.Sprintf("a content-length of 2 with %d bytes of DATA is malformed", n), func(h *http2Conn) {
+			h.handshake()
+			id := h.openStream(false, readyWith("content-length", "2")...)
+			h.writeRaw(frameData, 1, id, bytes.Repeat([]byte{'a'}, n)...)
+			h.expectMalformed(id)
+			h.expectServed()
 		})
 	}
-	t.add("8.2.2", "te-trailers", "te: trailers is no error", func(h *h2) {
-		h.hello()
-		if s, _ := h.status(h.open(true, readyWith("te", "trailers")...)); s != "200" {
+	t.add("8.2.2", "te-trailers", "te: trailers is no error", func(h *http2Conn) {
+		h.handshake()
+		if s, _ := h.readAnswer(h.openStream(true, readyWith("te", "trailers")...)); s != "200" {
 			h.fail("status %s", s)
 		}
 	})
-	t.add("8.3.1", "host-same", "host beside an equal :authority is no error", func(h *h2) {
-		h.hello()
-		if s, _ := h.status(h.open(true, readyWith("host", "C")...)); s != "200" {
+	t.add("8.3.1", "host-same", "host beside an equal :authority is no error", func(h *http2Conn) {
+		h.handshake()
+		if s, _ := h.readAnswer(h.openStream(true, readyWith("host", "C")...)); s != "200" {
 			h.fail("status %s", s)
 		}
 	})
-	t.add("8.3.1", "no-authority", "a request without :authority is no error", func(h *h2) {
-		h.hello()
-		if s, _ := h.status(h.open(true, readyRequest[:6]...)); s != "200" {
+	t.add("8.3.1", "no-authority", "a request without :authority is no error", func(h *http2Conn) {
+		h.handshake()
+		if s, _ := h.readAnswer(h.openStream(true, readyRequest[:6]...)); s != "200" {
 			h.fail("status %s", s)
 		}
 	})
 }
 
 // floods has section 10.5: more than a server has to bear.
-func (t *http2Table) floods() {
-	t.add("10.5", "settings-flood", "SETTINGS without end are answered with calm, or all of them", func(h *h2) {
-		h.hello()
+func (t *http2Table) addFloodCases() {
+	t.add("10.5", "settings-flood", "SETTINGS without end are answered with calm, or all of them", func(h *http2Conn) {
+		h.handshake()
 		go func() {
 			for range 5000 {
-				if h.fr.WriteRawFrame(tSettings, 0, 0, nil) != nil {
+				if h.framer.WriteRawFrame(frameSettings, 0, 0, nil) != nil {
 					return
 				}
 			}
-			h.fr.WriteRawFrame(tPing, 0, 0, make([]byte, 8))
+			h.framer.WriteRawFrame(framePing, 0, 0, make([]byte, 8))
 		}()
 		for {
-			f, err := h.fr.ReadFrame()
+			f, err := h.framer.ReadFrame()
 			if err != nil {
 				return
 			}
-			if g, ok := f.(*http2.GoAwayFrame); ok && g.ErrCode != calm {
+			if g, ok := f.(*http2.GoAwayFrame); ok && g.ErrCode != codeEnhanceYourCalm {
 				h.fail("GOAWAY %v", g.ErrCode)
 			} else if p, ok := f.(*http2.PingFrame); ok && p.IsAck() {
 				return
 			}
 		}
 	})
-	t.add("10.5", "large-header-list", "a header list over the server's bound is answered with 431, or ends the stream", func(h *h2) {
-		h.hello()
-		most, told := h.set[http2.SettingMaxHeaderListSize]
+	t.add("10.5", "large-header-list", "a header list over the server's bound is answered with 431, or ends the stream", func(h *http2Conn) {
+		h.handshake()
+		most, told := h.serverSettings[http2.SettingMaxHeaderListSize]
 		if !told || most > 1<<17 {
 			return
 		}
-		b := h.block(readyWith("x-large", strings.Repeat("v", int(most)))...)
-		h.raw(tHeaders, 1, 1, b[:8000]...)
+		b := h.encodeHeaders(readyWith("x-large", strings.Repeat("v", int(most)))...)
+		h.writeRaw(frameHeaders, 1, 1, b[:8000]...)
 		for b = b[8000:]; len(b) > 8000; b = b[8000:] {
-			h.raw(tCont, 0, 1, b[:8000]...)
+			h.writeRaw(frameContinuation, 0, 1, b[:8000]...)
 		}
-		h.raw(tCont, 4, 1, b...)
-		f := h.until(func(f http2.Frame) bool { return f.Header().StreamID == 1 }, "the refusal")
+		h.writeRaw(frameContinuation, 4, 1, b...)
+		f := h.readUntil(func(f http2.Frame) bool { return f.Header().StreamID == 1 }, "the refusal")
 		if hf, ok := f.(*http2.HeadersFrame); ok {
-			fields, err := h.dec.DecodeFull(hf.HeaderBlockFragment())
+			fields, err := h.decoder.DecodeFull(hf.HeaderBlockFragment())
 			h.must(err)
 			if fields[0].Value != "431" {
 				h.fail("status %s", fields[0].Value)
 			}
 		}
-		h.next = 3
-		h.ok()
+		h.nextStream = 3
+		h.expectServed()
 	})
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -26,30 +26,30 @@
 
 // Options of a run.
 type Options struct {
-	Jobs int           // in all, over both fronts
-	Time time.Duration // over which they are spread
-	Seed uint64
-	Log  *slog.Logger
+	Jobs     int           // in all, over both fronts
+	Duration time.Duration // over which they are spread
+	Seed     uint64
+	Log      *slog.Logger
 }
 
 // tally counts how jobs ended, by front and class.
 type tally struct {
 	mu   sync.Mutex
-	rows map[[2]string]map[string]int
+	ends map[[2]string]map[string]int
 	runs map[string]int // of jobs that must not run twice, by id
 }
 
-func (t *tally) add(front, class, end string) {
+func (t *tally) recordEnd(front, class, end string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	key := [2]string{front, class}
-	if t.rows[key] == nil {
-		t.rows[key] = map[string]int{}
+	if t.ends[key] == nil {
+		t.ends[key] = map[string]int{}
 	}
-	t.rows[key][end]++
+	t.ends[key][end]++
 }
 
-func (t *tally) ran(id string) {
+func (t *tally) recordRun(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.runs[id]++
@@ -62,11 +62,11 @@
 		return err
 	}
 	conf.Listen, conf.Faktory.Listen, conf.HTTP2.Listen = "127.0.0.1:0", "127.0.0.1:0", ""
-	t := &tally{rows: map[[2]string]map[string]int{}, runs: map[string]int{}}
+	t := &tally{ends: map[[2]string]map[string]int{}, runs: map[string]int{}}
 	var tables []*measure.TableWorker
 	var entries []config.KnownWorker
 	for i := range 3 {
-		worker, err := measure.NewTableWorker(fmt.Sprint("table-", i), 4, 30*time.Millisecond, t.ran)
+		worker, err := measure.NewTableWorker(fmt.Sprint("table-", i), 4, 30*time.Millisecond, t.recordRun)
 		if err != nil {
 			return err
 		}
@@ -94,19 +94,19 @@
 		worker.SendCallbacksTo(g.Front.Address())
 	}
 	fmt.Fprintf(w, "gateway: HTTP on %s, Faktory on %s; 3 table workers, 4 Faktory workers; %d jobs over %v\n",
-		g.Front.Address(), g.Faktory.Address(), o.Jobs, o.Time)
+		g.Front.Address(), g.Faktory.Address(), o.Jobs, o.Duration)
 
 	working, stop := context.WithCancel(ctx)
 	var workers sync.WaitGroup
 	defer workers.Wait()
 	defer stop()
 	for i := range 4 {
-		workers.Go(func() { fetcher(working, g.Faktory.Address(), i, o.Seed, t) })
+		workers.Go(func() { runFaktoryWorker(working, g.Faktory.Address(), i, o.Seed, t) })
 	}
-	if err := pushAll(ctx, g, o, conf, t); err != nil {
+	if err := submitAll(ctx, g, o, conf, t); err != nil {
 		return err
 	}
-	t.table(w)
+	t.writeTable(w)
 	for id, n := range t.runs {
 		if n > 1 && !strings.Contains(id, "board-view") {
 			return fmt.Errorf("job %s ran %d times", id, n)
@@ -116,7 +116,7 @@
 }
 
 // fetcher is a worker of the Faktory protocol: it does most jobs, fails some, and now and then goes away with one.
-func fetcher(ctx context.Context, address string, i int, seed uint64, t *tally) {
+func runFaktoryWorker(ctx context.Context, address string, i int, seed uint64, t *tally) {
 	rng := rand.New(rand.NewPCG(seed, uint64(i)))
 	for life := 0; ctx.Err() == nil; life++ {
 		c, err := client.Dial(address, client.Options{WID: fmt.Sprintf("demo-%d-%d", i, life), PID: life})
@@ -132,7 +132,7 @@
 			if j == nil {
 				continue
 			}
-			t.ran(j.JID)
+			t.recordRun(j.JID)
 			time.Sleep(time.Duration(10+rng.IntN(30)) * time.Millisecond)
 			switch n := rng.IntN(100); {
 			case n < 2:
@@ -152,7 +152,7 @@
 }
 
 // pushAll submits all jobs, half over each front, and waits until each has its end.
-func pushAll(ctx context.Context, g *gateway.Gateway, o Options, conf *config.Config, t *tally) error {
+func submitAll(ctx context.Context, g *gateway.Gateway, o Options, conf *config.Config, t *tally) error {
 	rng := rand.New(rand.NewPCG(o.Seed, 99))
 	p, err := client.Dial(g.Faktory.Address(), client.Options{})
 	if err != nil {
@@ -161,15 +161,15 @@
 	defer p.Close()
 	var http_ sync.WaitGroup
 	var pushed []string
-	pause := o.Time / time.Duration(max(1, o.Jobs))
+	pause := o.Duration / time.Duration(max(1, o.Jobs))
 	for n := range o.Jobs {
 		class := conf.Names.Classes[[]int{0, 0, 0, 1, 1, 1, 2}[rng.IntN(7)]]
 		id := fmt.Sprintf("demo-%s-%05d", class, n)
 		if n%2 == 0 {
-			http_.Go(func() { t.add("HTTP", class, ask(g.Front.Address(), class, id)) })
+			http_.Go(func() { t.recordEnd("HTTP", class, submitHTTP(g.Front.Address(), class, id)) })
 		} else if err := p.Push(client.Job{JID: id, Type: class, Args: []any{n}, Queue: "default",
 			Custom: map[string]any{"time_left_ms": 10_000}}); err != nil {
-			t.add("Faktory", class, "turned away")
+			t.recordEnd("Faktory", class, "turned away")
 		} else {
 			pushed = append(pushed, id)
 		}
@@ -193,7 +193,7 @@
 			if end == "" {
 				return false
 			}
-			t.add("Faktory", strings.TrimPrefix(id, "demo-")[:len(id)-len("demo--00000")], end)
+			t.recordEnd("Faktory", strings.TrimPrefix(id, "demo-")[:len(id)-len("demo--00000")], end)
 			return true
 		})
 		if time.Now().After(until) {
@@ -205,7 +205,7 @@
 }
 
 // ask submits a job over HTTP and waits for its answer.
-func ask(address, class, id string) string {
+func submitHTTP(address, class, id string) string {
 	q, _ := http.NewRequest("POST", fmt.Sprintf("http://%s/%s/t%d", address, class, len(id)%7), strings.NewReader("demo"))
 	q.Header.Set(platform.HeaderID, id)
 	q.Header.Set(platform.HeaderClass, class)
@@ -227,12 +227,12 @@
 }
 
 // table writes what ended how.
-func (t *tally) table(w io.Writer) {
+func (t *tally) writeTable(w io.Writer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ends := []string{"served", "refused", "failed", "dead", "retries", "turned away", "no answer"}
 	var keys [][2]string
-	for k := range t.rows {
+	for k := range t.ends {
 		keys = append(keys, k)
 	}
 	slices.SortFunc(keys, func(a, b [2]string) int { return strings.Compare(a[0]+a[1], b[0]+b[1]) })
@@ -241,8 +241,8 @@
 	for _, k := range keys {
 		all, cells := 0, ""
 		for _, end := range ends {
-			all += t.rows[k][end]
-			cells += fmt.Sprintf("%d\t", t.rows[k][end])
+			all += t.ends[k][end]
+			cells += fmt.Sprintf("%d\t", t.ends[k][end])
 		}
 		fmt.Fprintf(tw, "%s\t%s\t%d\t%s\n", k[0], k[1], all, cells)
 	}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -13,7 +13,7 @@
 
 func TestEveryJobOfTheDemoHasItsEnd(t *testing.T) {
 	var out bytes.Buffer
-	require.NoError(t, Run(context.Background(), &out, Options{Jobs: 120, Time: 600 * time.Millisecond, Seed: 1, Log: slog.New(slog.DiscardHandler)}), out.String())
+	require.NoError(t, Run(context.Background(), &out, Options{Jobs: 120, Duration: 600 * time.Millisecond, Seed: 1, Log: slog.New(slog.DiscardHandler)}), out.String())
 	assert.Regexp(t, `HTTP +move +\d+ +[1-9]`, out.String())
 	assert.Regexp(t, `Faktory +settle +\d+ +`, out.String())
 }
--- a/internal/describe/describe_test.go
+++ b/internal/describe/describe_test.go
@@ -111,7 +111,7 @@
 		c.Faktory.Listen, c.Faktory.Password = "127.0.0.1:0", "pw"
 		c.Settings.SlowStartWindow, c.Settings.OverloadWindow = 1, 1
 	})
-	raw := &standin.Faktory{Raw: standin.Dial(t, n.Faktory.Address())}
+	raw := &standin.Faktory{RawConn: standin.Dial(t, n.Faktory.Address())}
 	assertValid("hi", strings.TrimPrefix(raw.Reply(), "HI "))
 	w, c := standin.NewFaktory(t, n.Faktory.Address(), "w-1", "pw"), standin.NewFaktory(t, n.Faktory.Address(), "", "pw")
 	assert.Equal(t, "(none)", w.Do("FETCH", "default"))
@@ -123,7 +123,7 @@
 	assertValid("ACK", `{"jid":"job-0001"}`)
 	assert.Equal(t, "OK", w.Do("ACK", `{"jid":"job-0001"}`))
 	got := make(chan standin.Answer)
-	go func() { got <- n.Ask("settle", "k", "id-by-http", 9000, "body") }()
+	go func() { got <- n.SendRequest("settle", "k", "id-by-http", 9000, "body") }()
 	assertValid("job", w.Do("FETCH", "default"))
 	w.Do("ACK", `{"jid":"id-by-http","result":"r"}`)
 	assert.Equal(t, "r", (<-got).Body)
--- a/internal/faktory/disconnect_test.go
+++ b/internal/faktory/disconnect_test.go
@@ -12,15 +12,15 @@
 func TestUnansweredPushIsDroppedWithItsSession(t *testing.T) {
 	n := start(t, nil)
 	first := session(n, "w-1")
-	first.Say("PUSH {\"jid\":\"job-0001\",\"jobtype\":\"move\",\"queue\":\"q\",\"args\":[]}\r\n")
+	first.Send("PUSH {\"jid\":\"job-0001\",\"jobtype\":\"move\",\"queue\":\"q\",\"args\":[]}\r\n")
 	require.Equal(t, "OK", first.Reply())
-	first.Say("FETCH other\r\nPUSH {\"jid\":\"job-0002\",\"jobtype\":\"move\",\"queue\":\"q\",\"args\":[]}\r\n") // the FETCH waits
+	first.Send("FETCH other\r\nPUSH {\"jid\":\"job-0002\",\"jobtype\":\"move\",\"queue\":\"q\",\"args\":[]}\r\n") // the FETCH waits
 	n.Eventually(func() (waits bool) {
-		n.On(func() { waits = n.Faktory.Waiting() == 1 })
+		n.RunOnLoop(func() { waits = n.Faktory.Waiting() == 1 })
 		return waits
 	})
 	first.Close()
-	n.Eventually(func() bool { return n.Logged("party=faktory") })
+	n.Eventually(func() bool { return n.HasLogged("party=faktory") })
 	w, second := session(n, "w-2"), session(n, "")
 	require.Equal(t, "OK", second.Do("PUSH", `{"jid":"job-0003","jobtype":"move","queue":"q","args":[]}`))
 	for _, want := range []string{"job-0001", "job-0003"} {
--- a/internal/faktory/faktory_test.go
+++ b/internal/faktory/faktory_test.go
@@ -28,7 +28,7 @@
 
 func session(n *standin.Node, wid string) *standin.Faktory {
 	f := standin.NewFaktory(n.T, n.Faktory.Address(), wid, n.Conf.Faktory.Password)
-	require.Equal(n.T, "OK", f.Hi)
+	require.Equal(n.T, "OK", f.HandshakeReply)
 	return f
 }
 
@@ -46,7 +46,7 @@
 		}
 	}()
 	n.Eventually(func() (in bool) {
-		n.On(func() { in = n.Core.WorkerCount() > 0 })
+		n.RunOnLoop(func() { in = n.Core.WorkerCount() > 0 })
 		return in
 	})
 	return w, got
@@ -58,11 +58,11 @@
 	c := session(n, "")
 	require.Equal(t, "OK", c.Push("job-0001", "settle", 9000))
 	require.Equal(t, [2]string{"job-0001", "settle"}, <-got)
-	assert.Equal(t, "working", c.State("job-0001"))
+	assert.Equal(t, "working", c.JobState("job-0001"))
 	assert.Equal(t, "OK", w.Do("ACK", `{"jid":"job-0001","result":"won"}`))
-	assert.Equal(t, "served", c.State("job-0001"))
+	assert.Equal(t, "served", c.JobState("job-0001"))
 	assert.Contains(t, c.Do("TRACK", "GET job-0001"), `"result":"won"`)
-	assert.Equal(t, "unknown", c.State("job-none"))
+	assert.Equal(t, "unknown", c.JobState("job-none"))
 	assert.Contains(t, c.Do("INFO", ""), `"total_processed":1`)
 	assert.Equal(t, "OK", w.Do("ACK", `{"jid":"job-none"}`))
 	assert.Equal(t, "OK", w.Do("ACK", `{"jid":"job-0001"}`), "a late ACK changes nothing")
@@ -73,8 +73,8 @@
 func TestHelloChecksPasswordAndVersion(t *testing.T) {
 	n := start(t, func(c *config.Config) { c.Faktory.Password = "open sesame" })
 	session(n, "")
-	assert.Contains(t, standin.NewFaktory(t, n.Faktory.Address(), "", "wrong").Hi, "-ERR invalid password")
-	raw := &standin.Faktory{Raw: standin.Dial(t, n.Faktory.Address())}
+	assert.Contains(t, standin.NewFaktory(t, n.Faktory.Address(), "", "wrong").HandshakeReply, "-ERR invalid password")
+	raw := &standin.Faktory{RawConn: standin.Dial(t, n.Faktory.Address())}
 	assert.Contains(t, raw.Reply(), `"i":`)
 	assert.Contains(t, raw.Do("HELLO", `{"v":3}`), "-ERR protocol version")
 	assert.Equal(t, "(closed)", raw.Reply())
@@ -112,7 +112,7 @@
 	}
 	assert.Contains(t, w.Do("BEAT", `{"wid":"w-1","current_state":"asleep"}`), "-ERR unknown state")
 	assert.Equal(t, "OK", w.Do("BEAT", `{"wid":"w-1"}`))
-	early := &standin.Faktory{Raw: standin.Dial(t, n.Faktory.Address())}
+	early := &standin.Faktory{RawConn: standin.Dial(t, n.Faktory.Address())}
 	early.Reply()
 	assert.Contains(t, early.Do("INFO", ""), "-ERR say HELLO first")
 }
@@ -123,8 +123,8 @@
 	c := session(n, "")
 	require.Equal(t, "OK", c.Push("job-0001", "settle", 100))
 	assert.Contains(t, c.Push("job-0002", "settle", 9000), "-ERR refused, max_held_jobs is reached, return in")
-	assert.Equal(t, "unknown", c.State("job-0002"))
-	n.Eventually(func() bool { return c.State("job-0001") == "refused" })
+	assert.Equal(t, "unknown", c.JobState("job-0002"))
+	n.Eventually(func() bool { return c.JobState("job-0001") == "refused" })
 	assert.Equal(t, "OK", c.Push("job-0002", "settle", 9000))
 	assert.Contains(t, c.Do("INFO", ""), `"max_held_jobs":1`)
 }
@@ -134,7 +134,7 @@
 	n := start(t, nil)
 	c := session(n, "")
 	require.Equal(t, "OK", c.Push("job-0001", "settle", 300))
-	n.Eventually(func() bool { return c.State("job-0001") == "refused" })
+	n.Eventually(func() bool { return c.JobState("job-0001") == "refused" })
 	assert.Contains(t, c.Push("job-0001", "settle", 300), "has ended: refused", "a PUSH with the jid of an ended job opens no second request")
 }
 
@@ -152,7 +152,7 @@
 			require.Equal(t, "OK", c.Push("job-0001", "settle", 20000))
 			require.Equal(t, "job-0001", (<-got)[0])
 			vanish(n, w)
-			n.Eventually(func() bool { return c.State("job-0001") == "dead" })
+			n.Eventually(func() bool { return c.JobState("job-0001") == "dead" })
 			assert.Contains(t, c.Do("TRACK", "GET job-0001"), `"reason":"may-have-run"`)
 			assert.Contains(t, c.Do("MUTATE", `{"cmd":"requeue","target":"dead"}`), "may-have-run")
 			second := session(n, "w-2")
@@ -175,7 +175,7 @@
 	assert.Equal(t, "job-0002", (<-got2)[0], "returned unrun, it runs on another worker")
 	assert.Equal(t, "(none)", w.Do("FETCH", "default"), "no new job for a draining worker")
 	assert.Equal(t, "OK", w.Do("FAIL", `{"jid":"job-0001","errtype":"x","message":"y"}`), "it finishes its fetched job")
-	assert.Equal(t, "dead", c.State("job-0001"))
+	assert.Equal(t, "dead", c.JobState("job-0001"))
 }
 
 // A FETCH after a pending job's deadline finds nothing: the job has ended as refused.
@@ -186,7 +186,7 @@
 	require.Equal(t, "OK", c.Push("job-0001", "move", 9000))
 	<-got
 	require.Equal(t, "OK", c.Push("job-0002", "move", 250))
-	n.Eventually(func() bool { return c.State("job-0002") == "refused" })
+	n.Eventually(func() bool { return c.JobState("job-0002") == "refused" })
 	require.Equal(t, "OK", w.Do("ACK", `{"jid":"job-0001"}`))
 	jid, _ := w.Fetch()
 	assert.Empty(t, jid)
@@ -203,14 +203,14 @@
 	require.Equal(t, "OK", c.Push("job-0002", "settle", 9000))
 	require.Equal(t, "OK", c.Do("PUSH", `{"jid":"job-0003","jobtype":"move","args":[],"at":"2199-01-01T00:00:00Z"}`))
 	n.Gateway.Stop()
-	n.Eventually(func() bool { return c.State("job-0003") == "refused" })
+	n.Eventually(func() bool { return c.JobState("job-0003") == "refused" })
 	assert.Contains(t, c.Push("job-0004", "settle", 9000), "-ERR refused, the program ends, return in")
 	assert.Equal(t, "OK", c.Push("job-0001", "settle", 9000), "already accepted")
-	assert.Equal(t, "refused", c.State("job-0002"), "it never ran")
+	assert.Equal(t, "refused", c.JobState("job-0002"), "it never ran")
 	assert.Equal(t, `{"state":"quiet"}`, w.Do("BEAT", `{"wid":"w-1","rss_kb":1000}`))
 	assert.Equal(t, "OK", w.Do("BEAT", `{"wid":"w-1","current_state":"quiet"}`))
 	require.Equal(t, "OK", w.Do("ACK", `{"jid":"job-0001"}`))
-	assert.Equal(t, "served", c.State("job-0001"))
+	assert.Equal(t, "served", c.JobState("job-0001"))
 	<-n.Ended
 }
 
@@ -222,7 +222,7 @@
 	for i := range 6 {
 		require.Equal(t, "OK", c.Push(fmt.Sprint("job-000", i), "move", 9000))
 	}
-	n.On(func() { assert.LessOrEqual(t, n.Core.InFlightAttempts(), 1) })
+	n.RunOnLoop(func() { assert.LessOrEqual(t, n.Core.InFlightAttempts(), 1) })
 }
 
 // pushTwice pushes twelve jobs, each twice, and waits until all accepted ones have ended.
@@ -241,39 +241,39 @@
 	}
 	for _, jid := range accepted {
 		assert.Eventually(n.T, func() bool {
-			return strings.Contains("served refused failed dead", c.State(jid))
-		}, standin.Patience, 5e6, jid)
+			return strings.Contains("served refused failed dead", c.JobState(jid))
+		}, standin.WaitTimeout, 5e6, jid)
 	}
 }
 
 // Mixed traffic over HTTP and Faktory, to table workers and fetching workers that vanish, with every job pushed twice:
 // no job of a class that forbids it runs twice, and each job has one final answer.
 func TestMixedTrafficRunsNothingTwice(t *testing.T) {
-	var runs standin.Runs
+	var runs standin.RunCounter
 	var number atomic.Int64
 	table := func(w *standin.Worker, id string, rw http.ResponseWriter, r *http.Request) {
-		runs.Ran(id)
+		runs.Record(id)
 		switch mine := number.Add(1); {
 		case mine%7 == 0: // the connection breaks while the worker holds the job
 			c, _, _ := rw.(http.Hijacker).Hijack()
 			c.Close()
 		case mine%5 == 0: // the worker process dies after its 202
 			rw.WriteHeader(202)
-			go w.Call(id, "lost", nil)
+			go w.SendCallback(id, "lost", nil)
 		default:
-			standin.Done(w, id, rw, r)
+			standin.CompleteJob(w, id, rw, r)
 		}
 	}
 	n := start(t, nil, standin.NewWorker(t, "s-1", table), standin.NewWorker(t, "s-2", table))
 	stop := make(chan struct{})
-	workers := n.VanishingWorkers(3, 4, &runs, stop)
+	workers := n.StartVanishingWorkers(3, 4, &runs, stop)
 	classes := []string{"board-view", "move", "settle"}
 	var clients sync.WaitGroup
 	answers := make(chan standin.Answer, 200)
 	for i := range 4 {
 		clients.Go(func() {
 			for j := range 12 {
-				answers <- n.Ask(classes[j%3], fmt.Sprint("k", j), fmt.Sprintf("http-%s-%d-%d", classes[j%3], i, j), 4000, "b")
+				answers <- n.SendRequest(classes[j%3], fmt.Sprint("k", j), fmt.Sprintf("http-%s-%d-%d", classes[j%3], i, j), 4000, "b")
 			}
 		})
 		clients.Go(func() { pushTwice(n, classes, i) })
@@ -295,10 +295,10 @@
 	}
 	assert.NotZero(t, kinds["http"])
 	assert.NotZero(t, kinds["fk"])
-	n.On(func() {
+	n.RunOnLoop(func() {
 		assert.Zero(t, n.Core.OpenRequests())
 		c := n.Core.Counts
 		assert.Equal(t, c.Accepted, c.Served+c.Refused+c.Failed+c.Cancelled)
 	})
-	assert.Equal(t, 204, standin.Event(n.URL(platform.PathEvents), map[string]any{"id": "http-move-0-1", "from": "s-1", "state": "done"}))
+	assert.Equal(t, 204, standin.PostCallback(n.URL(platform.PathEvents), map[string]any{"id": "http-move-0-1", "from": "s-1", "state": "done"}))
 }
--- a/internal/faktory/faults_test.go
+++ b/internal/faktory/faults_test.go
@@ -17,7 +17,7 @@
 )
 
 func dial(n *standin.Node, wid string, pid int) *client.Conn {
-	c, err := client.Dial(n.Faktory.Address(), client.Options{WID: wid, PID: pid, Timeout: standin.Patience})
+	c, err := client.Dial(n.Faktory.Address(), client.Options{WID: wid, PID: pid, Timeout: standin.WaitTimeout})
 	require.NoError(n.T, err)
 	n.T.Cleanup(func() { c.Close() })
 	return c
@@ -82,7 +82,7 @@
 		if ackFirst {
 			require.NoError(t, w.Send("ACK", fmt.Sprintf(`{"jid":%q}`, id)))
 		}
-		n.On(func() { n.Faktory.ExpireForTest(id) })
+		n.RunOnLoop(func() { n.Faktory.ExpireForTest(id) })
 		if !ackFirst {
 			require.NoError(t, w.Send("ACK", fmt.Sprintf(`{"jid":%q}`, id)))
 		}
@@ -111,7 +111,7 @@
 	assert.Equal(t, "dead", trackJob(n, p, "job-0001").State)
 	require.NoError(t, p.Push(job("job-0003", "move", "q", nil)))
 	assert.Equal(t, "job-0003", fetchJob(n, again, "q").JID)
-	n.Eventually(func() bool { return n.Logged("party=faktory-worker") && n.Logged("reason=moved") })
+	n.Eventually(func() bool { return n.HasLogged("party=faktory-worker") && n.HasLogged("reason=moved") })
 }
 
 // The same jid pushed on two connections at once, during its retry and after its end is one job.
@@ -157,7 +157,7 @@
 	}
 	text, _ := json.Marshal(list)
 	require.NoError(t, p.Send("PUSHB", string(text)))
-	assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 3000, "").Status, "the HTTP front answers meanwhile")
+	assert.Equal(t, 200, n.SendRequest("board-view", "k", "id-1", 3000, "").Status, "the HTTP front answers meanwhile")
 	r, err := p.Read()
 	require.NoError(t, err)
 	not := map[string]string{}
@@ -213,7 +213,7 @@
 	}()
 	n.Eventually(func() bool {
 		require.Equal(t, "enqueued", trackJob(n, p, "job-0001").State)
-		return n.Logged("reason=not-reading") || n.Logged("reason=flooding")
+		return n.HasLogged("reason=not-reading") || n.HasLogged("reason=flooding")
 	})
 }
 
@@ -310,7 +310,7 @@
 		})
 	}
 	for i := range 40 {
-		assert.Equal(t, 200, n.Ask("move", "k", fmt.Sprint("http-", i), 5000, "").Status)
+		assert.Equal(t, 200, n.SendRequest("move", "k", fmt.Sprint("http-", i), 5000, "").Status)
 		j := fetchJob(n, w, "q1")
 		require.NoError(t, w.Ack(j.JID))
 	}
@@ -335,14 +335,14 @@
 		k := &c.Faktory
 		k.MaxHeldJobs, k.MaxQueueJobs, k.MaxClientJobs, k.MaxScheduled, k.MaxDead, k.MaxHeldMB, k.MaxClientMB, k.MaxDeadMB = dead+10, dead+10, dead+10, dead, dead, 200, 200, 200
 	})
-	n.On(func() { n.Faktory.FillForTest(dead) })
+	n.RunOnLoop(func() { n.Faktory.FillForTest(dead) })
 	p, q, w := dial(n, "", 0), dial(n, "", 0), dial(n, "w-1", 1)
 	r, err := p.Do("MUTATE", `{"cmd":"kill","target":"scheduled"}`)
 	require.NoError(t, err)
 	require.True(t, r.IsOK(), r.Err)
 	require.EqualValues(t, dead, cobaltflowInfo(n, p)["dead"])
 	last, most := dead, 0 // the most dead jobs that one turn removed
-	n.On(func() {
+	n.RunOnLoop(func() {
 		n.Loop.AfterTurn(func() {
 			now := n.Faktory.DeadForTest()
 			last, most = now, max(most, last-now)
@@ -357,7 +357,7 @@
 	require.NoError(t, err)
 	assert.True(t, r.IsOK(), r.Err)
 	assert.EqualValues(t, dead*9/10, cobaltflowInfo(n, q)["dead"], "nine tenths of the jobs do not match")
-	n.On(func() { assert.LessOrEqual(t, most, 1000, "a bounded part in each turn") })
+	n.RunOnLoop(func() { assert.LessOrEqual(t, most, 1000, "a bounded part in each turn") })
 }
 
 // After a restart of the gateway, reports of workers on jobs of the earlier process are accepted and ignored.
@@ -389,7 +389,7 @@
 		halves = append(halves, c)
 		go fmt.Fprintf(c, "PUSH %s", chunk)
 	}
-	n.Eventually(func() bool { return n.Logged("reason=over-budget") })
+	n.Eventually(func() bool { return n.HasLogged("reason=over-budget") })
 	for _, c := range halves {
 		c.Close()
 	}
@@ -397,7 +397,7 @@
 	require.NoError(t, p.Push(job("job-0001", "move", "q", nil)))
 	long := dial(n, "", 0)
 	go fmt.Fprintf(long, "PUSH %s%s\r\n", chunk, chunk)
-	n.Eventually(func() bool { return n.Logged("reason=bad-input") })
+	n.Eventually(func() bool { return n.HasLogged("reason=bad-input") })
 }
 
 // An attempt that is pending for a busy worker is moved to another worker that waits for a job.
@@ -415,7 +415,7 @@
 	select {
 	case j := <-got:
 		assert.Equal(t, "job-0002", j.JID)
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Fatal("it waited for the busy one")
 	}
 }
--- a/internal/front/admin/admin_test.go
+++ b/internal/front/admin/admin_test.go
@@ -35,7 +35,7 @@
 	c, err := net.Dial("tcp", n.Gateway.Admin.Address())
 	require.NoError(t, err)
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(standin.Patience))
+	c.SetDeadline(time.Now().Add(standin.WaitTimeout))
 	_, err = io.WriteString(c, text)
 	require.NoError(t, err)
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -84,7 +84,7 @@
 	assert.Contains(t, metrics, "edge_relay.registry_entries:2|g\n")
 	for i := range 20 {
 		id := fmt.Sprint("id-", i)
-		require.Equal(t, 200, n.Ask("board-view", fmt.Sprint("k", i), id, 5000, "").Status)
+		require.Equal(t, 200, n.SendRequest("board-view", fmt.Sprint("k", i), id, 5000, "").Status)
 	}
 	assert.Empty(t, a.Jobs(), "the disabled worker got jobs")
 	assert.Len(t, b.Jobs(), 20)
@@ -114,7 +114,7 @@
 	_, metrics := send(t, second, "GET", "/-/metrics")
 	assert.Contains(t, metrics, "edge_relay.out_of_rotation:1|g\n")
 	for i := range 10 {
-		require.Equal(t, 200, second.Ask("board-view", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
+		require.Equal(t, 200, second.SendRequest("board-view", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
 	}
 	assert.Empty(t, b.Jobs())
 }
@@ -141,7 +141,7 @@
 	assert.Equal(t, 503, resp.StatusCode)
 	status, _ = send(t, n, "GET", "/-/ready")
 	assert.Equal(t, 503, status)
-	idle.SetReadDeadline(time.Now().Add(standin.Patience))
+	idle.SetReadDeadline(time.Now().Add(standin.WaitTimeout))
 	_, err = r.ReadByte()
 	assert.ErrorIs(t, err, io.EOF, "an idle client's connection must be closed in a drain")
 
@@ -174,13 +174,13 @@
 	status, _ := send(t, n, "GET", "/-/ready")
 	assert.Equal(t, 200, status)
 	for _, c := range silent {
-		c.SetReadDeadline(time.Now().Add(standin.Patience))
+		c.SetReadDeadline(time.Now().Add(standin.WaitTimeout))
 		_, err := io.ReadAll(c)
 		require.NoError(t, err, "the front must close a silent connection")
 	}
 	// A connection's log line may be written a moment after the client sees its end.
 	for _, text := range []string{"party=operator", "reason=over-budget", "reason=slow-input"} {
-		n.Eventually(func() bool { return n.Logged(text) })
+		n.Eventually(func() bool { return n.HasLogged(text) })
 	}
 }
 
--- a/internal/front/http2/client_test.go
+++ b/internal/front/http2/client_test.go
@@ -35,7 +35,7 @@
 	clearText.SetUnencryptedHTTP2(true)
 	t := &http.Transport{Protocols: &clearText, MaxConnsPerHost: 1, HTTP2: &http.HTTP2Config{StrictMaxConcurrentRequests: true}}
 	n.T.Cleanup(t.CloseIdleConnections)
-	return &http.Client{Transport: t, Timeout: standin.Patience}
+	return &http.Client{Transport: t, Timeout: standin.WaitTimeout}
 }
 
 func newRequest(ctx context.Context, n *standin.Node, class, id string, leftMS int, body string) *http.Request {
@@ -79,7 +79,7 @@
 	nc, err := net.Dial("tcp", n.HTTP2.Address())
 	require.NoError(n.T, err)
 	n.T.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(standin.Patience))
+	nc.SetDeadline(time.Now().Add(standin.WaitTimeout))
 	r := &rawConn{Framer: xhttp2.NewFramer(nc, nc), nc: nc, next: 1}
 	r.AllowIllegalWrites = true
 	r.enc = hpack.NewEncoder(&r.buf)
--- a/internal/front/http2/drain_test.go
+++ b/internal/front/http2/drain_test.go
@@ -35,7 +35,7 @@
 	reset := r.readUntil(t, func(f xhttp2.Frame) bool { _, yes := f.(*xhttp2.RSTStreamFrame); return yes }).(*xhttp2.RSTStreamFrame)
 	assert.Equal(t, []any{past, xhttp2.ErrCodeRefusedStream}, []any{reset.StreamID, reset.ErrCode})
 	for _, id := range []string{"id-1", "id-2"} {
-		w.Call(id, "done", map[string]any{"result": "r"})
+		w.SendCallback(id, "done", map[string]any{"result": "r"})
 	}
 	answered := map[uint32]bool{}
 	r.readUntil(t, func(f xhttp2.Frame) bool {
@@ -56,13 +56,13 @@
 	r := dial(n)
 	stream := r.sendRequest("settle", "id-1", 15000, true)
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
-	n.On(func() { n.HTTP2.Drain(1000) })
+	n.RunOnLoop(func() { n.HTTP2.Drain(1000) })
 	r.readUntil(t, func(f xhttp2.Frame) bool {
 		h, yes := f.(*xhttp2.HeadersFrame)
 		return yes && h.StreamID == stream
 	})
-	n.On(func() { assert.Zero(t, n.Core.OpenRequests()) })
-	n.Eventually(func() bool { return w.Deleted("id-1") || n.Logged("reason=given-up") })
+	n.RunOnLoop(func() { assert.Zero(t, n.Core.OpenRequests()) })
+	n.Eventually(func() bool { return w.WasDeleted("id-1") || n.HasLogged("reason=given-up") })
 }
 
 // A connection dies with a hundred open streams: each job has one final state in the ledger, and no move runs twice.
@@ -75,8 +75,8 @@
 		mu.Unlock()
 		rw.WriteHeader(202)
 		go func() {
-			w.Call(id, "started", nil)
-			w.Call(id, "done", map[string]any{"result": "r"})
+			w.SendCallback(id, "started", nil)
+			w.SendCallback(id, "done", map[string]any{"result": "r"})
 		}()
 	})
 	n := start(t, nil, w)
@@ -111,5 +111,5 @@
 			assert.Zero(t, runs[id], "%s is said never to have run", id)
 		}
 	}
-	n.On(func() { assert.Zero(t, n.Core.OpenRequests()) })
+	n.RunOnLoop(func() { assert.Zero(t, n.Core.OpenRequests()) })
 }
--- a/internal/front/http2/flow_test.go
+++ b/internal/front/http2/flow_test.go
@@ -23,7 +23,7 @@
 func TestFullWindowClosesTheConnection(t *testing.T) {
 	large := standin.NewWorker(t, "s-1", func(w *standin.Worker, id string, rw http.ResponseWriter, _ *http.Request) {
 		rw.WriteHeader(202)
-		go w.Call(id, "done", map[string]any{"result": strings.Repeat("r", 20_000)})
+		go w.SendCallback(id, "done", map[string]any{"result": strings.Repeat("r", 20_000)})
 	})
 	n := start(t, func(c *config.Config) { c.HTTP2.StallTimeoutMS, c.HTTP2.MaxUnsentKB = 400, 64 }, large)
 	slow := dial(n, xhttp2.Setting{ID: xhttp2.SettingInitialWindowSize, Val: 1000})
@@ -45,7 +45,7 @@
 	})
 	assert.Positive(t, codes[xhttp2.ErrCodeCancel], "streams that waited for the window")
 	assert.Positive(t, codes[xhttp2.ErrCodeEnhanceYourCalm], "streams beyond max_unsent_kb")
-	n.Eventually(func() bool { return n.Logged("reason=window-full") })
+	n.Eventually(func() bool { return n.HasLogged("reason=window-full") })
 	for i := range 8 {
 		s := jobState(n, c, fmt.Sprint("slow-", i))
 		assert.Equal(t, "served", s.State)
@@ -101,7 +101,7 @@
 				require.NoError(t, err)
 				defer nc.Close()
 				io.WriteString(nc, xhttp2.ClientPreface[:10])
-				n.Eventually(func() bool { return n.Logged("reason=no-settings") })
+				n.Eventually(func() bool { return n.HasLogged("reason=no-settings") })
 				return
 			}
 			n.ClearLog()
@@ -118,7 +118,7 @@
 						return
 					}
 					if i%64 == 0 {
-						r.nc.SetWriteDeadline(time.Now().Add(standin.Patience))
+						r.nc.SetWriteDeadline(time.Now().Add(standin.WaitTimeout))
 					}
 				}
 			}()
@@ -130,7 +130,7 @@
 			if reason == "window-update" {
 				want = "control-flood"
 			}
-			n.Eventually(func() bool { return n.Logged("reason=" + want) })
+			n.Eventually(func() bool { return n.HasLogged("reason=" + want) })
 			r.nc.Close()
 			<-done
 		})
--- a/internal/front/http2/http2_test.go
+++ b/internal/front/http2/http2_test.go
@@ -30,7 +30,7 @@
 		})
 	}
 	wg.Wait()
-	n.On(func() { assert.EqualValues(t, 1, n.HTTP2.Stats.Connections) })
+	n.RunOnLoop(func() { assert.EqualValues(t, 1, n.HTTP2.Stats.Connections) })
 	for _, bad := range []struct {
 		class, id string
 		left      int
@@ -69,14 +69,14 @@
 	reset()
 	require.Error(t, <-ended)
 	n.Eventually(func() (yes bool) {
-		n.On(func() { yes = n.HTTP2.Stats.Resets == 1 })
+		n.RunOnLoop(func() { yes = n.HTTP2.Stats.Resets == 1 })
 		return yes
 	})
 	assert.Equal(t, "open", jobState(n, c, "id-1").State, "the job goes on")
 	status, _, err := send(c, newRequest(context.Background(), n, "move", "id-1", 9000, "m"))
 	require.NoError(t, err)
 	assert.Equal(t, 400, status, "the id is in use")
-	w.Call("id-1", "done", map[string]any{"result": "moved"})
+	w.SendCallback("id-1", "done", map[string]any{"result": "moved"})
 	n.Eventually(func() bool { s := jobState(n, c, "id-1"); return s.State == "served" && s.Result == "moved" })
 	status, _, err = send(c, newRequest(context.Background(), n, "move", "id-1", 9000, "m"))
 	require.NoError(t, err)
@@ -92,7 +92,7 @@
 	reset()
 	// By DELETE or, if the 202 was not read yet, by closing the worker's connection.
 	n.Eventually(func() bool {
-		return jobState(n, c, "id-3").State == "refused" && (w.Deleted("id-3") || n.Logged("reason=given-up"))
+		return jobState(n, c, "id-3").State == "refused" && (w.WasDeleted("id-3") || n.HasLogged("reason=given-up"))
 	})
 }
 
@@ -127,7 +127,7 @@
 			})
 			clients.Go(func() {
 				id := fmt.Sprintf("h1-%s-%d-%d", class, i, j)
-				answered(id, n.Ask(class, "k", id, 4000, "b").Status)
+				answered(id, n.SendRequest(class, "k", id, 4000, "b").Status)
 			})
 		}
 		clients.Go(func() {
@@ -135,7 +135,7 @@
 			for j := range 12 {
 				jid := fmt.Sprintf("fk-%s-%d-%d", classes[j%3], i, j)
 				if p.Push(jid, classes[j%3], 4000) == "OK" {
-					assert.Eventually(n.T, func() bool { return strings.Contains("served refused failed dead", p.State(jid)) }, standin.Patience, 5e6, jid)
+					assert.Eventually(n.T, func() bool { return strings.Contains("served refused failed dead", p.JobState(jid)) }, standin.WaitTimeout, 5e6, jid)
 				}
 			}
 		})
@@ -146,17 +146,17 @@
 // Mixed traffic on HTTP/1.1, HTTP/2 and Faktory at once, with workers that vanish: no move or settle runs twice, and
 // each job has one final answer.
 func TestMixedTrafficOnThreeFronts(t *testing.T) {
-	var runs standin.Runs
+	var runs standin.RunCounter
 	table := func(w *standin.Worker, id string, rw http.ResponseWriter, r *http.Request) {
-		switch n := runs.Ran(id); {
+		switch n := runs.Record(id); {
 		case n%9 == 0: // the connection breaks while the worker holds the job
 			c, _, _ := rw.(http.Hijacker).Hijack()
 			c.Close()
 		case n%7 == 0: // the worker process dies after its 202
 			rw.WriteHeader(202)
-			go w.Call(id, "lost", nil)
+			go w.SendCallback(id, "lost", nil)
 		default:
-			standin.Done(w, id, rw, r)
+			standin.CompleteJob(w, id, rw, r)
 		}
 	}
 	n := start(t, func(c *config.Config) {
@@ -164,7 +164,7 @@
 		c.Settings.SlowStartWindow, c.Settings.OverloadWindow = 1, 1
 	}, standin.NewWorker(t, "s-1", table), standin.NewWorker(t, "s-2", table))
 	stop := make(chan struct{})
-	workers := n.VanishingWorkers(2, 5, &runs, stop)
+	workers := n.StartVanishingWorkers(2, 5, &runs, stop)
 	var answers sync.Map
 	sendOnThreeFronts(n, func(id string, status int) {
 		_, twice := answers.LoadOrStore(id, status)
@@ -184,7 +184,7 @@
 		assert.NotZero(t, fronts[front], front)
 	}
 	n.Eventually(func() (none bool) {
-		n.On(func() { none = n.Core.OpenRequests() == 0 })
+		n.RunOnLoop(func() { none = n.Core.OpenRequests() == 0 })
 		return none
 	})
 }
--- a/internal/measure/faktory.go
+++ b/internal/measure/faktory.go
@@ -26,23 +26,23 @@
 }{{"board-view", "repeatable", 5000, 500, 3}, {"move", "once", 10000, 1000, 2}, {"settle", "once", 20000, 1200, 10}}
 
 // Faktory says what is measured of the Faktory front.
-type Faktory struct {
-	Binary  string // of the gateway; empty: this program
-	Old     string // an earlier build, measured beside it; empty: none
-	Core    int
-	Seconds float64 // of each measurement
-	Only    string  // the name of one part; empty: all
+type FaktoryOptions struct {
+	Binary        string // of the gateway; empty: this program
+	EarlierBinary string // an earlier build, measured beside it; empty: none
+	Core          int
+	Seconds       float64 // of each measurement
+	Parts         string  // the name of one part; empty: all
 }
 
 const (
-	pushers = 32
-	workers = 16
-	ahead   = 64 // jobs that may be on their way at once in the closed loop
+	pushers     = 32
+	workers     = 16
+	maxInFlight = 64 // jobs that may be on their way at once in the closed loop
 )
 
 // RunFaktory measures and writes tables in Markdown. With a word of Only it does the parts that have it.
-func RunFaktory(ctx context.Context, w io.Writer, o Faktory) error {
-	return runParts(ctx, w, &o.Binary, o.Core, o.Only, []part{
+func RunFaktory(ctx context.Context, w io.Writer, o FaktoryOptions) error {
+	return runParts(ctx, w, &o.Binary, o.Core, o.Parts, []part{
 		{"cycles", func() error { return measureCycles(ctx, w, o) }}, {"bulk", func() error { return measureBulk(ctx, w, o) }},
 		{"latency", func() error { return measureLatency(ctx, w, o) }}, {"memory", func() error { return measureMemory(ctx, w, o) }},
 		{"held", func() error { return measureHeld(ctx, w, o) }}, {"flood", func() error { return measureFlood(ctx, w, o) }}})
@@ -50,23 +50,23 @@
 
 // load is a closed loop of pushers and workers, or an open one where rate is above 0.
 type load struct {
-	address string
-	queue   string
-	rate    float64 // jobs a second in all; 0: as fast as the workers take them
-	pad     string
-	left    int // time_left_ms of each job; 0: none
+	address    string
+	queue      string
+	rate       float64 // jobs a second in all; 0: as fast as the workers take them
+	padding    string
+	timeLeftMS int // time_left_ms of each job; 0: none
 
-	done    atomic.Int64
-	refused atomic.Int64
-	late    *hdrhistogram.Histogram // µs from when a job was due to the worker's receipt
-	mu      sync.Mutex
-	tokens  chan struct{}
+	done      atomic.Int64
+	refused   atomic.Int64
+	latencies *hdrhistogram.Histogram // µs from when a job was due to the worker's receipt
+	mu        sync.Mutex
+	tokens    chan struct{}
 }
 
 // run runs the load until ctx ends.
 func (l *load) run(ctx context.Context, pushers, workers int) error {
-	l.tokens = make(chan struct{}, ahead)
-	l.late = hdrhistogram.New(1, 60_000_000, 3)
+	l.tokens = make(chan struct{}, maxInFlight)
+	l.latencies = hdrhistogram.New(1, 60_000_000, 3)
 	var wg sync.WaitGroup
 	errs := make(chan error, pushers+workers)
 	began := time.Now()
@@ -88,7 +88,7 @@
 	return errors.Join(<-errs)
 }
 
-func open(ctx context.Context, address, wid string) (*client.Conn, error) {
+func openConn(ctx context.Context, address, wid string) (*client.Conn, error) {
 	c, err := client.Dial(address, client.Options{WID: wid})
 	if err == nil {
 		context.AfterFunc(ctx, func() { c.Close() })
@@ -96,10 +96,10 @@
 	return c, err
 }
 
-var serial atomic.Int64
+var nextID atomic.Int64
 
 func (l *load) push(ctx context.Context, began time.Time, i, of int) error {
-	c, err := open(ctx, l.address, "")
+	c, err := openConn(ctx, l.address, "")
 	if err != nil {
 		return err
 	}
@@ -109,8 +109,8 @@
 		next = float64(i) / l.rate
 	}
 	custom := ""
-	if l.left > 0 {
-		custom = fmt.Sprintf(`,"custom":{"time_left_ms":%d}`, l.left)
+	if l.timeLeftMS > 0 {
+		custom = fmt.Sprintf(`,"custom":{"time_left_ms":%d}`, l.timeLeftMS)
 	}
 	for ctx.Err() == nil {
 		due := time.Since(began)
@@ -128,7 +128,7 @@
 			}
 		}
 		r, err := c.Do("PUSH", fmt.Sprintf(`{"jid":"load-%012d","jobtype":"board-view","queue":%q,"retry":0,"args":[%d,%q]%s}`,
-			serial.Add(1), l.queue, due.Microseconds(), l.pad, custom))
+			nextID.Add(1), l.queue, due.Microseconds(), l.padding, custom))
 		if err != nil {
 			return err
 		}
@@ -143,7 +143,7 @@
 }
 
 func (l *load) work(ctx context.Context, began time.Time, i int) error {
-	c, err := open(ctx, l.address, fmt.Sprintf("measure-%s-%d-%d", l.queue, i, serial.Add(1)))
+	c, err := openConn(ctx, l.address, fmt.Sprintf("measure-%s-%d-%d", l.queue, i, nextID.Add(1)))
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 			continue
 		}
 		now := time.Since(began)
-		jid, due := between(r.Text, `"jid":"`, `"`), between(r.Text, `"args":[`, `,`)
+		jid, due := textBetween(r.Text, `"jid":"`, `"`), textBetween(r.Text, `"args":[`, `,`)
 		var us int64
 		fmt.Sscan(due, &us)
 		if _, err := c.Do("ACK", `{"jid":"`+jid+`"}`); err != nil {
@@ -166,7 +166,7 @@
 		l.done.Add(1)
 		if l.rate > 0 {
 			l.mu.Lock()
-			l.late.RecordValue(max(1, now.Microseconds()-us))
+			l.latencies.RecordValue(max(1, now.Microseconds()-us))
 			l.mu.Unlock()
 		} else {
 			select {
@@ -178,23 +178,23 @@
 	return nil
 }
 
-func between(text, from, to string) string {
+func textBetween(text, from, to string) string {
 	_, rest, _ := strings.Cut(text, from)
 	out, _, _ := strings.Cut(rest, to)
 	return out
 }
 
 // rate runs a load for some seconds after a warm-up and gives jobs a second and the gateway's CPU time for each.
-func rate(ctx context.Context, g *gateway, l *load, seconds float64) (perSecond float64, cpu time.Duration, err error) {
+func measureRate(ctx context.Context, g *gateway, l *load, seconds float64) (perSecond float64, cpu time.Duration, err error) {
 	run, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() { ended <- l.run(run, pushers, workers) }()
 	sleep(ctx, time.Duration(seconds/4*float64(time.Second)))
-	done, used, at := l.done.Load(), g.cpu(), time.Now()
+	done, used, at := l.done.Load(), g.cpuTime(), time.Now()
 	sleep(ctx, time.Duration(seconds*float64(time.Second)))
 	n, took := l.done.Load()-done, time.Since(at)
-	cpu = g.cpu() - used
+	cpu = g.cpuTime() - used
 	cancel()
 	err = <-ended
 	if n == 0 {
@@ -211,26 +211,26 @@
 }
 
 // measureCycles compares the closed loop of this build with an earlier one's, in turn.
-func measureCycles(ctx context.Context, w io.Writer, o Faktory) error {
+func measureCycles(ctx context.Context, w io.Writer, o FaktoryOptions) error {
 	fmt.Fprintf(w, "### Cycles (PUSH, FETCH, ACK) on one core, %d pushers, %d workers\n\n| build | cycles/s | CPU µs/cycle |\n| --- | ---: | ---: |\n", pushers, workers)
 	for range 2 {
-		for _, b := range []options{{binary: o.Binary}, {binary: o.Old, old: true}} {
+		for _, b := range []gatewayOptions{{binary: o.Binary}, {binary: o.EarlierBinary, isEarlier: true}} {
 			if b.binary == "" {
 				continue
 			}
 			b.core = o.Core
-			g, err := start(b)
+			g, err := startGateway(b)
 			if err != nil {
 				return err
 			}
-			l := &load{address: g.faktory, queue: "default", pad: strings.Repeat("x", 60)}
-			n, cpu, err := rate(ctx, g, l, o.Seconds)
+			l := &load{address: g.faktory, queue: "default", padding: strings.Repeat("x", 60)}
+			n, cpu, err := measureRate(ctx, g, l, o.Seconds)
 			g.stop()
 			if err != nil {
 				return err
 			}
 			name := "this"
-			if b.old {
+			if b.isEarlier {
 				name = "earlier"
 			}
 			fmt.Fprintf(w, "| %s | %.0f | %.1f |\n", name, n, float64(cpu.Nanoseconds())/1000)
@@ -240,22 +240,22 @@
 }
 
 // bulkOf makes a PUSHB of n jobs of about 200 bytes.
-func bulkOf(n int, queue string) string {
+func bulkArgument(n int, queue string) string {
 	var b bytes.Buffer
 	b.WriteByte('[')
 	for i := range n {
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		j := fmt.Sprintf(`{"jid":"bulk-%012d","jobtype":"board-view","queue":%q,"args":["","%%s"]}`, serial.Add(1), queue)
+		j := fmt.Sprintf(`{"jid":"bulk-%012d","jobtype":"board-view","queue":%q,"args":["","%%s"]}`, nextID.Add(1), queue)
 		fmt.Fprintf(&b, j, strings.Repeat("x", max(0, 202-len(j))))
 	}
 	b.WriteByte(']')
 	return b.String()
 }
 
-func measureBulk(ctx context.Context, w io.Writer, o Faktory) error {
-	g, err := start(options{binary: o.Binary, core: o.Core})
+func measureBulk(ctx context.Context, w io.Writer, o FaktoryOptions) error {
+	g, err := startGateway(gatewayOptions{binary: o.Binary, core: o.Core})
 	if err != nil {
 		return err
 	}
@@ -268,14 +268,14 @@
 	began := time.Now()
 	for i := range conns {
 		wg.Go(func() {
-			c, err := open(ctx, g.faktory, "")
+			c, err := openConn(ctx, g.faktory, "")
 			if err != nil {
 				errs <- err
 				return
 			}
 			queue := fmt.Sprint("bulk-", i)
 			for k := 1; time.Since(began).Seconds() < o.Seconds && ctx.Err() == nil; k++ {
-				text := bulkOf(size, queue)
+				text := bulkArgument(size, queue)
 				at := time.Now()
 				r, err := c.Do("PUSHB", text)
 				busy.Add(int64(time.Since(at)))
@@ -292,7 +292,7 @@
 	wg.Wait()
 	took := time.Since(began).Seconds()
 	fmt.Fprintf(w, "### PUSHB on one core, %d connections, %d jobs of 200 bytes in each\n\n| jobs/s | CPU µs/job | wait for a reply, ms |\n| ---: | ---: | ---: |\n| %.0f | %.2f | %.1f |\n",
-		conns, size, float64(n.Load())/took, float64(g.cpu().Microseconds())/float64(n.Load()), float64(busy.Load())/1e6/float64(n.Load()/size))
+		conns, size, float64(n.Load())/took, float64(g.cpuTime().Microseconds())/float64(n.Load()), float64(busy.Load())/1e6/float64(n.Load()/size))
 	select {
 	case err := <-errs:
 		return err
@@ -301,36 +301,36 @@
 	}
 }
 
-func measureLatency(ctx context.Context, w io.Writer, o Faktory) error {
-	g, err := start(options{binary: o.Binary, core: o.Core})
+func measureLatency(ctx context.Context, w io.Writer, o FaktoryOptions) error {
+	g, err := startGateway(gatewayOptions{binary: o.Binary, core: o.Core})
 	if err != nil {
 		return err
 	}
 	defer g.stop()
-	most, _, err := rate(ctx, g, &load{address: g.faktory, queue: "closed"}, o.Seconds)
+	most, _, err := measureRate(ctx, g, &load{address: g.faktory, queue: "closed"}, o.Seconds)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "### From when a PUSH was due to the worker's receipt, on one core, %d pushers, %d workers\n\n| load, jobs/s | p50 ms | p99 ms | p99.9 ms | most ms |\n| ---: | ---: | ---: | ---: | ---: |\n", pushers, workers)
 	for _, part := range []float64{0.25, 0.5, 0.75} {
 		l := &load{address: g.faktory, queue: fmt.Sprint("open-", part), rate: part * most}
-		if _, _, err := rate(ctx, g, l, o.Seconds); err != nil {
+		if _, _, err := measureRate(ctx, g, l, o.Seconds); err != nil {
 			return err
 		}
-		ms := func(q float64) float64 { return float64(l.late.ValueAtQuantile(q)) / 1000 }
+		ms := func(q float64) float64 { return float64(l.latencies.ValueAtQuantile(q)) / 1000 }
 		fmt.Fprintf(w, "| %.0f (%.0f %%) | %.2f | %.2f | %.2f | %.2f |\n", l.rate, 100*part, ms(50), ms(99), ms(99.9), ms(100))
 	}
 	return nil
 }
 
-func measureMemory(ctx context.Context, w io.Writer, o Faktory) error {
+func measureMemory(ctx context.Context, w io.Writer, o FaktoryOptions) error {
 	fmt.Fprint(w, "### Memory of held jobs of 200 bytes\n\n| held | resident MB | highest MB | bytes a job over an empty one |\n| ---: | ---: | ---: | ---: |\n")
-	g, err := start(options{binary: o.Binary, core: o.Core, memory: 192, faktory: map[string]any{"max_held_mb": 64, "max_client_mb": 64}})
+	g, err := startGateway(gatewayOptions{binary: o.Binary, core: o.Core, memoryMB: 192, faktory: map[string]any{"max_held_mb": 64, "max_client_mb": 64}})
 	if err != nil {
 		return err
 	}
 	defer g.stop()
-	c, err := open(ctx, g.faktory, "")
+	c, err := openConn(ctx, g.faktory, "")
 	if err != nil {
 		return err
 	}
@@ -338,7 +338,7 @@
 	fmt.Fprintf(w, "| 0 | %.1f | %.1f | |\n", float64(empty)/(1<<20), float64(g.memory("VmHWM"))/(1<<20))
 	for held := 0; held < 100_000; {
 		for range 50 {
-			if r, err := c.Do("PUSHB", bulkOf(1000, "held")); err != nil || r.Text != "{}" {
+			if r, err := c.Do("PUSHB", bulkArgument(1000, "held")); err != nil || r.Text != "{}" {
 				return fmt.Errorf("PUSHB: %.100s%v", r.Text, err)
 			}
 			held += 1000
@@ -351,7 +351,7 @@
 
 // measureHeld runs the closed loop beside a backlog of the same queue: three rounds in turn, since a machine's speed
 // drifts, of which the middle one by CPU time counts.
-func measureHeld(ctx context.Context, w io.Writer, o Faktory) error {
+func measureHeld(ctx context.Context, w io.Writer, o FaktoryOptions) error {
 	fmt.Fprint(w, "### Cycles beside held jobs of the same queue, on one core, the middle of three rounds\n\n| held | cycles/s | CPU µs/cycle |\n| ---: | ---: | ---: |\n")
 	type round struct {
 		rate float64
@@ -363,7 +363,7 @@
 		for i, held := range sizes {
 			r := round{}
 			var err error
-			if r.rate, r.cpu, err = cyclesBeside(ctx, o, held); err != nil {
+			if r.rate, r.cpu, err = measureCyclesBeside(ctx, o, held); err != nil {
 				return err
 			}
 			rounds[i] = append(rounds[i], r)
@@ -376,21 +376,21 @@
 	return nil
 }
 
-func cyclesBeside(ctx context.Context, o Faktory, held int) (perSecond float64, cpu time.Duration, err error) {
-	g, err := start(options{binary: o.Binary, core: o.Core})
+func measureCyclesBeside(ctx context.Context, o FaktoryOptions, held int) (perSecond float64, cpu time.Duration, err error) {
+	g, err := startGateway(gatewayOptions{binary: o.Binary, core: o.Core})
 	if err != nil {
 		return 0, 0, err
 	}
 	defer g.stop()
-	c, err := open(ctx, g.faktory, "")
+	c, err := openConn(ctx, g.faktory, "")
 	for n := 0; err == nil && n < held; n += 1000 {
 		var r client.Reply
-		if r, err = c.Do("PUSHB", bulkOf(min(held, 1000), "held")); err == nil && r.Text != "{}" {
+		if r, err = c.Do("PUSHB", bulkArgument(min(held, 1000), "held")); err == nil && r.Text != "{}" {
 			err = errors.New(r.Text)
 		}
 	}
 	if err != nil {
 		return 0, 0, err
 	}
-	return rate(ctx, g, &load{address: g.faktory, queue: "held"}, o.Seconds)
+	return measureRate(ctx, g, &load{address: g.faktory, queue: "held"}, o.Seconds)
 }
--- a/internal/measure/flood.go
+++ b/internal/measure/flood.go
@@ -17,7 +17,7 @@
 )
 
 // measureFlood compares what the HTTP front's jobs earn with and without ten times as many jobs that are pushed.
-func measureFlood(ctx context.Context, w io.Writer, o Faktory) error {
+func measureFlood(ctx context.Context, w io.Writer, o FaktoryOptions) error {
 	const httpRate, times = 200.0, 10
 	fmt.Fprintf(w, "### HTTP jobs, %.0f a second, beside a flood of PUSHes at %d times that rate, on one core\n\n| flood | worth served | p50 ms | p99 ms | PUSHes taken/s | turned away/s |\n| --- | ---: | ---: | ---: | ---: | ---: |\n", httpRate, times)
 	for _, workers := range []int{-1, 1, 0, -1, 1, 0} { // of the flood's queue; below 0: no flood
@@ -32,7 +32,7 @@
 			defer t.Close()
 			tables, addresses = append(tables, t), append(addresses, t.Address())
 		}
-		g, err := start(options{binary: o.Binary, core: o.Core, workers: addresses, faktory: map[string]any{"max_held_jobs": 1000}})
+		g, err := startGateway(gatewayOptions{binary: o.Binary, core: o.Core, workers: addresses, faktory: map[string]any{"max_held_jobs": 1000}})
 		if err != nil {
 			return err
 		}
@@ -40,7 +40,7 @@
 			t.SendCallbacksTo(g.http)
 		}
 		run, cancel := context.WithTimeout(ctx, time.Duration(o.Seconds*float64(time.Second)))
-		l := &load{address: g.faktory, queue: "flood", rate: httpRate * times, pad: strings.Repeat("x", 150)}
+		l := &load{address: g.faktory, queue: "flood", rate: httpRate * times, padding: strings.Repeat("x", 150)}
 		ended := make(chan error, 1)
 		if flood {
 			go func() { ended <- l.run(run, pushers, workers) }()
@@ -60,13 +60,13 @@
 			name = fmt.Sprintf("%.0f/s, %d workers", l.rate, workers)
 		}
 		lat := h.quantiles()
-		fmt.Fprintf(w, "| %s | %.3f | %.1f | %.1f | %.0f | %.0f |\n", name, h.worth/h.asked, lat[0], lat[1],
-			(l.rate*o.Seconds-float64(l.refused.Load()))/o.Seconds*b2f(flood), float64(l.refused.Load())/o.Seconds)
+		fmt.Fprintf(w, "| %s | %.3f | %.1f | %.1f | %.0f | %.0f |\n", name, h.earnedValue/h.offeredValue, lat[0], lat[1],
+			(l.rate*o.Seconds-float64(l.refused.Load()))/o.Seconds*boolToFloat(flood), float64(l.refused.Load())/o.Seconds)
 	}
 	return nil
 }
 
-func b2f(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -75,12 +75,12 @@
 
 // httpLoad is an open loop of the HTTP front's clients, with a mix of classes.
 type httpLoad struct {
-	address      string
-	rate         float64
-	mu           sync.Mutex
-	worth, asked float64
-	took         []time.Duration
-	failed       atomic.Int64
+	address                   string
+	rate                      float64
+	mu                        sync.Mutex
+	earnedValue, offeredValue float64
+	latencies                 []time.Duration
+	failed                    atomic.Int64
 }
 
 func (h *httpLoad) run(ctx context.Context) {
@@ -95,7 +95,7 @@
 			break
 		}
 		class := classTable[[]int{0, 0, 0, 1, 1, 1, 2}[rng.IntN(7)]]
-		key, id := rng.IntN(50), fmt.Sprintf("http-%d", serial.Add(1))
+		key, id := rng.IntN(50), fmt.Sprintf("http-%d", nextID.Add(1))
 		wg.Go(func() {
 			q, _ := http.NewRequest("POST", fmt.Sprintf("http://%s/%s/t%d", h.address, class.name, key), strings.NewReader("body"))
 			q.Header.Set(platform.HeaderID, id)
@@ -112,16 +112,16 @@
 			}
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.asked += class.worth
+			h.offeredValue += class.worth
 			if err != nil {
 				h.failed.Add(1)
 				return
 			}
-			h.took = append(h.took, took)
+			h.latencies = append(h.latencies, took)
 			if took < time.Duration(class.aimMS)*time.Millisecond {
-				h.worth += class.worth
+				h.earnedValue += class.worth
 			} else {
-				h.worth += class.worth / 4
+				h.earnedValue += class.worth / 4
 			}
 		})
 	}
@@ -129,10 +129,12 @@
 }
 
 func (h *httpLoad) quantiles() [2]float64 {
-	if len(h.took) == 0 {
+	if len(h.latencies) == 0 {
 		return [2]float64{}
 	}
-	slices.Sort(h.took)
-	at := func(q float64) float64 { return float64(h.took[int(q*float64(len(h.took)-1))].Microseconds()) / 1000 }
+	slices.Sort(h.latencies)
+	at := func(q float64) float64 {
+		return float64(h.latencies[int(q*float64(len(h.latencies)-1))].Microseconds()) / 1000
+	}
 	return [2]float64{at(0.5), at(0.99)}
 }
--- a/internal/measure/http.go
+++ b/internal/measure/http.go
@@ -25,29 +25,29 @@
 )
 
 // HTTP says what is measured of the HTTP fronts.
-type HTTP struct {
-	Binary  string
-	Old     string // an earlier build, measured beside it; empty: none
-	Core    int
-	Seconds float64
-	Only    string // parts: fronts, conns, memory, attacks
+type HTTPOptions struct {
+	Binary        string
+	EarlierBinary string // an earlier build, measured beside it; empty: none
+	Core          int
+	Seconds       float64
+	Parts         string // parts: fronts, conns, memory, attacks
 }
 
 // RunHTTP measures and writes tables in Markdown.
-func RunHTTP(ctx context.Context, w io.Writer, o HTTP) error {
-	return runParts(ctx, w, &o.Binary, o.Core, o.Only, []part{
+func RunHTTP(ctx context.Context, w io.Writer, o HTTPOptions) error {
+	return runParts(ctx, w, &o.Binary, o.Core, o.Parts, []part{
 		{"fronts", func() error { return measureFronts(ctx, w, o) }}, {"conns", func() error { return measureConns(ctx, w, o) }},
 		{"memory", func() error { return measureStreams(ctx, w, o) }}, {"attacks", func() error { return measureAttacks(ctx, w, o) }}})
 }
 
 // site is a gateway with table workers of its own.
-type site struct {
+type deployment struct {
 	*gateway
 	tables []*TableWorker
 }
 
-func newSite(o HTTP, run time.Duration, slots int) (*site, error) {
-	s := &site{}
+func newDeployment(o HTTPOptions, run time.Duration, slots int) (*deployment, error) {
+	s := &deployment{}
 	var addresses []string
 	for i := range 4 {
 		t, err := NewTableWorker(fmt.Sprint("table-", i), slots, run, nil)
@@ -58,7 +58,7 @@
 		addresses = append(addresses, t.Address())
 	}
 	var err error
-	if s.gateway, err = start(options{binary: o.Binary, old: o.Binary == o.Old, core: o.Core, workers: addresses}); err != nil {
+	if s.gateway, err = startGateway(gatewayOptions{binary: o.Binary, isEarlier: o.Binary == o.EarlierBinary, core: o.Core, workers: addresses}); err != nil {
 		return nil, err
 	}
 	for _, t := range s.tables {
@@ -67,7 +67,7 @@
 	return s, nil
 }
 
-func (s *site) close() {
+func (s *deployment) close() {
 	s.stop()
 	for _, t := range s.tables {
 		t.Close()
@@ -75,11 +75,11 @@
 }
 
 // asker asks for one job and waits for its answer.
-type asker func() (status int, err error)
+type requester func() (status int, err error)
 
 // closedLoop runs askers one after the other's answer, and gives jobs a second, the gateway's CPU time a job, and
 // the latencies in µs.
-func closedLoop(ctx context.Context, g *gateway, askers []asker, seconds float64) (rate float64, cpu time.Duration, late *hdrhistogram.Histogram, err error) {
+func closedLoop(ctx context.Context, g *gateway, askers []requester, seconds float64) (rate float64, cpu time.Duration, late *hdrhistogram.Histogram, err error) {
 	run, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var done, bad atomic.Int64
@@ -110,9 +110,9 @@
 	}
 	sleep(ctx, time.Duration(seconds/4*float64(time.Second)))
 	measured.Store(true)
-	n, used, at := done.Load(), g.cpu(), time.Now()
+	n, used, at := done.Load(), g.cpuTime(), time.Now()
 	sleep(ctx, time.Duration(seconds*float64(time.Second)))
-	n, used = done.Load()-n, g.cpu()-used
+	n, used = done.Load()-n, g.cpuTime()-used
 	rate = float64(n) / time.Since(at).Seconds()
 	cancel()
 	wg.Wait()
@@ -123,16 +123,16 @@
 }
 
 // drained reads an answer to its end, so that its connection can be used again.
-func drained(p *http.Response) (status int) {
+func drainBody(p *http.Response) (status int) {
 	io.Copy(io.Discard, p.Body)
 	p.Body.Close()
 	return p.StatusCode
 }
 
 // http1Askers make plain HTTP/1.1 connections, one for each asker.
-func http1Askers(address, path string, n int) ([]asker, func()) {
+func http1Requesters(address, path string, n int) ([]requester, func()) {
 	var conns []net.Conn
-	var out []asker
+	var out []requester
 	for range n {
 		nc, err := net.Dial("tcp", address)
 		if err != nil {
@@ -141,7 +141,7 @@
 		conns = append(conns, nc)
 		r := bufio.NewReader(nc)
 		out = append(out, func() (int, error) {
-			_, err := fmt.Fprintf(nc, "POST %s HTTP/1.1\r\nHost: x\r\n%s: m-%d\r\n%s: 5000\r\nContent-Length: 4\r\n\r\nbody", path, platform.HeaderID, serial.Add(1), platform.HeaderTimeLeft)
+			_, err := fmt.Fprintf(nc, "POST %s HTTP/1.1\r\nHost: x\r\n%s: m-%d\r\n%s: 5000\r\nContent-Length: 4\r\n\r\nbody", path, platform.HeaderID, nextID.Add(1), platform.HeaderTimeLeft)
 			if err != nil {
 				return 0, err
 			}
@@ -149,7 +149,7 @@
 			if err != nil {
 				return 0, err
 			}
-			return drained(p), nil
+			return drainBody(p), nil
 		})
 	}
 	return out, func() {
@@ -160,8 +160,8 @@
 }
 
 // http2Askers make conns connections with streams askers on each.
-func http2Askers(address, path string, conns, streams int) ([]asker, func()) {
-	var out []asker
+func http2Requesters(address, path string, conns, streams int) ([]requester, func()) {
+	var out []requester
 	var open []*http.Transport
 	var clearText http.Protocols
 	clearText.SetUnencryptedHTTP2(true)
@@ -171,13 +171,13 @@
 		for range streams {
 			out = append(out, func() (int, error) {
 				q, _ := http.NewRequest("POST", "http://"+address+path, strings.NewReader("body"))
-				q.Header.Set(platform.HeaderID, fmt.Sprint("m-", serial.Add(1)))
+				q.Header.Set(platform.HeaderID, fmt.Sprint("m-", nextID.Add(1)))
 				q.Header.Set(platform.HeaderTimeLeft, "5000")
 				p, err := t.RoundTrip(q)
 				if err != nil {
 					return 0, err
 				}
-				return drained(p), nil
+				return drainBody(p), nil
 			})
 		}
 	}
@@ -191,23 +191,23 @@
 const jobPath = "/board-view/k"
 
 // measureFronts compares the two fronts at a hundred jobs in flight.
-func measureFronts(ctx context.Context, w io.Writer, o HTTP) error {
+func measureFronts(ctx context.Context, w io.Writer, o HTTPOptions) error {
 	fmt.Fprint(w, "### A hundred jobs in flight, on one core\n\n| clients | jobs/s | CPU µs/job | p50 ms | p99 ms |\n| --- | ---: | ---: | ---: | ---: |\n")
 	for range 2 {
 		for _, kind := range []string{"100 HTTP/1.1 connections", "1 HTTP/2 connection, 100 streams", "10 HTTP/2 connections, 10 streams"} {
-			s, err := newSite(o, 0, 64)
+			s, err := newDeployment(o, 0, 64)
 			if err != nil {
 				return err
 			}
-			var askers []asker
+			var askers []requester
 			var done func()
 			switch kind[:2] {
 			case "1 ":
-				askers, done = http2Askers(s.http2, jobPath, 1, 100)
+				askers, done = http2Requesters(s.http2, jobPath, 1, 100)
 			case "10":
-				if askers, done = http2Askers(s.http2, jobPath, 10, 10); strings.Contains(kind, "/1.1") {
+				if askers, done = http2Requesters(s.http2, jobPath, 10, 10); strings.Contains(kind, "/1.1") {
 					done()
-					askers, done = http1Askers(s.http, jobPath, 100)
+					askers, done = http1Requesters(s.http, jobPath, 100)
 				}
 			}
 			rate, cpu, late, err := closedLoop(ctx, s.gateway, askers, o.Seconds)
@@ -224,7 +224,7 @@
 }
 
 // measureConns looks at HTTP/1.1 by the number of connections, with a reverse proxy of the standard library beside it.
-func measureConns(ctx context.Context, w io.Writer, o HTTP) error {
+func measureConns(ctx context.Context, w io.Writer, o HTTPOptions) error {
 	fmt.Fprint(w, "### HTTP/1.1 by connections, on one core\n\n| connections | jobs/s | CPU µs/job | p99 ms | earlier build, jobs/s | CPU µs/job | httputil.ReverseProxy, requests/s |\n| ---: | ---: | ---: | ---: | ---: | ---: | ---: |\n")
 	back, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -237,15 +237,15 @@
 	go plain.Serve(back)
 	defer plain.Close()
 	for _, n := range []int{8, 32, 64, 128, 256} {
-		rate, cpu, late, err := connsOf(ctx, o, n)
+		rate, cpu, late, err := measureConnCount(ctx, o, n)
 		if err != nil {
 			return err
 		}
 		before, cost := 0.0, time.Duration(0)
-		if o.Old != "" {
+		if o.EarlierBinary != "" {
 			earlier := o
-			earlier.Binary = o.Old
-			if before, cost, _, err = connsOf(ctx, earlier, n); err != nil {
+			earlier.Binary = o.EarlierBinary
+			if before, cost, _, err = measureConnCount(ctx, earlier, n); err != nil {
 				return err
 			}
 		}
@@ -253,7 +253,7 @@
 		if err != nil {
 			return err
 		}
-		askers, done := http1Askers(proxy.http, jobPath, n)
+		askers, done := http1Requesters(proxy.http, jobPath, n)
 		other, _, _, err := closedLoop(ctx, proxy, askers, o.Seconds)
 		done()
 		proxy.stop()
@@ -266,45 +266,45 @@
 	return nil
 }
 
-func connsOf(ctx context.Context, o HTTP, n int) (rate float64, cpu time.Duration, late *hdrhistogram.Histogram, err error) {
-	s, err := newSite(o, 0, 64)
+func measureConnCount(ctx context.Context, o HTTPOptions, n int) (rate float64, cpu time.Duration, late *hdrhistogram.Histogram, err error) {
+	s, err := newDeployment(o, 0, 64)
 	if err != nil {
 		return 0, 0, nil, err
 	}
 	defer s.close()
-	askers, done := http1Askers(s.http, jobPath, n)
+	askers, done := http1Requesters(s.http, jobPath, n)
 	defer done()
 	return closedLoop(ctx, s.gateway, askers, o.Seconds)
 }
 
 // startProxy runs ReverseProxy as a process on the core.
-func startProxy(o HTTP, to string) (*gateway, error) {
+func startProxy(o HTTPOptions, to string) (*gateway, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	address, err := free()
+	address, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
 	g := &gateway{http: address, cmd: exec.Command(self, "measure", "reverse-proxy", address, to)}
 	g.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := startOn(g.cmd, o.Core); err != nil {
+	if err := startOnCore(g.cmd, o.Core); err != nil {
 		return nil, err
 	}
-	return g, reachable(address)
+	return g, waitReachable(address)
 }
 
 // ReverseProxy serves httputil.ReverseProxy at an address, for a comparison.
-func ReverseProxy(address, to string) error {
+func ServeReverseProxy(address, to string) error {
 	p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: to})
 	p.Transport = &http.Transport{MaxIdleConnsPerHost: 512}
 	return http.ListenAndServe(address, p)
 }
 
 // measureStreams looks at the memory of connections that are idle and of streams that are open.
-func measureStreams(_ context.Context, w io.Writer, o HTTP) error {
-	s, err := newSite(o, time.Hour, 4096)
+func measureStreams(_ context.Context, w io.Writer, o HTTPOptions) error {
+	s, err := newDeployment(o, time.Hour, 4096)
 	if err != nil {
 		return err
 	}
@@ -350,7 +350,7 @@
 }
 
 // measureAttacks compares what usual clients earn under each attack with what they earn without.
-func measureAttacks(ctx context.Context, w io.Writer, o HTTP) error {
+func measureAttacks(ctx context.Context, w io.Writer, o HTTPOptions) error {
 	fmt.Fprint(w, "### HTTP/1.1 jobs, 200 a second, while an HTTP/2 client attacks, on one core\n\n| attack | worth served | p50 ms | p99 ms |\n| --- | ---: | ---: | ---: |\n")
 	write := func(kind http2.FrameType, flags http2.Flags, payload ...byte) func(*http2.Framer, uint32) error {
 		return func(fr *http2.Framer, id uint32) error { return fr.WriteRawFrame(kind, flags, 0, payload) }
@@ -383,7 +383,7 @@
 		{"streams that stay open", func(fr *http2.Framer, id uint32) error { return fr.WriteRawFrame(http2.FrameHeaders, 4, id, head) }},
 		{"none again", nil},
 	} {
-		s, err := newSite(o, 40*time.Millisecond, 4)
+		s, err := newDeployment(o, 40*time.Millisecond, 4)
 		if err != nil {
 			return err
 		}
@@ -400,7 +400,7 @@
 		wg.Wait()
 		s.close()
 		lat := h.quantiles()
-		fmt.Fprintf(w, "| %s | %.3f | %.1f | %.1f |\n", a.name, h.worth/h.asked, lat[0], lat[1])
+		fmt.Fprintf(w, "| %s | %.3f | %.1f | %.1f |\n", a.name, h.earnedValue/h.offeredValue, lat[0], lat[1])
 	}
 	return nil
 }
--- a/internal/measure/http_test.go
+++ b/internal/measure/http_test.go
@@ -32,7 +32,7 @@
 	server.Start()
 	defer server.Close()
 
-	askers, closeAll := http2Askers(server.Listener.Addr().String(), jobPath, conns, streams)
+	askers, closeAll := http2Requesters(server.Listener.Addr().String(), jobPath, conns, streams)
 	defer closeAll()
 	var asked sync.WaitGroup
 	for _, ask := range askers {
--- a/internal/measure/process.go
+++ b/internal/measure/process.go
@@ -37,7 +37,7 @@
 		}
 		*binary = self
 	}
-	keepOff(core)
+	avoidCore(core)
 	for _, p := range parts {
 		if only != "" && !strings.Contains(only, p.name) {
 			continue
@@ -63,7 +63,7 @@
 }
 
 // free gives an address that nothing listens on.
-func free() (string, error) {
+func freeAddress() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -73,33 +73,33 @@
 }
 
 // options say what a gateway is started with.
-type options struct {
-	binary  string
-	old     bool // the binary takes the platform's file and a Faktory file of its own
-	core    int  // the one core that it gets; below 0: any
-	workers []string
-	faktory map[string]any
-	memory  int // MB
+type gatewayOptions struct {
+	binary    string
+	isEarlier bool // the binary takes the platform's file and a Faktory file of its own
+	core      int  // the one core that it gets; below 0: any
+	workers   []string
+	faktory   map[string]any
+	memoryMB  int // MB
 }
 
 // start runs a gateway and waits until both its fronts take connections.
-func start(o options) (*gateway, error) {
+func startGateway(o gatewayOptions) (*gateway, error) {
 	dir, err := os.MkdirTemp("", "measure")
 	if err != nil {
 		return nil, err
 	}
 	g := &gateway{dir: dir}
-	if g.http, err = free(); err == nil {
-		g.faktory, err = free()
+	if g.http, err = freeAddress(); err == nil {
+		g.faktory, err = freeAddress()
 	}
 	if err == nil {
-		g.http2, err = free()
+		g.http2, err = freeAddress()
 	}
 	if err != nil {
 		return nil, err
 	}
-	if o.memory == 0 {
-		o.memory = 1024
+	if o.memoryMB == 0 {
+		o.memoryMB = 1024
 	}
 	env, args, err := g.configure(o)
 	if err != nil {
@@ -114,11 +114,11 @@
 	}
 	defer log.Close()
 	g.cmd.Stdout, g.cmd.Stderr = log, log
-	if err := startOn(g.cmd, o.core); err != nil {
+	if err := startOnCore(g.cmd, o.core); err != nil {
 		return nil, err
 	}
 	for _, address := range []string{g.http, g.faktory} { // the last of its fronts to listen
-		if err := reachable(address); err != nil {
+		if err := waitReachable(address); err != nil {
 			text, _ := os.ReadFile(filepath.Join(dir, "log"))
 			g.stop()
 			return nil, fmt.Errorf("the gateway did not start: %w\n%s", err, text)
@@ -127,7 +127,7 @@
 	return g, nil
 }
 
-func reachable(address string) (err error) {
+func waitReachable(address string) (err error) {
 	for range 200 {
 		var c net.Conn
 		if c, err = net.DialTimeout("tcp", address, time.Second); err == nil {
@@ -139,12 +139,12 @@
 }
 
 // configure writes the files of a gateway.
-func (g *gateway) configure(o options) (env, args []string, err error) {
+func (g *gateway) configure(o gatewayOptions) (env, args []string, err error) {
 	classes := []map[string]any{}
 	for _, c := range classTable {
 		classes = append(classes, map[string]any{"name": c.name, "effect": c.effect, "deadline_ms": c.deadlineMS, "aim_ms": c.aimMS, "worth": c.worth})
 	}
-	limits := map[string]any{"cores": 1, "memory_mb": o.memory, "sockets": 4096}
+	limits := map[string]any{"cores": 1, "memory_mb": o.memoryMB, "sockets": 4096}
 	workers := []map[string]any{}
 	for i, address := range o.workers {
 		workers = append(workers, map[string]any{"name": fmt.Sprint("table-", i), "address": address})
@@ -157,7 +157,7 @@
 		}
 		return path, err
 	}
-	if !o.old {
+	if !o.isEarlier {
 		f := map[string]any{"listen": g.faktory, "default_class": "board-view", "max_sessions": 1000, "max_held_jobs": 400_000,
 			"max_queue_jobs": 400_000, "max_client_jobs": 400_000, "max_held_mb": 400, "max_client_mb": 400, "table_queues": []string{}}
 		for k, v := range o.faktory {
@@ -172,7 +172,7 @@
 	for _, c := range classes {
 		c["deadlineUs"], c["aimUs"] = c["deadline_ms"].(int)*1000, c["aim_ms"].(int)*1000
 	}
-	discovery, err := free()
+	discovery, err := freeAddress()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -192,7 +192,7 @@
 }
 
 // startOn starts a process on one core. Its threads inherit the affinity of the thread that starts it.
-func startOn(cmd *exec.Cmd, core int) error {
+func startOnCore(cmd *exec.Cmd, core int) error {
 	if core < 0 {
 		return cmd.Start()
 	}
@@ -214,7 +214,7 @@
 }
 
 // keepOff takes this process off a core, where it has others.
-func keepOff(core int) {
+func avoidCore(core int) {
 	var set unix.CPUSet
 	if unix.SchedGetaffinity(0, &set) != nil || set.Count() < 2 {
 		return
@@ -238,7 +238,7 @@
 }
 
 // cpu is the processor time that the gateway has used; 0: it can't be read.
-func (g *gateway) cpu() time.Duration {
+func (g *gateway) cpuTime() time.Duration {
 	used, err := procfs.ProcessorTime(g.cmd.Process.Pid)
 	if err != nil {
 		return 0
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -16,14 +16,14 @@
 // TableWorker is a stand-in for a table worker: so many slots, a queue before them, and callbacks at a job's
 // start and end.
 type TableWorker struct {
-	server *http.Server
-	ln     net.Listener
-	name   string
-	back   atomic.Value // where to call back, a string
-	slots  chan struct{}
-	run    time.Duration
-	ran    func(id string)
-	client *http.Client
+	server          *http.Server
+	ln              net.Listener
+	name            string
+	callbackAddress atomic.Value // where to call back, a string
+	slots           chan struct{}
+	meanRunTime     time.Duration
+	onStart         func(id string)
+	client          *http.Client
 }
 
 // NewTableWorker starts one on a port from the kernel. A job takes half to one and a half times run; ran, which may
@@ -33,9 +33,9 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &TableWorker{ln: ln, name: name, slots: make(chan struct{}, slots), run: run, ran: ran,
+	t := &TableWorker{ln: ln, name: name, slots: make(chan struct{}, slots), meanRunTime: run, onStart: ran,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
-	t.back.Store("")
+	t.callbackAddress.Store("")
 	t.server = &http.Server{Handler: t}
 	go t.server.Serve(ln)
 	return t, nil
@@ -45,7 +45,7 @@
 func (t *TableWorker) Address() string { return t.ln.Addr().String() }
 
 // SendCallbacksTo sets the address that gets the callbacks of its jobs.
-func (t *TableWorker) SendCallbacksTo(address string) { t.back.Store(address) }
+func (t *TableWorker) SendCallbacksTo(address string) { t.callbackAddress.Store(address) }
 
 // Close ends it, with its connections.
 func (t *TableWorker) Close() { t.server.Close() }
@@ -60,19 +60,19 @@
 	w.WriteHeader(202)
 	go func() {
 		t.slots <- struct{}{}
-		if t.ran != nil {
-			t.ran(id)
+		if t.onStart != nil {
+			t.onStart(id)
 		}
-		t.tell(id, "started", "")
-		time.Sleep(time.Duration(float64(t.run) * (0.5 + rand.Float64())))
+		t.sendCallback(id, "started", "")
+		time.Sleep(time.Duration(float64(t.meanRunTime) * (0.5 + rand.Float64())))
 		<-t.slots
-		t.tell(id, "done", "result of "+id)
+		t.sendCallback(id, "done", "result of "+id)
 	}()
 }
 
-func (t *TableWorker) tell(id, state, result string) {
+func (t *TableWorker) sendCallback(id, state, result string) {
 	text, _ := json.Marshal(map[string]string{"id": id, "from": t.name, "state": state, "result": result})
-	r, err := t.client.Post("http://"+t.back.Load().(string)+platform.PathEvents, "application/json", strings.NewReader(string(text)))
+	r, err := t.client.Post("http://"+t.callbackAddress.Load().(string)+platform.PathEvents, "application/json", strings.NewReader(string(text)))
 	if err == nil {
 		io.Copy(io.Discard, r.Body)
 		r.Body.Close()
--- a/internal/platform/callback_test.go
+++ b/internal/platform/callback_test.go
@@ -16,7 +16,7 @@
 	c := standin.Dial(t, n.Front.Address())
 	defer c.Close()
 	body := fmt.Sprintf(`{"id":%q,"from":%q,"state":"done","result":"ok"}`, id, worker)
-	c.Say(fmt.Sprintf("POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	c.Send(fmt.Sprintf("POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	return readStatus(t, c)
 }
 
@@ -25,7 +25,7 @@
 func startSecondProcess(t *testing.T, n *standin.Node, workers ...*standin.Worker) *standin.Node {
 	other := standin.Start(t, func(c *config.Config) { c.Listen = n.Front.Address() }, workers...)
 	for _, process := range []*standin.Node{n, other} {
-		process.On(func() { process.Front.DivideLimits(2) })
+		process.RunOnLoop(func() { process.Front.DivideLimits(2) })
 	}
 	return other
 }
--- a/internal/platform/cancel_attempt_test.go
+++ b/internal/platform/cancel_attempt_test.go
@@ -22,22 +22,22 @@
 // orderly close the system keeps retransmitting unacknowledged bytes for minutes; the log had reason=given-up for each of
 // them before the end of the cut. A reset makes the system drop the bytes, so the connection has to end with one.
 func TestCancelledAttemptIsReset(t *testing.T) {
-	for name, cancel := range map[string]func(n *standin.Node, c *standin.Raw){
-		"client disconnects":   func(_ *standin.Node, c *standin.Raw) { c.Close() },
-		"deadline expires":     func(*standin.Node, *standin.Raw) {},
-		"scheduler shuts down": func(n *standin.Node, _ *standin.Raw) { n.On(func() { n.Front.Stop(n.Loop.Stop) }) },
+	for name, cancel := range map[string]func(n *standin.Node, c *standin.RawConn){
+		"client disconnects":   func(_ *standin.Node, c *standin.RawConn) { c.Close() },
+		"deadline expires":     func(*standin.Node, *standin.RawConn) {},
+		"scheduler shuts down": func(n *standin.Node, _ *standin.RawConn) { n.RunOnLoop(func() { n.Front.Stop(n.Loop.Stop) }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			worker, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			defer worker.Close()
 			n := standin.Start(t, nil)
-			updateWorkerList(n, standin.Entry("s-1", worker.Addr().String(), "up"))
+			updateWorkerList(n, standin.ListEntry("s-1", worker.Addr().String(), "up"))
 			c := standin.Dial(t, n.Front.Address())
-			c.Say("POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 1500\r\n\r\n")
+			c.Send("POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 1500\r\n\r\n")
 			attempt := awaitRequestConn(t, worker)
 			cancel(n, c)
-			require.NoError(t, attempt.SetReadDeadline(time.Now().Add(standin.Patience)))
+			require.NoError(t, attempt.SetReadDeadline(time.Now().Add(standin.WaitTimeout)))
 			_, err = io.Copy(io.Discard, attempt)
 			assert.ErrorIs(t, err, syscall.ECONNRESET, "a reset, since the system keeps sending after an orderly close")
 		})
@@ -48,12 +48,12 @@
 // are skipped.
 func awaitRequestConn(t *testing.T, ln net.Listener) net.Conn {
 	t.Helper()
-	require.NoError(t, ln.(*net.TCPListener).SetDeadline(time.Now().Add(standin.Patience)))
+	require.NoError(t, ln.(*net.TCPListener).SetDeadline(time.Now().Add(standin.WaitTimeout)))
 	for {
 		c, err := ln.Accept()
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(standin.Patience)))
+		require.NoError(t, c.SetReadDeadline(time.Now().Add(standin.WaitTimeout)))
 		method := make([]byte, len("POST"))
 		if _, err := io.ReadFull(c, method); err == nil && bytes.Equal(method, []byte("POST")) {
 			return c
--- a/internal/platform/close_race_test.go
+++ b/internal/platform/close_race_test.go
@@ -28,7 +28,7 @@
 // blockUntil waits for a condition. It is called on the loop, which handles no event until the condition holds.
 func blockUntil(t *testing.T, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(standin.Patience); !condition(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(standin.WaitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Error("the condition did not hold in time")
 			return
@@ -37,9 +37,9 @@
 }
 
 // readStatus reads a whole response and returns its status.
-func readStatus(t *testing.T, c *standin.Raw) int {
+func readStatus(t *testing.T, c *standin.RawConn) int {
 	t.Helper()
-	r, err := http.ReadResponse(c.R, nil)
+	r, err := http.ReadResponse(c.Reader, nil)
 	require.NoError(t, err)
 	_, err = io.Copy(io.Discard, r.Body)
 	require.NoError(t, err, "the response is complete")
@@ -47,24 +47,24 @@
 }
 
 // assertEOF asserts that the connection ends in order, without further bytes and without a reset.
-func assertEOF(t *testing.T, c *standin.Raw) {
+func assertEOF(t *testing.T, c *standin.RawConn) {
 	t.Helper()
-	rest, err := io.ReadAll(c.R)
+	rest, err := io.ReadAll(c.Reader)
 	assert.NoError(t, err, "an orderly end, no reset")
 	assert.Empty(t, rest)
 }
 
 // sendBeforeIdleClose makes a request of the client arrive between the check that its connection is idle and the close,
 // once. The result becomes true when that has happened.
-func sendBeforeIdleClose(t *testing.T, n *standin.Node, c *standin.Raw) (isSent *bool) {
+func sendBeforeIdleClose(t *testing.T, n *standin.Node, c *standin.RawConn) (isSent *bool) {
 	isSent = new(bool)
-	n.On(func() {
+	n.RunOnLoop(func() {
 		n.Front.SetBeforeIdleClose(func() {
 			if *isSent {
 				return
 			}
 			*isSent = true
-			c.Say(fmt.Sprintf(completeRequest, "id-1"))
+			c.Send(fmt.Sprintf(completeRequest, "id-1"))
 			blockUntil(t, func() bool { _, _, complete := n.Front.ClientCounts(); return complete == 1 })
 		})
 	})
@@ -77,9 +77,9 @@
 func TestRequestRacingIdleCloseIsNotAccepted(t *testing.T) {
 	for name, end := range map[string]func(n *standin.Node){
 		"SIGTERM": func(n *standin.Node) {
-			n.On(func() { n.Front.StopSince(n.Loop.Now()-2*core.Second, n.Loop.Stop) })
+			n.RunOnLoop(func() { n.Front.StopSince(n.Loop.Now()-2*core.Second, n.Loop.Stop) })
 		},
-		"drain": func(n *standin.Node) { n.On(n.Front.Drain) },
+		"drain": func(n *standin.Node) { n.RunOnLoop(n.Front.Drain) },
 		"idle":  func(*standin.Node) {},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 			w := standin.NewWorker(t, "s-1", nil)
 			n := standin.Start(t, nil, w)
 			c := standin.Dial(t, n.Front.Address())
-			c.Say("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+			c.Send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 			require.Equal(t, 200, readStatus(t, c))
 			isSent := sendBeforeIdleClose(t, n, c)
 			end(n)
@@ -95,7 +95,7 @@
 			if name == "SIGTERM" {
 				<-n.Ended
 			} else {
-				n.On(func() { assert.True(t, *isSent) })
+				n.RunOnLoop(func() { assert.True(t, *isSent) })
 			}
 			assert.Empty(t, w.Jobs(), "the request is not sent to a worker")
 		})
@@ -113,15 +113,15 @@
 func TestFirstRequestRacingCloseIsAnswered(t *testing.T) {
 	for name, end := range map[string]func(n *standin.Node){
 		"handover": func(n *standin.Node) {
-			n.On(func() {
+			n.RunOnLoop(func() {
 				n.Front.HandOver()
 				n.Front.StopSince(n.Loop.Now()-3600*core.Millisecond, n.Loop.Stop)
 			})
 		},
 		"SIGTERM": func(n *standin.Node) {
-			n.On(func() { n.Front.StopSince(n.Loop.Now()-2*core.Second, n.Loop.Stop) })
+			n.RunOnLoop(func() { n.Front.StopSince(n.Loop.Now()-2*core.Second, n.Loop.Stop) })
 		},
-		"drain": func(n *standin.Node) { n.On(n.Front.Drain) },
+		"drain": func(n *standin.Node) { n.RunOnLoop(n.Front.Drain) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -136,7 +136,7 @@
 			if name == "SIGTERM" || name == "handover" {
 				<-n.Ended
 			} else {
-				n.On(func() { assert.True(t, *isSent) })
+				n.RunOnLoop(func() { assert.True(t, *isSent) })
 			}
 			assert.Empty(t, w.Jobs(), "the request is not sent to a worker")
 		})
@@ -149,9 +149,9 @@
 	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	c := standin.Dial(t, n.Front.Address())
-	c.Say(fmt.Sprintf(requestHead, "id-1") + "Connection: close\r\n\r\n" + fmt.Sprintf(completeRequest, "id-2"))
+	c.Send(fmt.Sprintf(requestHead, "id-1") + "Connection: close\r\n\r\n" + fmt.Sprintf(completeRequest, "id-2"))
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
-	require.Equal(t, 204, w.Call("id-1", "done", nil))
+	require.Equal(t, 204, w.SendCallback("id-1", "done", nil))
 	require.Equal(t, 200, readStatus(t, c))
 	assertEOF(t, c)
 	n.Eventually(func() bool { return openRequests(n) == 0 })
@@ -162,24 +162,24 @@
 func TestCompleteRequestIsNotEvictedByNewConnection(t *testing.T) {
 	const budget = 24
 	n := standin.Start(t, func(c *config.Config) { c.Limits.Sockets = 64 }, standin.NewWorker(t, "s-1", nil))
-	var clients []*standin.Raw
+	var clients []*standin.RawConn
 	for range budget {
 		clients = append(clients, standin.Dial(t, n.Front.Address()))
 	}
 	eventuallyOnLoop(n, func() bool { registered, _, _ := n.Front.ClientCounts(); return registered == budget })
-	n.On(func() {
+	n.RunOnLoop(func() {
 		standin.Dial(t, n.Front.Address())
 		// The new connection's event is queued on the loop before those of the requests.
 		blockUntil(t, func() bool { return n.Front.AcceptedConns() == budget+1 })
 		for _, c := range clients {
-			c.Say("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+			c.Send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		}
 		blockUntil(t, func() bool { _, _, complete := n.Front.ClientCounts(); return complete == budget })
 	})
 	for _, c := range clients {
 		assert.Equal(t, 200, readStatus(t, c))
 	}
-	n.Eventually(func() bool { return n.Logged("reason=over-budget") })
+	n.Eventually(func() bool { return n.HasLogged("reason=over-budget") })
 }
 
 // A client whose connection is evicted after a part of its request was read gets a 503.
@@ -191,10 +191,10 @@
 func TestEvictedClientWithPartialRequestGets503(t *testing.T) {
 	const budget = 24
 	n := standin.Start(t, func(c *config.Config) { c.Limits.Sockets = 64 }, standin.NewWorker(t, "s-1", nil))
-	var half []*standin.Raw
+	var half []*standin.RawConn
 	for range budget {
 		c := standin.Dial(t, n.Front.Address())
-		c.Say("POST /board-view/k HTTP/1.1\r\nHost: x\r\n")
+		c.Send("POST /board-view/k HTTP/1.1\r\nHost: x\r\n")
 		half = append(half, c)
 	}
 	eventuallyOnLoop(n, func() bool {
@@ -202,7 +202,7 @@
 		return registered == budget && unread == budget
 	})
 	standin.Dial(t, n.Front.Address())
-	n.Eventually(func() bool { return n.Logged("reason=over-budget") })
+	n.Eventually(func() bool { return n.HasLogged("reason=over-budget") })
 	assert.Equal(t, 503, readStatus(t, half[0]), "the oldest connection")
 	assertEOF(t, half[0])
 }
@@ -214,10 +214,10 @@
 	n := standin.Start(t, nil, w)
 	c := standin.Dial(t, n.Front.Address())
 	text := fmt.Sprintf(completeRequest, "id-1")
-	c.Say(text[:len(text)-1])
+	c.Send(text[:len(text)-1])
 	eventuallyOnLoop(n, func() bool { _, unread, _ := n.Front.ClientCounts(); return unread == 1 })
-	n.On(func() { n.Front.StopSince(n.Loop.Now()-3600*core.Millisecond, n.Loop.Stop) })
-	c.Say(text[len(text)-1:])
+	n.RunOnLoop(func() { n.Front.StopSince(n.Loop.Now()-3600*core.Millisecond, n.Loop.Stop) })
+	c.Send(text[len(text)-1:])
 	assert.Equal(t, 503, readStatus(t, c))
 	assertEOF(t, c)
 	<-n.Ended
@@ -228,26 +228,26 @@
 func TestShutdownWaitsForUnregisteredConnection(t *testing.T) {
 	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
-	var c *standin.Raw
-	n.On(func() {
+	var c *standin.RawConn
+	n.RunOnLoop(func() {
 		c = standin.Dial(t, n.Front.Address())
-		c.Say(fmt.Sprintf(completeRequest, "id-1"))
+		c.Send(fmt.Sprintf(completeRequest, "id-1"))
 		blockUntil(t, func() bool { return n.Front.AcceptedConns() == 1 })
 		n.Front.StopSince(n.Loop.Now()-2*core.Second, n.Loop.Stop) // pollShutdown runs in this turn
 	})
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
 	var since core.Time
-	n.On(func() { since = n.Loop.Now() })
+	n.RunOnLoop(func() { since = n.Loop.Now() })
 	for now := since; now < since+200*core.Millisecond; {
 		select {
 		case <-n.Ended:
 			t.Fatal("the process ended with an open request")
 		default:
 			n.Loop.Post(func() { now = max(now, n.Loop.Now()) })
-			n.On(func() {})
+			n.RunOnLoop(func() {})
 		}
 	}
-	require.Equal(t, 204, w.Call("id-1", "done", map[string]any{"result": "x"}))
+	require.Equal(t, 204, w.SendCallback("id-1", "done", map[string]any{"result": "x"}))
 	assert.Equal(t, 200, readStatus(t, c))
 	<-n.Ended
 }
@@ -258,10 +258,10 @@
 func TestSIGTERMWithRequestsAtEveryStage(t *testing.T) {
 	accepted := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, accepted)
-	clients := map[string]*standin.Raw{}
+	clients := map[string]*standin.RawConn{}
 	send := func(class, id string) {
 		c := standin.Dial(t, n.Front.Address())
-		c.Say(fmt.Sprintf("POST /%s/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: 60000\r\n\r\n", class, id))
+		c.Send(fmt.Sprintf("POST /%s/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: 60000\r\n\r\n", class, id))
 		clients[id] = c
 	}
 	send("settle", "accepted")
@@ -272,7 +272,7 @@
 			read <- struct{}{}
 		}
 	})
-	updateWorkerList(n, accepted.Entry("draining"), unresponsive.entry("up"))
+	updateWorkerList(n, accepted.ListEntry("draining"), unresponsive.entry("up"))
 	send("settle", "written")
 	receive(t, read)
 	send("board-view", "repeatable")
@@ -283,13 +283,13 @@
 	updateWorkerList(n, unresponsive.entry("draining"))
 	send("settle", "held")
 	n.Eventually(func() bool { return openRequests(n) == 5 })
-	n.On(func() { n.Front.StopSince(n.Loop.Now()-3500*core.Millisecond, n.Loop.Stop) })
+	n.RunOnLoop(func() { n.Front.StopSince(n.Loop.Now()-3500*core.Millisecond, n.Loop.Stop) })
 	for id, want := range map[string]int{"accepted": 500, "written": 500, "repeatable": 503, "dialling": 503, "held": 503} {
 		assert.Equal(t, want, readStatus(t, clients[id]), id)
 		assertEOF(t, clients[id])
 	}
 	<-n.Ended
-	n.Eventually(func() bool { return accepted.Deleted("accepted") })
+	n.Eventually(func() bool { return accepted.WasDeleted("accepted") })
 	assert.Len(t, accepted.Jobs(), 1)
 }
 
@@ -331,13 +331,13 @@
 			j.respond <- unprocessed
 			require.NoError(t, receive(t, j.answer))
 			eventuallyOnLoop(n, func() bool { return n.Front.IdleConns() == 1 })
-			n.On(n.Front.MarkIdleConnsJustUsed)
+			n.RunOnLoop(n.Front.MarkIdleConnsJustUsed)
 			b := standin.NewWorker(t, "s-2", nil)
-			b.BackTo(n)
+			b.SendCallbacksTo(n)
 			second := submit(n, "settle", "id-2")
 			j = receive(t, jobs)
 			require.Equal(t, "id-2", j.id)
-			updateWorkerList(n, a.entry("up"), b.Entry("up"))
+			updateWorkerList(n, a.entry("up"), b.ListEntry("up"))
 			assert.Equal(t, standin.Answer{Status: 200, Body: "s-2 did id-1"}, receive(t, first), "it never ran and is sent to the other worker")
 			j.respond <- c.answer
 			require.NoError(t, receive(t, j.answer))
@@ -346,7 +346,7 @@
 				return
 			}
 			eventuallyOnLoop(n, func() bool { return n.Front.IdleConns() == 2 }) // the connections to both workers
-			require.Equal(t, 204, standin.Event(n.URL(platform.PathEvents), map[string]any{"id": "id-2", "from": "s-1", "state": "done", "result": "r"}))
+			require.Equal(t, 204, standin.PostCallback(n.URL(platform.PathEvents), map[string]any{"id": "id-2", "from": "s-1", "state": "done", "result": "r"}))
 			assert.Equal(t, standin.Answer{Status: 200, Body: "r"}, receive(t, second))
 			assert.Len(t, b.Jobs(), 1, "it runs once")
 		})
@@ -372,15 +372,15 @@
 			})
 			b := standin.NewWorker(t, "s-2", nil)
 			n := standin.Start(t, nil)
-			b.BackTo(n)
+			b.SendCallbacksTo(n)
 			updateWorkerList(n, a.entry("up"))
 			got := submit(n, "settle", "id-1")
 			receive(t, jobs)
-			updateWorkerList(n, b.Entry("up"))
+			updateWorkerList(n, b.ListEntry("up"))
 			if isCut {
 				assert.Equal(t, 500, receive(t, got).Status)
 			} else {
-				require.Equal(t, 204, standin.Event(n.URL(platform.PathEvents), map[string]any{"id": "id-1", "from": "s-1", "state": "done", "result": "r"}))
+				require.Equal(t, 204, standin.PostCallback(n.URL(platform.PathEvents), map[string]any{"id": "id-1", "from": "s-1", "state": "done", "result": "r"}))
 				assert.Equal(t, standin.Answer{Status: 200, Body: "r"}, receive(t, got))
 			}
 			assert.Empty(t, b.Jobs())
@@ -401,9 +401,9 @@
 	updateWorkerList(n, a.entry("up"))
 	got := submit(n, "settle", "id-1")
 	require.Equal(t, "id-1", receive(t, jobs))
-	n.Eventually(func() bool { return n.Logged("party=worker peer=" + a.Addr().String()) })
+	n.Eventually(func() bool { return n.HasLogged("party=worker peer=" + a.Addr().String()) })
 	require.Equal(t, 1, openRequests(n))
-	require.Equal(t, 204, standin.Event(n.URL(platform.PathEvents), map[string]any{"id": "id-1", "from": "s-1", "state": "done", "result": "r"}))
+	require.Equal(t, 204, standin.PostCallback(n.URL(platform.PathEvents), map[string]any{"id": "id-1", "from": "s-1", "state": "done", "result": "r"}))
 	assert.Equal(t, standin.Answer{Status: 200, Body: "r"}, receive(t, got))
 }
 
@@ -413,14 +413,14 @@
 	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	got := make(chan standin.Answer, 1)
-	go func() { got <- n.Ask("move", "k", "id-1", 500, "") }()
+	go func() { got <- n.SendRequest("move", "k", "id-1", 500, "") }()
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
 	c := standin.Dial(t, n.Front.Address())
 	eventuallyOnLoop(n, func() bool { registered, _, _ := n.Front.ClientCounts(); return registered == 2 })
-	n.On(func() {
+	n.RunOnLoop(func() {
 		pastDeadline := time.Now().Add(600 * time.Millisecond)
 		body := `{"id":"id-1","from":"s-1","state":"done","result":"just"}`
-		c.Say(fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", platform.PathEvents, len(body), body))
+		c.Send(fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", platform.PathEvents, len(body), body))
 		blockUntil(t, func() bool {
 			_, _, complete := n.Front.ClientCounts()
 			return complete == 2 && time.Now().After(pastDeadline)
@@ -443,14 +443,14 @@
 				t.Parallel()
 				w := standin.NewWorker(t, "s-1", nil)
 				n := standin.Start(t, nil) // without a worker the request waits
-				w.BackTo(n)
+				w.SendCallbacksTo(n)
 				c := standin.Dial(t, n.Front.Address())
-				c.Say(fmt.Sprintf(request, "id-1") + pipelined)
+				c.Send(fmt.Sprintf(request, "id-1") + pipelined)
 				n.Eventually(func() bool { return openRequests(n) == 1 })
 				disconnect(c.Conn.(*net.TCPConn))
-				n.Eventually(func() bool { return openRequests(n) == 0 && n.Logged("party=agent") })
-				updateWorkerList(n, w.Entry("up"))
-				require.Equal(t, 200, n.Ask("move", "k", "id-3", 5000, "").Status)
+				n.Eventually(func() bool { return openRequests(n) == 0 && n.HasLogged("party=agent") })
+				updateWorkerList(n, w.ListEntry("up"))
+				require.Equal(t, 200, n.SendRequest("move", "k", "id-3", 5000, "").Status)
 				assert.Len(t, w.Jobs(), 1, "only the request whose client stayed connected")
 			})
 		}
@@ -480,20 +480,20 @@
 	n := standin.Start(t, func(c *config.Config) { c.Settings.MayCancel, c.Settings.MayHedge = false, true })
 	updateWorkerList(n, a.entry("up"))
 	c := standin.Dial(t, n.Front.Address())
-	c.Say("POST /board-view/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 4500\r\n\r\n")
+	c.Send("POST /board-view/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 4500\r\n\r\n")
 	require.Equal(t, "id-1", receive(t, jobs))
 	for i := range 8 { // the worker fails these, so that it is avoided for seconds
-		require.Equal(t, 500, n.Ask("move", "k", fmt.Sprint("bad-", i), 5000, "").Status)
+		require.Equal(t, 500, n.SendRequest("move", "k", fmt.Sprint("bad-", i), 5000, "").Status)
 	}
 	b := standin.NewWorker(t, "s-2", nil)
-	b.BackTo(n)
-	updateWorkerList(n, b.Entry("up"))
+	b.SendCallbacksTo(n)
+	updateWorkerList(n, b.ListEntry("up"))
 	require.Equal(t, 200, readStatus(t, c), "answered by the hedged attempt")
 	require.Len(t, b.Jobs(), 1)
-	n.On(func() { assert.Equal(t, 1, n.Core.InFlightAttempts(), "the first attempt is in flight") })
-	c.Say(fmt.Sprintf(completeRequest, "id-2"))
+	n.RunOnLoop(func() { assert.Equal(t, 1, n.Core.InFlightAttempts(), "the first attempt is in flight") })
+	c.Send(fmt.Sprintf(completeRequest, "id-2"))
 	require.Equal(t, 200, readStatus(t, c))
-	n.On(func() { assert.Equal(t, 1, n.Core.InFlightAttempts(), "and still is after the next request") })
+	n.RunOnLoop(func() { assert.Equal(t, 1, n.Core.InFlightAttempts(), "and still is after the next request") })
 	eventuallyOnLoop(n, func() bool { return n.Core.InFlightAttempts() == 0 })
 }
 
@@ -531,11 +531,11 @@
 				// The window is as long as the request's deadline, so that the outcome does not depend on the machine's speed.
 				move.Effect, move.Group, move.Window = rules.Keyed, c.group, move.Deadline
 			})
-			b.BackTo(n)
+			b.SendCallbacksTo(n)
 			updateWorkerList(n, a.entry("up"))
 			got := submit(n, c.class, "id-1")
 			receive(t, read)
-			updateWorkerList(n, a.entry("draining"), withField(b.Entry("up"), c.field, c.value))
+			updateWorkerList(n, a.entry("draining"), withField(b.ListEntry("up"), c.field, c.value))
 			close(breakConn)
 			assert.Equal(t, c.want, receive(t, got).Status)
 			assert.Len(t, b.Jobs(), map[int]int{200: 1, 500: 0}[c.want])
--- a/internal/platform/dial_race_test.go
+++ b/internal/platform/dial_race_test.go
@@ -25,15 +25,15 @@
 
 // updateWorkerList sends the endpoints to the node as a worker list update, and waits until the node has applied it.
 func updateWorkerList(n *standin.Node, endpoints ...map[string]any) {
-	n.Farm.Say(string(n.Farm.Tell(false, endpoints...)))
+	n.Discovery.SendLine(string(n.Discovery.EncodeList(false, endpoints...)))
 	n.ClearLog()
-	n.Farm.Say("no list") // the node logs this line after it has applied the ones before
-	n.Eventually(func() bool { return n.Logged("bad line kept out") })
+	n.Discovery.SendLine("no list") // the node logs this line after it has applied the ones before
+	n.Eventually(func() bool { return n.HasLogged("bad line kept out") })
 }
 
 // openRequests returns the number of requests that are not answered yet.
 func openRequests(n *standin.Node) (open int) {
-	n.On(func() { open = n.Core.OpenRequests() })
+	n.RunOnLoop(func() { open = n.Core.OpenRequests() })
 	return open
 }
 
@@ -41,7 +41,7 @@
 func eventuallyOnLoop(n *standin.Node, condition func() bool) {
 	n.T.Helper()
 	n.Eventually(func() (holds bool) {
-		n.On(func() { holds = condition() })
+		n.RunOnLoop(func() { holds = condition() })
 		return holds
 	})
 }
@@ -65,11 +65,11 @@
 			t.Run(class+" "+name, func(t *testing.T) {
 				a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 				n := standin.Start(t, nil, a)
-				b.BackTo(n)
+				b.SendCallbacksTo(n)
 				connected, release := holdDials(n)
 				got := submit(n, class, "id-1")
 				require.Equal(t, a.Address(), receive(t, connected))
-				updateWorkerList(n, change(a.Entry("up")), b.Entry("up"))
+				updateWorkerList(n, change(a.ListEntry("up")), b.ListEntry("up"))
 				release <- struct{}{}
 				require.Equal(t, b.Address(), receive(t, connected))
 				release <- struct{}{}
@@ -110,7 +110,7 @@
 }
 
 func (s *scriptedWorker) entry(status string) map[string]any {
-	return standin.Entry(s.name, s.Addr().String(), status)
+	return standin.ListEntry(s.name, s.Addr().String(), status)
 }
 
 // acceptJob reads a request, answers it 202, and returns its ID, or an empty string if there is no request.
@@ -133,10 +133,10 @@
 	updateWorkerList(n, a.entry("up"))
 	got := submit(n, "move", "id-0")
 	require.Equal(t, "id-0", receive(t, jobs))
-	require.Equal(t, 204, standin.Event(n.URL(platform.PathEvents), map[string]any{"id": "id-0", "from": "s-1", "state": "done"}))
+	require.Equal(t, 204, standin.PostCallback(n.URL(platform.PathEvents), map[string]any{"id": "id-0", "from": "s-1", "state": "done"}))
 	require.Equal(t, 200, receive(t, got).Status)
 	eventuallyOnLoop(n, func() bool { return n.Front.IdleConns() == 1 })
-	n.On(func() { n.Front.BreakIdleConns(t) })
+	n.RunOnLoop(func() { n.Front.BreakIdleConns(t) })
 	return n, a, jobs
 }
 
@@ -147,10 +147,10 @@
 	connected, release := holdDials(n)
 	got := submit(n, "settle", "id-1")
 	require.Equal(t, a.Addr().String(), receive(t, connected))
-	n.Eventually(func() bool { return n.Logged("party=worker peer=" + a.Addr().String() + " reason=not-reading") }) // the idle connection has failed
+	n.Eventually(func() bool { return n.HasLogged("party=worker peer=" + a.Addr().String() + " reason=not-reading") }) // the idle connection has failed
 	b := standin.NewWorker(t, "s-2", nil)
-	b.BackTo(n)
-	updateWorkerList(n, a.entry("draining"), b.Entry("up"))
+	b.SendCallbacksTo(n)
+	updateWorkerList(n, a.entry("draining"), b.ListEntry("up"))
 	release <- struct{}{}
 	require.Equal(t, b.Address(), receive(t, connected))
 	release <- struct{}{}
@@ -165,9 +165,9 @@
 	n, a, jobs := startWithBrokenIdleConn(t, nil)
 	connected, release := holdDials(n)
 	got := make(chan standin.Answer, 1)
-	go func() { got <- n.Ask("settle", "k", "id-1", 500, "") }()
+	go func() { got <- n.SendRequest("settle", "k", "id-1", 500, "") }()
 	receive(t, connected)
-	n.Eventually(func() bool { return n.Logged("party=worker peer=" + a.Addr().String() + " reason=not-reading") }) // the idle connection has failed
+	n.Eventually(func() bool { return n.HasLogged("party=worker peer=" + a.Addr().String() + " reason=not-reading") }) // the idle connection has failed
 	assert.Equal(t, 503, receive(t, got).Status)
 	release <- struct{}{}
 	eventuallyOnLoop(n, func() bool { return n.Front.PendingDials() == 0 })
@@ -185,7 +185,7 @@
 				n := standin.Start(t, func(c *config.Config) { c.Settings.MayCancel = cancel }, a, b)
 				connected, release := holdDials(n)
 				c := standin.Dial(t, n.Front.Address())
-				c.Say("POST /board-view/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: " + longTimeLeft + "\r\n\r\n")
+				c.Send("POST /board-view/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: " + longTimeLeft + "\r\n\r\n")
 				for range before {
 					receive(t, connected)
 					release <- struct{}{}
@@ -206,7 +206,7 @@
 func TestCancelledRequestIsNotSentAfterWait(t *testing.T) {
 	sendAndDisconnect := func(n *standin.Node) {
 		c := standin.Dial(t, n.Front.Address())
-		c.Say("POST /board-view/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-left\r\nX-Time-Left-Ms: " + longTimeLeft + "\r\n\r\n")
+		c.Send("POST /board-view/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-left\r\nX-Time-Left-Ms: " + longTimeLeft + "\r\n\r\n")
 		n.Eventually(func() bool { return openRequests(n) == 1 })
 		c.Close()
 		n.Eventually(func() bool { return openRequests(n) == 0 })
@@ -214,10 +214,10 @@
 	t.Run("held", func(t *testing.T) {
 		a := standin.NewWorker(t, "s-1", nil)
 		n := standin.Start(t, nil)
-		a.BackTo(n)
+		a.SendCallbacksTo(n)
 		sendAndDisconnect(n)
-		updateWorkerList(n, a.Entry("up"))
-		require.Equal(t, 200, n.Ask("board-view", "k", "id-2", 5000, "").Status)
+		updateWorkerList(n, a.ListEntry("up"))
+		require.Equal(t, 200, n.SendRequest("board-view", "k", "id-2", 5000, "").Status)
 		assert.Len(t, a.Jobs(), 1, "only the request whose client stayed connected")
 	})
 	t.Run("probe", func(t *testing.T) {
@@ -247,7 +247,7 @@
 			var first atomic.Int64
 			var n *standin.Node
 			do := func(w *standin.Worker, id string, rw http.ResponseWriter, r *http.Request) {
-				n.On(func() { first.CompareAndSwap(0, n.Loop.Now()) })
+				n.RunOnLoop(func() { first.CompareAndSwap(0, n.Loop.Now()) })
 				closeConn(w, id, rw, r)
 			}
 			a, b := standin.NewWorker(t, "s-1", do), standin.NewWorker(t, "s-2", do)
@@ -257,7 +257,7 @@
 			}, a, b)
 			connected, release := holdDials(n)
 			got := make(chan standin.Answer, 1)
-			go func() { got <- n.Ask("move", "k", "id-1", 3_600_000, "") }() // answered long before this limit
+			go func() { got <- n.SendRequest("move", "k", "id-1", 3_600_000, "") }() // answered long before this limit
 			receive(t, connected)
 			release <- struct{}{}
 			receive(t, connected) // the connection of the retry
@@ -274,7 +274,7 @@
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Fatal("no value was received in time")
 	}
 	return v
@@ -282,13 +282,13 @@
 
 // holdDials is Front.HoldDials, run on the loop.
 func holdDials(n *standin.Node) (connected chan string, release chan struct{}) {
-	n.On(func() { connected, release = n.Front.HoldDials(n.T) })
+	n.RunOnLoop(func() { connected, release = n.Front.HoldDials(n.T) })
 	return connected, release
 }
 
 // submit sends a request with a time limit of 9 s, and returns the channel of its answer.
 func submit(n *standin.Node, class, id string) chan standin.Answer {
 	got := make(chan standin.Answer, 1)
-	go func() { got <- n.Ask(class, "k", id, 9000, "") }()
+	go func() { got <- n.SendRequest(class, "k", id, 9000, "") }()
 	return got
 }
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -35,25 +35,25 @@
 	n := standin.Start(t, nil, w)
 	for i := range 3 {
 		id := fmt.Sprint("id-", i)
-		require.Equal(t, standin.Answer{Status: 200, Body: "s-1 did " + id}, n.Ask("move", "u?q=1", id, 5000, "the move"))
+		require.Equal(t, standin.Answer{Status: 200, Body: "s-1 did " + id}, n.SendRequest("move", "u?q=1", id, 5000, "the move"))
 		job := w.Jobs()[i]
 		assert.Equal(t, id, job.ID)
 		assert.Equal(t, "/move/u?q=1", job.Target)
 		assert.Equal(t, "the move", job.Body)
 	}
-	assert.Equal(t, 1, w.Conns(), "the connection to the worker is reused")
+	assert.Equal(t, 1, w.ConnCount(), "the connection to the worker is reused")
 }
 
 // A callback may arrive before the 202 of its request.
 func TestCallbackBefore202IsAccepted(t *testing.T) {
 	w := standin.NewWorker(t, "s-1", func(w *standin.Worker, id string, rw http.ResponseWriter, _ *http.Request) {
-		w.Call(id, "started", nil)
-		w.Call(id, "done", map[string]any{"result": "early"})
+		w.SendCallback(id, "started", nil)
+		w.SendCallback(id, "done", map[string]any{"result": "early"})
 		rw.WriteHeader(202)
 	})
 	n := standin.Start(t, nil, w)
-	require.Equal(t, standin.Answer{Status: 200, Body: "early"}, n.Ask("settle", "k", "id-early", 5000, ""))
-	require.Equal(t, 200, n.Ask("settle", "k", "id-after", 5000, "").Status, "the connection can be used again")
+	require.Equal(t, standin.Answer{Status: 200, Body: "early"}, n.SendRequest("settle", "k", "id-early", 5000, ""))
+	require.Equal(t, 200, n.SendRequest("settle", "k", "id-after", 5000, "").Status, "the connection can be used again")
 }
 
 // A request that may have run is retried only if its class permits that.
@@ -61,7 +61,7 @@
 	state := func(name string) func(*standin.Worker, string, http.ResponseWriter, *http.Request) {
 		return func(w *standin.Worker, id string, rw http.ResponseWriter, _ *http.Request) {
 			rw.WriteHeader(202)
-			go w.Call(id, name, nil)
+			go w.SendCallback(id, name, nil)
 		}
 	}
 	answer := func(status int, unprocessed string) func(*standin.Worker, string, http.ResponseWriter, *http.Request) {
@@ -97,11 +97,11 @@
 					c.do(w, id, rw, r)
 					return
 				}
-				standin.Done(w, id, rw, r)
+				standin.CompleteJob(w, id, rw, r)
 			}
 			a, b := standin.NewWorker(t, "s-1", do), standin.NewWorker(t, "s-2", do)
 			n := standin.Start(t, nil, a, b)
-			got := n.Ask(c.class, "k", "id-1", 4000, "x")
+			got := n.SendRequest(c.class, "k", "id-1", 4000, "x")
 			runs := len(a.Jobs()) + len(b.Jobs())
 			if c.isRetried {
 				assert.Equal(t, 200, got.Status)
@@ -120,25 +120,25 @@
 	n := standin.Start(t, nil, dead, live)
 	dead.Stop()
 	for i := range 8 {
-		require.Equal(t, 200, n.Ask("settle", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
+		require.Equal(t, 200, n.SendRequest("settle", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
 	}
-	assert.True(t, n.Logged("reason=refused"))
+	assert.True(t, n.HasLogged("reason=refused"))
 }
 
 // At the deadline the client gets a failure and the worker's job is cancelled. A late callback has no effect.
 func TestAnswersByDeadlineAndCancelsJob(t *testing.T) {
 	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
-	require.Equal(t, 500, n.Ask("move", "k", "id-slow", 300, "").Status, "it may have run, so it is no refusal")
-	n.Eventually(func() bool { return w.Deleted("id-slow") })
-	assert.Equal(t, 204, w.Call("id-slow", "done", map[string]any{"result": "late"}), "a late callback is accepted and ignored")
-	n.On(func() { assert.Zero(t, n.Core.OpenRequests()+n.Core.InFlightAttempts()) })
+	require.Equal(t, 500, n.SendRequest("move", "k", "id-slow", 300, "").Status, "it may have run, so it is no refusal")
+	n.Eventually(func() bool { return w.WasDeleted("id-slow") })
+	assert.Equal(t, 204, w.SendCallback("id-slow", "done", map[string]any{"result": "late"}), "a late callback is accepted and ignored")
+	n.RunOnLoop(func() { assert.Zero(t, n.Core.OpenRequests()+n.Core.InFlightAttempts()) })
 }
 
 // A request that no worker could be found for is refused with Retry-After.
 func TestRefusalHasRetryAfter(t *testing.T) {
 	n := standin.Start(t, nil)
-	got := n.Ask("settle", "k", "id-1", 200, "")
+	got := n.SendRequest("settle", "k", "id-1", 200, "")
 	require.Equal(t, 503, got.Status, "it never ran")
 	assert.NotEmpty(t, got.RetryAfter)
 }
@@ -148,12 +148,12 @@
 	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	c := standin.Dial(t, n.Front.Address())
-	c.Say("POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-left\r\nX-Time-Left-Ms: " + longTimeLeft + "\r\n\r\n")
+	c.Send("POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-left\r\nX-Time-Left-Ms: " + longTimeLeft + "\r\n\r\n")
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
 	c.Close()
-	n.Eventually(func() bool { return w.Deleted("id-left") || n.Logged("reason=given-up") })
+	n.Eventually(func() bool { return w.WasDeleted("id-left") || n.HasLogged("reason=given-up") })
 	n.Eventually(func() (isIdle bool) {
-		n.On(func() { isIdle = n.Core.OpenRequests()+n.Core.InFlightAttempts() == 0 })
+		n.RunOnLoop(func() { isIdle = n.Core.OpenRequests()+n.Core.InFlightAttempts() == 0 })
 		return isIdle
 	})
 }
@@ -163,13 +163,13 @@
 	a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 	n := standin.Start(t, nil, a, b)
 	for i, status := range []string{"draining", "removed"} {
-		n.Farm.Say(string(n.Farm.Tell(false, a.Entry(status))))
-		n.Farm.Say(fmt.Sprintf("no list %d", i)) // the node logs this line after it has applied the ones before
-		n.Eventually(func() bool { return n.Logged("bad line kept out") })
+		n.Discovery.SendLine(string(n.Discovery.EncodeList(false, a.ListEntry(status))))
+		n.Discovery.SendLine(fmt.Sprintf("no list %d", i)) // the node logs this line after it has applied the ones before
+		n.Eventually(func() bool { return n.HasLogged("bad line kept out") })
 		n.ClearLog()
 		before := len(a.Jobs())
 		for j := range 6 {
-			require.Equal(t, 200, n.Ask("board-view", fmt.Sprint("k", j), fmt.Sprintf("id-%d-%d", i, j), 5000, "").Status)
+			require.Equal(t, 200, n.SendRequest("board-view", fmt.Sprint("k", j), fmt.Sprintf("id-%d-%d", i, j), 5000, "").Status)
 		}
 		assert.Equal(t, before, len(a.Jobs()))
 	}
@@ -181,11 +181,11 @@
 	n := standin.Start(t, nil, w)
 	for _, line := range []string{"{\n", `{"snapshot":true,"endpoints":[]}`, `{"index":9,"snapshot":true,"endpoints":[{"name":""}]}`,
 		`{"index":9,"snapshot":true,"endpoints":[{"name":"s-1","status":"up"}]}`, `{"index":"x"}`} {
-		n.Farm.Say(line)
-		n.Eventually(func() bool { return n.Logged("bad line kept out") })
+		n.Discovery.SendLine(line)
+		n.Eventually(func() bool { return n.HasLogged("bad line kept out") })
 		n.ClearLog()
 	}
-	require.Equal(t, 200, n.Ask("move", "k", "id-1", 5000, "").Status, "the last valid list stays in force")
+	require.Equal(t, 200, n.SendRequest("move", "k", "id-1", 5000, "").Status, "the last valid list stays in force")
 }
 
 // Callbacks of unknown jobs, from another worker, with an unknown state or after the job's end have no effect.
@@ -195,14 +195,14 @@
 	url := n.URL(platform.PathEvents)
 	// An unknown ID may belong to another process at this address, for instance during an upgrade, so the worker has to
 	// retry on a new connection.
-	assert.Equal(t, 503, standin.Event(url, map[string]any{"id": "before-restart", "from": "s-1", "state": "done"}))
+	assert.Equal(t, 503, standin.PostCallback(url, map[string]any{"id": "before-restart", "from": "s-1", "state": "done"}))
 	got := make(chan standin.Answer)
-	go func() { got <- n.Ask("move", "k", "id-1", 9000, "") }()
+	go func() { got <- n.SendRequest("move", "k", "id-1", 9000, "") }()
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
-	assert.Equal(t, 204, standin.Event(url, map[string]any{"id": "id-1", "from": "s-9", "state": "done", "result": "not mine"}))
-	assert.Equal(t, 204, standin.Event(url, map[string]any{"id": "id-1", "from": "s-1", "state": "a new one"}))
-	assert.Equal(t, 204, w.Call("id-1", "done", map[string]any{"result": "mine"}))
-	assert.Equal(t, 204, w.Call("id-1", "done", map[string]any{"result": "twice"}))
+	assert.Equal(t, 204, standin.PostCallback(url, map[string]any{"id": "id-1", "from": "s-9", "state": "done", "result": "not mine"}))
+	assert.Equal(t, 204, standin.PostCallback(url, map[string]any{"id": "id-1", "from": "s-1", "state": "a new one"}))
+	assert.Equal(t, 204, w.SendCallback("id-1", "done", map[string]any{"result": "mine"}))
+	assert.Equal(t, 204, w.SendCallback("id-1", "done", map[string]any{"result": "twice"}))
 	assert.Equal(t, "mine", (<-got).Body)
 }
 
@@ -231,15 +231,15 @@
 		"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n":                                                     200,
 	} {
 		c := standin.Dial(t, n.Front.Address())
-		c.Say(text)
-		r, err := http.ReadResponse(c.R, nil)
+		c.Send(text)
+		r, err := http.ReadResponse(c.Reader, nil)
 		require.NoError(t, err, text)
 		assert.Equal(t, want, r.StatusCode, text)
 		assert.Equal(t, want != 200, r.Close, "the connection ends with the error")
 		c.Close()
 	}
 	assert.Empty(t, w.Jobs())
-	assert.True(t, n.Logged("reason=bad-input"))
+	assert.True(t, n.HasLogged("reason=bad-input"))
 }
 
 // A request with the ID of an open request is rejected.
@@ -247,10 +247,10 @@
 	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	got := make(chan standin.Answer)
-	go func() { got <- n.Ask("move", "k", "id-1", 9000, "") }()
+	go func() { got <- n.SendRequest("move", "k", "id-1", 9000, "") }()
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
-	assert.Equal(t, 400, n.Ask("move", "k", "id-1", 9000, "").Status)
-	w.Call("id-1", "done", nil)
+	assert.Equal(t, 400, n.SendRequest("move", "k", "id-1", 9000, "").Status)
+	w.SendCallback("id-1", "done", nil)
 	assert.Equal(t, 200, (<-got).Status)
 	assert.Len(t, w.Jobs(), 1)
 }
@@ -260,19 +260,19 @@
 	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	idle := standin.Dial(t, n.Front.Address())
-	idle.Say("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	_, err := http.ReadResponse(idle.R, nil)
+	idle.Send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	_, err := http.ReadResponse(idle.Reader, nil)
 	require.NoError(t, err)
 	got := make(chan standin.Answer)
-	go func() { got <- n.Ask("settle", "k", "id-1", 9000, "") }()
+	go func() { got <- n.SendRequest("settle", "k", "id-1", 9000, "") }()
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
-	n.On(func() { n.Front.Stop(n.Loop.Stop) })
-	go func() { got <- n.Ask("settle", "k", "id-2", 9000, "") }() // new requests are still accepted for a while
+	n.RunOnLoop(func() { n.Front.Stop(n.Loop.Stop) })
+	go func() { got <- n.SendRequest("settle", "k", "id-2", 9000, "") }() // new requests are still accepted for a while
 	n.Eventually(func() bool { return len(w.Jobs()) == 2 })
-	_, err = idle.R.ReadByte()
+	_, err = idle.Reader.ReadByte()
 	require.ErrorIs(t, err, io.EOF, "idle connections are closed")
-	w.Call("id-1", "done", nil)
-	w.Call("id-2", "done", nil)
+	w.SendCallback("id-1", "done", nil)
+	w.SendCallback("id-2", "done", nil)
 	assert.Equal(t, 200, (<-got).Status)
 	assert.Equal(t, 200, (<-got).Status)
 	<-n.Ended
@@ -282,9 +282,9 @@
 func TestConnectionsOverBudgetAreEvicted(t *testing.T) {
 	n := standin.Start(t, func(c *config.Config) { c.Limits.Sockets = 64 })
 	for range 40 {
-		standin.Dial(t, n.Front.Address()).Say("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+		standin.Dial(t, n.Front.Address()).Send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	}
-	n.Eventually(func() bool { return n.Logged("reason=over-budget") })
+	n.Eventually(func() bool { return n.HasLogged("reason=over-budget") })
 }
 
 // If all connections in the budget are busy, a new one is closed and the busy ones are kept.
@@ -293,13 +293,13 @@
 	n := standin.Start(t, func(c *config.Config) { c.Limits.Sockets = 64 }, w)
 	busy := 24
 	for i := range busy {
-		standin.Dial(t, n.Front.Address()).Say(fmt.Sprintf("POST /board-view/k%d HTTP/1.1\r\nHost: x\r\n"+
+		standin.Dial(t, n.Front.Address()).Send(fmt.Sprintf("POST /board-view/k%d HTTP/1.1\r\nHost: x\r\n"+
 			"X-Correlation-Id: id-%d\r\nX-Time-Left-Ms: 9000\r\n\r\n", i, i))
 	}
 	n.Eventually(func() bool { return openRequests(n) == busy })
-	_, err := standin.Dial(t, n.Front.Address()).R.ReadByte()
+	_, err := standin.Dial(t, n.Front.Address()).Reader.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
-	n.Eventually(func() bool { return n.Logged("reason=over-budget") })
+	n.Eventually(func() bool { return n.HasLogged("reason=over-budget") })
 	assert.Equal(t, busy, openRequests(n))
 }
 
@@ -309,21 +309,21 @@
 	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	c := standin.Dial(t, n.Front.Address())
-	c.Say("POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 9000\r\n\r\n")
+	c.Send("POST /move/k HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 9000\r\n\r\n")
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
 	go c.Write(make([]byte, 1<<20))
-	n.Eventually(func() bool { return n.Logged("reason=flooding") })
-	n.On(func() { assert.Zero(t, n.Core.OpenRequests()) })
+	n.Eventually(func() bool { return n.HasLogged("reason=flooding") })
+	n.RunOnLoop(func() { assert.Zero(t, n.Core.OpenRequests()) })
 }
 
 // Connections to workers that have been idle for too long are closed.
 func TestIdleWorkerConnectionsAreClosed(t *testing.T) {
 	w := standin.NewWorker(t, "s-1", nil)
 	n := standin.Start(t, func(c *config.Config) { c.Names.ConnIdleTimeout = 400_000 }, w)
-	require.Equal(t, 200, n.Ask("move", "k", "id-1", 5000, "").Status)
-	n.Eventually(func() bool { return n.Logged("party=worker") && n.Logged("reason=idle") })
-	require.Equal(t, 200, n.Ask("move", "k", "id-2", 5000, "").Status)
-	assert.Equal(t, 2, w.Conns())
+	require.Equal(t, 200, n.SendRequest("move", "k", "id-1", 5000, "").Status)
+	n.Eventually(func() bool { return n.HasLogged("party=worker") && n.HasLogged("reason=idle") })
+	require.Equal(t, 200, n.SendRequest("move", "k", "id-2", 5000, "").Status)
+	assert.Equal(t, 2, w.ConnCount())
 }
 
 // A message that may be sent twice, like the cancellation of a job, is sent again on a new connection if an idle connection
@@ -331,10 +331,10 @@
 func TestCancellationIsResentWhenIdleConnectionIsClosed(t *testing.T) {
 	var cuts atomic.Int32
 	w := standin.NewWorker(t, "s-1", acceptOnly)
-	w.Cut = func(r *http.Request) bool { return r.Method == "DELETE" && cuts.Add(1) == 1 }
+	w.ShouldDrop = func(r *http.Request) bool { return r.Method == "DELETE" && cuts.Add(1) == 1 }
 	n := standin.Start(t, nil, w)
-	require.Equal(t, 500, n.Ask("move", "k", "id-slow", 300, "").Status)
-	n.Eventually(func() bool { return w.Deleted("id-slow") })
+	require.Equal(t, 500, n.SendRequest("move", "k", "id-slow", 300, "").Status)
+	n.Eventually(func() bool { return w.WasDeleted("id-slow") })
 	assert.EqualValues(t, 2, cuts.Load())
 }
 
@@ -344,22 +344,22 @@
 	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	view, move, settle := make(chan standin.Answer), make(chan standin.Answer), make(chan standin.Answer)
-	go func() { view <- n.Ask("board-view", "k", "id-1", 60_000, "") }()
-	go func() { move <- n.Ask("move", "k", "id-2", 60_000, "") }()
+	go func() { view <- n.SendRequest("board-view", "k", "id-1", 60_000, "") }()
+	go func() { move <- n.SendRequest("move", "k", "id-2", 60_000, "") }()
 	n.Eventually(func() bool { return len(w.Jobs()) == 2 })
-	n.Farm.Say(string(n.Farm.Tell(false, w.Entry("draining"))))
-	n.Farm.Say("no list") // the node logs this line after it has applied the ones before
-	n.Eventually(func() bool { return n.Logged("bad line kept out") })
-	go func() { settle <- n.Ask("settle", "k", "id-3", 60_000, "") }()
+	n.Discovery.SendLine(string(n.Discovery.EncodeList(false, w.ListEntry("draining"))))
+	n.Discovery.SendLine("no list") // the node logs this line after it has applied the ones before
+	n.Eventually(func() bool { return n.HasLogged("bad line kept out") })
+	go func() { settle <- n.SendRequest("settle", "k", "id-3", 60_000, "") }()
 	n.Eventually(func() bool { return openRequests(n) == 3 })
-	n.On(func() { n.Front.Stop(n.Loop.Stop) })
+	n.RunOnLoop(func() { n.Front.Stop(n.Loop.Stop) })
 	n.Eventually(func() bool { return openRequests(n) == 0 })
 	got := <-view
 	assert.Equal(t, 503, got.Status)
 	assert.NotEmpty(t, got.RetryAfter)
 	assert.Equal(t, 500, (<-move).Status, "it may have run")
 	assert.Equal(t, 503, (<-settle).Status, "it was never sent")
-	n.Eventually(func() bool { return w.Deleted("id-1") && w.Deleted("id-2") })
+	n.Eventually(func() bool { return w.WasDeleted("id-1") && w.WasDeleted("id-2") })
 	<-n.Ended
 }
 
@@ -368,15 +368,15 @@
 	n := standin.Start(t, nil, standin.NewWorker(t, "s-1", nil))
 	c := standin.Dial(t, n.Front.Address())
 	for i := range 3 {
-		c.Say(fmt.Sprintf(requestHead, fmt.Sprint("id-", i)) + "\r\n")
-		r, err := http.ReadResponse(c.R, nil)
+		c.Send(fmt.Sprintf(requestHead, fmt.Sprint("id-", i)) + "\r\n")
+		r, err := http.ReadResponse(c.Reader, nil)
 		require.NoError(t, err)
 		assert.Equal(t, 200, r.StatusCode)
 		assert.False(t, r.Close)
 		io.Copy(io.Discard, r.Body)
-		n.On(func() { n.Front.Stop(n.Loop.Stop) })
+		n.RunOnLoop(func() { n.Front.Stop(n.Loop.Stop) })
 	}
-	_, err := c.R.ReadByte()
+	_, err := c.Reader.ReadByte()
 	assert.ErrorIs(t, err, io.EOF, "closed after that while")
 	<-n.Ended
 }
--- a/internal/platform/handover_test.go
+++ b/internal/platform/handover_test.go
@@ -16,13 +16,13 @@
 	w := standin.NewWorker(t, "s-1", acceptOnly)
 	n := standin.Start(t, nil, w)
 	held := make(chan standin.Answer)
-	go func() { held <- n.Ask("board-view", "k", "id-0", 9000, "") }() // open until the shutdown answers it
+	go func() { held <- n.SendRequest("board-view", "k", "id-0", 9000, "") }() // open until the shutdown answers it
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
-	n.On(func() {
+	n.RunOnLoop(func() {
 		n.Front.HandOver()
 		n.Front.StopSince(n.Loop.Now()-2500*core.Millisecond, func() {})
 	})
-	got := n.Ask("board-view", "k", "id-1", 5000, "")
+	got := n.SendRequest("board-view", "k", "id-1", 5000, "")
 	assert.Equal(t, standin.Answer{Status: 503, Body: "this process ends; try again\n", RetryAfter: "0"}, got)
 	assert.Len(t, w.Jobs(), 1, "the late job reached a worker")
 	assert.Equal(t, 503, (<-held).Status, "answered by the shutdown at 3.55 s")
--- a/internal/platform/headers_test.go
+++ b/internal/platform/headers_test.go
@@ -23,7 +23,7 @@
 		mu.Lock()
 		last = r.Header.Clone()
 		mu.Unlock()
-		standin.Done(w, id, rw, r)
+		standin.CompleteJob(w, id, rw, r)
 	})
 	return w, func() http.Header {
 		mu.Lock()
@@ -38,10 +38,10 @@
 	w, lastFields := newFieldRecorder(t)
 	n := standin.Start(t, nil, w)
 	c := standin.Dial(t, n.Front.Address())
-	c.Say("POST /move/k HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 5000\r\n" +
+	c.Send("POST /move/k HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 5000\r\n" +
 		"X-Service-Class: move\r\nidempotency-key: 00f9-a\r\nX-Account: somebody\r\nX-Two: a\r\nX-Two: b\r\n" +
 		"Connection: keep-alive, x-hop\r\nX-Hop: 1\r\nTE: trailers\r\nContent-Length: 1\r\n\r\nx")
-	r, err := http.ReadResponse(c.R, nil)
+	r, err := http.ReadResponse(c.Reader, nil)
 	require.NoError(t, err)
 	io.Copy(io.Discard, r.Body)
 	require.Equal(t, 200, r.StatusCode)
--- a/internal/platform/hostile_test.go
+++ b/internal/platform/hostile_test.go
@@ -23,39 +23,39 @@
 func TestSlowAndSilentPeersGet408(t *testing.T) {
 	w := standin.NewWorker(t, "s-1", nil)
 	n := standin.Start(t, nil, w)
-	var peers []*standin.Raw
+	var peers []*standin.RawConn
 	for _, text := range []string{"", "POST /move/k HT", fmt.Sprintf(requestHead, "id-1"), fmt.Sprintf(requestHead, "id-2") + "Content-Length: 9\r\n\r\nhalf",
 		fmt.Sprintf(requestHead, "id-3") + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"} {
 		c := standin.Dial(t, n.Front.Address())
-		c.Say(text)
+		c.Send(text)
 		peers = append(peers, c)
 	}
 	for _, c := range peers {
-		r, err := http.ReadResponse(c.R, nil)
+		r, err := http.ReadResponse(c.Reader, nil)
 		require.NoError(t, err)
 		assert.Equal(t, 408, r.StatusCode)
-		_, err = io.ReadAll(c.R)
+		_, err = io.ReadAll(c.Reader)
 		assert.NoError(t, err, "the connection ends after the 408")
 	}
 	assert.Empty(t, w.Jobs())
-	n.Eventually(func() bool { return n.Logged("reason=slow-input") })
+	n.Eventually(func() bool { return n.HasLogged("reason=slow-input") })
 }
 
 // An idle connection that has only served a readiness check is closed; one that has brought a job is kept.
 func TestIdleConnectionsWithoutAJobAreClosed(t *testing.T) {
 	n := standin.Start(t, nil, standin.NewWorker(t, "s-1", nil))
 	checked, used := standin.Dial(t, n.Front.Address()), standin.Dial(t, n.Front.Address())
-	checked.Say("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	used.Say(fmt.Sprintf(requestHead, "id-1") + "\r\n")
-	for _, c := range []*standin.Raw{checked, used} {
-		r, err := http.ReadResponse(c.R, nil)
+	checked.Send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	used.Send(fmt.Sprintf(requestHead, "id-1") + "\r\n")
+	for _, c := range []*standin.RawConn{checked, used} {
+		r, err := http.ReadResponse(c.Reader, nil)
 		require.NoError(t, err)
 		io.Copy(io.Discard, r.Body)
 	}
-	_, err := checked.R.ReadByte()
+	_, err := checked.Reader.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
-	used.Say(fmt.Sprintf(requestHead, "id-2") + "\r\n")
-	r, err := http.ReadResponse(used.R, nil)
+	used.Send(fmt.Sprintf(requestHead, "id-2") + "\r\n")
+	r, err := http.ReadResponse(used.Reader, nil)
 	require.NoError(t, err)
 	assert.Equal(t, 200, r.StatusCode)
 }
@@ -64,13 +64,13 @@
 func TestErrorReachesClientThatKeepsSending(t *testing.T) {
 	n := standin.Start(t, nil)
 	c := standin.Dial(t, n.Front.Address())
-	c.Say(fmt.Sprintf(requestHead, "id-1") + "Content-Length: 62914560\r\n\r\n")
+	c.Send(fmt.Sprintf(requestHead, "id-1") + "Content-Length: 62914560\r\n\r\n")
 	ended := make(chan error, 1)
 	go func() {
 		_, err := io.CopyN(c.Conn, zeroReader{}, 60<<20)
 		ended <- err
 	}()
-	r, err := http.ReadResponse(c.R, nil)
+	r, err := http.ReadResponse(c.Reader, nil)
 	require.NoError(t, err)
 	assert.Equal(t, 413, r.StatusCode)
 	assert.Error(t, <-ended, "the connection is closed")
@@ -86,8 +86,8 @@
 	n := standin.Start(t, func(c *config.Config) { c.Limits.Sockets = 64 }, standin.NewWorker(t, "s-1", nil))
 	active := standin.Dial(t, n.Front.Address())
 	send := func(id string) {
-		active.Say(fmt.Sprintf(requestHead, id) + "\r\n")
-		r, err := http.ReadResponse(active.R, nil)
+		active.Send(fmt.Sprintf(requestHead, id) + "\r\n")
+		r, err := http.ReadResponse(active.Reader, nil)
 		require.NoError(t, err)
 		assert.Equal(t, 200, r.StatusCode)
 		io.Copy(io.Discard, r.Body)
@@ -96,7 +96,7 @@
 	for range 60 {
 		standin.Dial(t, n.Front.Address())
 	}
-	n.Eventually(func() bool { return n.Logged("reason=over-budget") })
+	n.Eventually(func() bool { return n.HasLogged("reason=over-budget") })
 	send("id-2")
 }
 
@@ -110,7 +110,7 @@
 	for range burst {
 		c := standin.Dial(t, n.Front.Address())
 		go func() {
-			_, err := c.R.ReadByte()
+			_, err := c.Reader.ReadByte()
 			closed <- err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 		}()
 	}
@@ -119,15 +119,15 @@
 	}
 	assert.Empty(t, closed, "connections below the limit are accepted")
 	close(busy)
-	n.Eventually(func() bool { return n.Logged("reason=over-budget messages=0") })
+	n.Eventually(func() bool { return n.HasLogged("reason=over-budget messages=0") })
 }
 
 // Every request needs a new ID. The ID of a request that has ended belongs to another client, and its worker would reject it.
 func TestIDOfEndedRequestIsRejected(t *testing.T) {
 	w := standin.NewWorker(t, "s-1", nil)
 	n := standin.Start(t, nil, w)
-	require.Equal(t, 200, n.Ask("move", "k", "id-1", 5000, "").Status)
-	assert.Equal(t, 400, n.Ask("move", "k", "id-1", 5000, "").Status)
+	require.Equal(t, 200, n.SendRequest("move", "k", "id-1", 5000, "").Status)
+	assert.Equal(t, 400, n.SendRequest("move", "k", "id-1", 5000, "").Status)
 	assert.Len(t, w.Jobs(), 1)
 }
 
@@ -135,9 +135,9 @@
 func TestUnreadInputIsBoundedByMemory(t *testing.T) {
 	n := standin.Start(t, func(c *config.Config) { c.Limits.MemoryMB = 1 })
 	for i := range 3 {
-		standin.Dial(t, n.Front.Address()).Say(fmt.Sprintf(requestHead, fmt.Sprint("id-", i)) + "Content-Length: 60000\r\n\r\n" + strings.Repeat("x", 59000))
+		standin.Dial(t, n.Front.Address()).Send(fmt.Sprintf(requestHead, fmt.Sprint("id-", i)) + "Content-Length: 60000\r\n\r\n" + strings.Repeat("x", 59000))
 	}
-	n.Eventually(func() bool { return n.Logged("reason=flooding") })
+	n.Eventually(func() bool { return n.HasLogged("reason=flooding") })
 }
 
 // A new connection of a well-behaved client is silent for a moment. It outlives idle connections that have served a request
@@ -147,18 +147,18 @@
 	budget := 24
 	for range budget {
 		c := standin.Dial(t, n.Front.Address())
-		c.Say("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-		_, err := http.ReadResponse(c.R, nil)
+		c.Send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+		_, err := http.ReadResponse(c.Reader, nil)
 		require.NoError(t, err)
 	}
-	var fresh []*standin.Raw
+	var fresh []*standin.RawConn
 	for range 4 {
 		fresh = append(fresh, standin.Dial(t, n.Front.Address()))
 	}
-	n.Eventually(func() bool { return n.Logged("reason=over-budget") })
+	n.Eventually(func() bool { return n.HasLogged("reason=over-budget") })
 	for _, c := range fresh {
-		c.Say("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-		_, err := http.ReadResponse(c.R, nil)
+		c.Send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+		_, err := http.ReadResponse(c.Reader, nil)
 		assert.NoError(t, err)
 	}
 }
--- a/internal/platform/http2_cancel_test.go
+++ b/internal/platform/http2_cancel_test.go
@@ -57,7 +57,7 @@
 		return c, err
 	}}
 	t.Cleanup(transport.CloseIdleConnections)
-	return &http.Client{Transport: transport, Timeout: standin.Patience}
+	return &http.Client{Transport: transport, Timeout: standin.WaitTimeout}
 }
 
 // submitHTTP2 sends a request that its client will cancel.
@@ -105,13 +105,13 @@
 				t.Parallel()
 				a := standin.NewWorker(t, "s-1", nil)
 				n := startHTTP2(t, nil)
-				a.BackTo(n)
+				a.SendCallbacksTo(n)
 				cancelled := submitHTTP2(n, class, "id-left")
 				n.Eventually(func() bool { return openRequests(n) == 1 })
 				disconnect(cancelled)
 				n.Eventually(func() bool { return openRequests(n) == 0 })
-				updateWorkerList(n, a.Entry("up"))
-				require.Equal(t, 200, n.Ask("board-view", "k", "id-2", 5000, "").Status)
+				updateWorkerList(n, a.ListEntry("up"))
+				require.Equal(t, 200, n.SendRequest("board-view", "k", "id-2", 5000, "").Status)
 				assert.Len(t, a.Jobs(), 1, "only the request whose client stayed connected")
 				assert.Equal(t, "refused", awaitEnd(n, "id-left"))
 			})
@@ -132,7 +132,7 @@
 				release <- struct{}{}
 				eventuallyOnLoop(n, func() bool { return n.Front.PendingDials() == 0 })
 				release <- struct{}{} // in case the next request needs a second connection
-				require.Equal(t, 200, n.Ask("move", "k", "id-2", 5000, "").Status)
+				require.Equal(t, 200, n.SendRequest("move", "k", "id-2", 5000, "").Status)
 				assert.Len(t, a.Jobs(), 1, "only the request whose client stayed connected")
 			})
 		}
@@ -199,7 +199,7 @@
 				cancelled := submitHTTP2(n, "settle", "id-1")
 				receive(t, read)
 				disconnect(cancelled)
-				n.Eventually(func() bool { return n.Logged("party=h2-agent") || streamResets(n) == 1 })
+				n.Eventually(func() bool { return n.HasLogged("party=h2-agent") || streamResets(n) == 1 })
 				require.Equal(t, 1, openRequests(n), "the job may run")
 				answer()
 				assert.Equal(t, want, awaitEnd(n, "id-1"))
@@ -212,6 +212,6 @@
 
 // streamResets returns the number of streams that clients have reset.
 func streamResets(n *standin.Node) (resets uint64) {
-	n.On(func() { resets = n.HTTP2.Stats.Resets })
+	n.RunOnLoop(func() { resets = n.HTTP2.Stats.Resets })
 	return resets
 }
--- a/internal/platform/list_test.go
+++ b/internal/platform/list_test.go
@@ -33,7 +33,7 @@
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		entry, err := json.Marshal(w.Entry("up"))
+		entry, err := json.Marshal(w.ListEntry("up"))
 		require.NoError(t, err)
 		b.Write(entry)
 	}
@@ -103,11 +103,11 @@
 			n := standin.Start(t, func(c *config.Config) {
 				c.DiscoveryIsLocal, c.Discovery, c.KnownWorkers = form.pushed, d.Addr().String(), nil
 			})
-			w.BackTo(n)
-			later.BackTo(n)
+			w.SendCallbacksTo(n)
+			later.SendCallbacksTo(n)
 			list := largeList(t, 7, largeFleet, w)
 			require.Greater(t, len(list), 4<<20)
-			change, err := json.Marshal(map[string]any{"index": 8, "endpoints": []any{w.Entry("removed"), later.Entry("up")}})
+			change, err := json.Marshal(map[string]any{"index": 8, "endpoints": []any{w.ListEntry("removed"), later.ListEntry("up")}})
 			require.NoError(t, err)
 			watches, changed := make(chan string, 64), make(chan struct{})
 			d.serve(t, func(c discoveryCall) {
@@ -128,16 +128,16 @@
 			})
 			n.Eventually(hasWorkers(n, largeFleet))
 			n.Eventually(func() bool { return isReady(n) })
-			assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 5000, "").Status)
+			assert.Equal(t, 200, n.SendRequest("board-view", "k", "id-1", 5000, "").Status)
 			assert.Len(t, w.Jobs(), 1)
 
 			watch := receive(t, watches)
 			assert.Equal(t, form.pushed, watch == "/api/targets?watch=1&after=7", "the watch continues from the version of the list")
 			close(changed)
 			eventuallyOnLoop(n, func() bool { return n.Core.WorkerCount() == largeFleet && n.Front.KnowsWorker("s-2") })
-			assert.Equal(t, 200, n.Ask("board-view", "k", "id-2", 5000, "").Status)
+			assert.Equal(t, 200, n.SendRequest("board-view", "k", "id-2", 5000, "").Status)
 			assert.Len(t, later.Jobs(), 1)
-			assert.False(t, n.Logged("discovery:"), "no list was refused")
+			assert.False(t, n.HasLogged("discovery:"), "no list was refused")
 		})
 	}
 }
@@ -165,7 +165,7 @@
 				w := standin.NewWorker(t, "s-1", nil)
 				n := standin.Start(t, func(c *config.Config) { c.DiscoveryIsLocal, c.Discovery = pushed, d.Addr().String() }, w)
 				var isRepaired atomic.Bool
-				valid := n.Farm.Tell(true, w.Entry("up"), standin.Entry("s-2", "127.0.0.1:9", "draining"))
+				valid := n.Discovery.EncodeList(true, w.ListEntry("up"), standin.ListEntry("s-2", "127.0.0.1:9", "draining"))
 				watches := make(chan discoveryCall, 64)
 				d.serve(t, func(c discoveryCall) {
 					switch {
@@ -180,13 +180,13 @@
 					}
 				})
 				if name == "truncated" && pushed { // the Content-Length is right, the end of the list is missing
-					n.Eventually(func() bool { return n.Logged("bad line kept out") })
+					n.Eventually(func() bool { return n.HasLogged("bad line kept out") })
 				} else {
-					n.Eventually(func() bool { return n.Logged(list.logged) })
+					n.Eventually(func() bool { return n.HasLogged(list.logged) })
 				}
 				assert.True(t, hasWorkers(n, 1)(), "the previous list stays in force")
 				n.Eventually(func() bool { return isReady(n) })
-				assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 5000, "").Status)
+				assert.Equal(t, 200, n.SendRequest("board-view", "k", "id-1", 5000, "").Status)
 				if name == "invalid last entry" && !pushed { // an invalid line does not end the watch
 					receive(t, watches).sendChunk(string(valid) + "\n")
 				}
@@ -205,17 +205,17 @@
 	n := standin.Start(t, nil, w)
 	limits := lists.DefaultLimits
 	limits.Endpoints = 5000
-	n.On(func() { n.Front.SetListLimits(limits) })
+	n.RunOnLoop(func() { n.Front.SetListLimits(limits) })
 	reloadDiscovery(n, d.Addr().String())
 	tooLong, valid := largeList(t, 8, largeFleet, w), largeList(t, 9, 5000, w)
 	d.serve(t, func(c discoveryCall) {
-		if n.Logged("discovery: unusable answer") {
+		if n.HasLogged("discovery: unusable answer") {
 			c.sendFullList(valid)
 		} else {
 			c.sendWithLength(tooLong)
 		}
 	})
-	n.Eventually(func() bool { return n.Logged("list refused at endpoint 5001: the list over 5000 endpoints") })
-	assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 5000, "").Status)
+	n.Eventually(func() bool { return n.HasLogged("list refused at endpoint 5001: the list over 5000 endpoints") })
+	assert.Equal(t, 200, n.SendRequest("board-view", "k", "id-1", 5000, "").Status)
 	n.Eventually(hasWorkers(n, 5000))
 }
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -31,7 +31,7 @@
 		c.Peers = config.Peers{Listen: "127.0.0.1:0", Group: at,
 			ByRank: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), at}}
 	}, a, b)
-	require.Equal(t, 200, n.Ask("move", "k", "first", 5000, "").Status)
+	require.Equal(t, 200, n.SendRequest("move", "k", "first", 5000, "").Status)
 	home, other := a, b
 	if len(b.Jobs()) == 1 {
 		home, other = b, a
@@ -39,7 +39,7 @@
 	// The first message that is more than a heartbeat reports the job.
 	report, buf := []byte(nil), make([]byte, 300)
 	for report == nil {
-		require.NoError(t, peer.SetReadDeadline(time.Now().Add(standin.Patience)))
+		require.NoError(t, peer.SetReadDeadline(time.Now().Add(standin.WaitTimeout)))
 		size, err := peer.Read(buf)
 		require.NoError(t, err)
 		if buf[0]>>5 == 1 {
@@ -56,11 +56,11 @@
 	}
 	send(unknown, manyJobs)
 	send(peer, make([]byte, 300))
-	require.Equal(t, 200, n.Ask("move", "k", "second", 5000, "").Status)
+	require.Equal(t, 200, n.SendRequest("move", "k", "second", 5000, "").Status)
 	assert.Len(t, home.Jobs(), 2, "reports from unknown addresses are ignored")
 	send(peer, manyJobs)
 	n.Eventually(func() bool { // the datagram may arrive at any time
-		require.Equal(t, 200, n.Ask("move", "k", "id-"+strconv.Itoa(len(home.Jobs())+len(other.Jobs())), 5000, "").Status)
+		require.Equal(t, 200, n.SendRequest("move", "k", "id-"+strconv.Itoa(len(home.Jobs())+len(other.Jobs())), 5000, "").Status)
 		return len(other.Jobs()) > 0 // the key's worker counts as full of the peer's jobs
 	})
 }
--- a/internal/platform/silence_test.go
+++ b/internal/platform/silence_test.go
@@ -72,14 +72,14 @@
 	server := newFakeDiscovery(t)
 	a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-2", nil)
 	n := standin.Start(t, func(c *config.Config) { c.DiscoveryIsLocal, c.Discovery = true, server.Addr().String() }, a)
-	b.BackTo(n)
+	b.SendCallbacksTo(n)
 	first := receive(t, server.calls)
 	require.Equal(t, "/api/targets", first.target, "the full list: a watch sends nothing if nothing has changed")
 	assert.False(t, isReady(n), "the discovery server has not answered")
-	first.sendFullList(n.Farm.Tell(true, a.Entry("draining"), b.Entry("up")))
+	first.sendFullList(n.Discovery.EncodeList(true, a.ListEntry("draining"), b.ListEntry("up")))
 	n.Eventually(func() bool { return isReady(n) })
 	for i := range 4 {
-		require.Equal(t, 200, n.Ask("board-view", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
+		require.Equal(t, 200, n.SendRequest("board-view", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
 	}
 	assert.Empty(t, a.Jobs())
 }
@@ -90,7 +90,7 @@
 	a := standin.NewWorker(t, "s-1", nil)
 	n := standin.Start(t, func(c *config.Config) { c.DiscoveryIsLocal, c.Discovery = true, server.Addr().String() }, a)
 	n.Eventually(func() bool { return isReady(n) })
-	assert.Equal(t, 200, n.Ask("board-view", "k", "id-1", 5000, "").Status)
+	assert.Equal(t, 200, n.SendRequest("board-view", "k", "id-1", 5000, "").Status)
 }
 
 // isReady reports the answer of the readiness check.
@@ -124,24 +124,24 @@
 				n := standin.Start(t, func(c *config.Config) {
 					c.DiscoveryIsLocal, c.Discovery, c.Settings.GroupSize = pushed, d.Addr().String(), 300
 				}, a)
-				b.BackTo(n)
+				b.SendCallbacksTo(n)
 				first := receive(t, d.calls)
 				if pushed { // the watch call follows on the same connection
-					first.sendFullList(n.Farm.Tell(true, a.Entry("up")))
+					first.sendFullList(n.Discovery.EncodeList(true, a.ListEntry("up")))
 					first = receive(t, d.calls)
 				}
 				since := time.Now()
-				sendLast(first, n.Farm.Tell(true, a.Entry("up")))
+				sendLast(first, n.Discovery.EncodeList(true, a.ListEntry("up")))
 				second := receive(t, d.calls)
 				elapsed := time.Since(since)
 				if stage == "the request" && pushed {
 					assert.Less(t, elapsed, time.Duration(n.Conf.Settings.DrainGrace)*time.Microsecond)
 				}
 				assert.Less(t, elapsed, 6*time.Second)
-				second.sendFullList(n.Farm.Tell(true, a.Entry("draining"), b.Entry("up")))
+				second.sendFullList(n.Discovery.EncodeList(true, a.ListEntry("draining"), b.ListEntry("up")))
 				n.Eventually(hasWorkers(n, 2))
 				for i := range 4 {
-					require.Equal(t, 200, n.Ask("board-view", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
+					require.Equal(t, 200, n.SendRequest("board-view", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
 				}
 				assert.Empty(t, a.Jobs())
 			})
@@ -153,12 +153,12 @@
 func TestRelistedWorkerGetsJobsAtNewAddress(t *testing.T) {
 	a, b := standin.NewWorker(t, "s-1", nil), standin.NewWorker(t, "s-1", nil)
 	n := standin.Start(t, nil, a)
-	b.BackTo(n)
-	require.Equal(t, 200, n.Ask("move", "k", "id-1", 5000, "").Status)
-	updateWorkerList(n, a.Entry("removed"))
+	b.SendCallbacksTo(n)
+	require.Equal(t, 200, n.SendRequest("move", "k", "id-1", 5000, "").Status)
+	updateWorkerList(n, a.ListEntry("removed"))
 	got := submit(n, "move", "id-2")
 	n.Eventually(func() bool { return openRequests(n) == 1 })
-	updateWorkerList(n, b.Entry("up"))
+	updateWorkerList(n, b.ListEntry("up"))
 	assert.Equal(t, 200, receive(t, got).Status)
 	assert.Len(t, a.Jobs(), 1)
 	assert.Len(t, b.Jobs(), 1)
@@ -174,9 +174,9 @@
 		}
 	}, w)
 	got := make(chan standin.Answer, 1)
-	go func() { got <- n.Ask("move", "k", "id-1", 60_000, "") }()
+	go func() { got <- n.SendRequest("move", "k", "id-1", 60_000, "") }()
 	n.Eventually(func() bool { return len(w.Jobs()) == 1 })
-	n.On(func() { n.Front.StopSince(n.Loop.Now()-1_800_000, func() {}) }) // 1.8 s ago; the kill comes 1.9 s after SIGTERM at the earliest
+	n.RunOnLoop(func() { n.Front.StopSince(n.Loop.Now()-1_800_000, func() {}) }) // 1.8 s ago; the kill comes 1.9 s after SIGTERM at the earliest
 	assert.Zero(t, openRequests(n), "answered in the same turn")
 	assert.Equal(t, 500, receive(t, got).Status, "the job may have run")
 }
--- a/internal/platform/unreachable_test.go
+++ b/internal/platform/unreachable_test.go
@@ -38,12 +38,12 @@
 					d := newFakeDiscovery(t)
 					a, b, n := startBeforeDiscovery(t, d, pushed, schedulers)
 					first := receive(t, d.calls)
-					n.On(func() { n.Front.SetWatchFailures(failedBefore) })
+					n.RunOnLoop(func() { n.Front.SetWatchFailures(failedBefore) })
 					reachable := time.Now()
 					fail(first)
 					again := receive(t, d.calls)
 					assertCalledInTime(t, n, time.Since(reachable), pushed)
-					again.sendFullList(n.Farm.Tell(true, a.Entry("draining"), b.Entry("up")))
+					again.sendFullList(n.Discovery.EncodeList(true, a.ListEntry("draining"), b.ListEntry("up")))
 					assertServedOnlyBy(t, n, b, a)
 				})
 			}
@@ -62,15 +62,15 @@
 				a, b, n := startBeforeDiscovery(t, stopped, pushed, schedulers)
 				first := receive(t, stopped.calls)
 				stopped.Close()
-				n.On(func() { n.Front.SetWatchFailures(5) })
+				n.RunOnLoop(func() { n.Front.SetWatchFailures(5) })
 				first.Conn.(*net.TCPConn).SetLinger(0)
 				first.Close()
-				n.Eventually(func() bool { return n.Logged("party=discovery peer=" + address + " reason=refused") })
+				n.Eventually(func() bool { return n.HasLogged("party=discovery peer=" + address + " reason=refused") })
 				reachable := time.Now()
 				d := newFakeDiscoveryAt(t, address)
 				again := receive(t, d.calls)
 				assertCalledInTime(t, n, time.Since(reachable), pushed)
-				again.sendFullList(n.Farm.Tell(true, a.Entry("draining"), b.Entry("up")))
+				again.sendFullList(n.Discovery.EncodeList(true, a.ListEntry("draining"), b.ListEntry("up")))
 				assertServedOnlyBy(t, n, b, a)
 			})
 		}
@@ -84,7 +84,7 @@
 	n = standin.Start(t, func(c *config.Config) {
 		c.DiscoveryIsLocal, c.Discovery, c.Settings.GroupSize = pushed, d.Addr().String(), schedulers
 	}, known)
-	other.BackTo(n)
+	other.SendCallbacksTo(n)
 	return known, other, n
 }
 
@@ -101,7 +101,7 @@
 func assertServedOnlyBy(t *testing.T, n *standin.Node, stays, leaves *standin.Worker) {
 	n.Eventually(hasWorkers(n, 2))
 	for i := range 4 {
-		require.Equal(t, 200, n.Ask("board-view", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
+		require.Equal(t, 200, n.SendRequest("board-view", fmt.Sprint("k", i), fmt.Sprint("id-", i), 5000, "").Status)
 	}
 	assert.Empty(t, leaves.Jobs())
 	assert.Len(t, stays.Jobs(), 4)
--- a/internal/procfs/procfs.go
+++ b/internal/procfs/procfs.go
@@ -17,8 +17,8 @@
 
 // Fields of /proc/PID/stat behind the name of the command, counted from 0.
 const (
-	statUser   = 11 // utime
-	statSystem = 12 // stime
+	statUserTime   = 11 // utime
+	statSystemTime = 12 // stime
 )
 
 // Keys of /proc/PID/status.
@@ -38,14 +38,14 @@
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(rest)
-	if len(fields) <= statSystem {
+	if len(fields) <= statSystemTime {
 		return 0, fmt.Errorf("%s: %w", path, errFormat)
 	}
-	user, err := strconv.ParseInt(fields[statUser], 10, 64)
+	user, err := strconv.ParseInt(fields[statUserTime], 10, 64)
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", path, err)
 	}
-	system, err := strconv.ParseInt(fields[statSystem], 10, 64)
+	system, err := strconv.ParseInt(fields[statSystemTime], 10, 64)
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/scale/hollow/candidates.go
+++ b/internal/scale/hollow/candidates.go
@@ -190,7 +190,7 @@
 
 // receivesKey reports whether jobs with the key reach the scheduler.
 func (v *partialView) receivesKey(key, scheduler int) bool {
-	return v.fleet.Traffic != world.ByKey || slices.Contains(world.SchedulersOf(key, v.fleet.Schedulers, schedulersPerKey), scheduler)
+	return v.fleet.Traffic != world.ByKey || slices.Contains(world.SchedulersForKey(key, v.fleet.Schedulers, schedulersPerKey), scheduler)
 }
 
 // markWorkers marks the workers that a key maps to.
--- a/internal/scale/hollow/fleet.go
+++ b/internal/scale/hollow/fleet.go
@@ -115,22 +115,22 @@
 
 // worldSetup returns the setup of the simulation.
 func (f *Fleet) worldSetup() world.Setup {
-	s := world.Setup{Schedulers: f.Schedulers, Run: shortMeanRun, Load: f.Load, Keys: f.Keys, Skew: f.Skew, Unlike: f.HotSchedulerFactor, Queue: queueLimit,
-		ReportAge: world.Span{Least: 470 * millisecond, Most: 700 * millisecond}, ReportLate: world.Span{Least: 100 * millisecond, Most: 200 * millisecond},
-		Noise: 0.05, Net: world.Span{Least: 100, Most: 300}, Warm: f.WarmUp, For: f.Duration, Seed: f.Seed,
-		Traffic: f.Traffic, SchedulersPerKey: schedulersPerKey, SampleEvery: shortSamplePeriod, CountRunning: true, ConnectionIdle: f.ConnectionIdle,
-		FetchWindows: []rules.Time{shortFetchWindow, longFetchWindow}, ListLate: world.Span{Least: minListDelay, Most: maxListDelay}, Detect: world.Span{Least: minDetectDelay, Most: maxDetectDelay},
-		Faults: f.Faults, RestartsPerS: f.RestartsPerS, RestartTakes: restartDuration, Rules: f.rules()}
+	s := world.Setup{Schedulers: f.Schedulers, MeanRunTime: shortMeanRun, Load: f.Load, Keys: f.Keys, Skew: f.Skew, BusySchedulerFactor: f.HotSchedulerFactor, MaxQueue: queueLimit,
+		ReportAge: world.TimeRange{Min: 470 * millisecond, Max: 700 * millisecond}, ReportDelay: world.TimeRange{Min: 100 * millisecond, Max: 200 * millisecond},
+		Noise: 0.05, NetworkDelay: world.TimeRange{Min: 100, Max: 300}, WarmUp: f.WarmUp, Duration: f.Duration, Seed: f.Seed,
+		Traffic: f.Traffic, SchedulersPerKey: schedulersPerKey, SampleInterval: shortSamplePeriod, CountRunning: true, ConnectionIdleTimeout: f.ConnectionIdle,
+		KeyMissWindows: []rules.Time{shortFetchWindow, longFetchWindow}, ListDelay: world.TimeRange{Min: minListDelay, Max: maxListDelay}, DetectionDelay: world.TimeRange{Min: minDetectDelay, Max: maxDetectDelay},
+		Faults: f.Faults, RestartsPerS: f.RestartsPerS, RestartDuration: restartDuration, Rules: f.rules()}
 	for zone := range f.Zones {
 		s.Workers = append(s.Workers, world.Worker{Count: f.WorkersPerZone, Slots: f.Slots, Zone: zone})
 	}
 	s.Shares = []float64{0.45, 0.45, 0.1}
 	switch f.Tasks {
 	case Long:
-		s.Run, s.Ramp, s.SampleEvery = longMeanRun, longRamp, longSamplePeriod
+		s.MeanRunTime, s.RampUp, s.SampleInterval = longMeanRun, longRamp, longSamplePeriod
 	case Mixed:
-		s.Ramp, s.SampleEvery = longRamp, longSamplePeriod
-		s.Shares, s.RunOf = []float64{0.5, 0.25, 0.25}, []float64{shortMeanRun, longMeanRun, longMeanRun}
+		s.RampUp, s.SampleInterval = longRamp, longSamplePeriod
+		s.Shares, s.MeanRunTimeByClass = []float64{0.5, 0.25, 0.25}, []float64{shortMeanRun, longMeanRun, longMeanRun}
 	}
 	return s
 }
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -93,7 +93,7 @@
 	assert.Greater(t, whole.Counts.NewConnections, 2*owned.Counts.NewConnections)
 	assert.Less(t, owned.Counts.Probes, 0.1)
 	assert.Less(t, owned.Counts.NewConnections, 0.3)
-	assert.Greater(t, owned.Counts.Worth, whole.Counts.Worth-0.01)
+	assert.Greater(t, owned.Counts.ValueRatio, whole.Counts.ValueRatio-0.01)
 	held := 0
 	for _, n := range owned.Counts.Held {
 		held += n
@@ -114,10 +114,10 @@
 		o, err := Simulate(f, c)
 		require.NoError(t, err)
 		assert.Zero(t, o.Counts.UnheldAtEnd, r.Name)
-		assert.Zero(t, o.Counts.Twice, r.Name)
-		assert.LessOrEqual(t, o.Counts.ColdSends, 1.0, r.Name)
+		assert.Zero(t, o.Counts.StartedTwice, r.Name)
+		assert.LessOrEqual(t, o.Counts.MaxColdJobs, 1.0, r.Name)
 		if strings.HasPrefix(r.Name, "zone") {
-			assert.Positive(t, o.Counts.ColdSends)
+			assert.Positive(t, o.Counts.MaxColdJobs)
 		}
 		if strings.HasPrefix(r.Name, "member killed") {
 			assert.Positive(t, o.Counts.Lost)
--- a/internal/scale/hollow/recovery.go
+++ b/internal/scale/hollow/recovery.go
@@ -35,13 +35,13 @@
 			return []world.Fault{{Kind: world.StartScheduler, At: faultStart(f), Scheduler: member}}
 		}},
 		{Name: "member stops for 10 s", Faults: func(f *Fleet) []world.Fault {
-			return []world.Fault{{Kind: world.PauseScheduler, At: faultStart(f), For: pauseDuration, Scheduler: member}}
+			return []world.Fault{{Kind: world.PauseScheduler, At: faultStart(f), Duration: pauseDuration, Scheduler: member}}
 		}},
 		{Name: "two views of the members for 30 s", Faults: func(f *Fleet) []world.Fault {
-			return []world.Fault{{Kind: world.SplitMembers, At: faultStart(f), For: splitDuration}}
+			return []world.Fault{{Kind: world.SplitMembers, At: faultStart(f), Duration: splitDuration}}
 		}},
 		{Name: "zone lost for 60 s, back cold", Faults: func(f *Fleet) []world.Fault {
-			return []world.Fault{{Kind: world.LoseZone, At: faultStart(f), For: outageDuration, Zone: member}}
+			return []world.Fault{{Kind: world.LoseZone, At: faultStart(f), Duration: outageDuration, Zone: member}}
 		}},
 	}
 }
@@ -60,8 +60,8 @@
 		}
 		counts := &o.Counts
 		jobs := float64(max(1, counts.Jobs))
-		fmt.Fprintf(out, "| %s | %.4f | %.4f | %.5f | %d | %d | %.3f, %.2f | %.1f | %.3f | %d | %d, %d | %.2f |\n", r.Name, counts.Worth, float64(counts.Refused)/jobs,
-			float64(counts.Failed)/jobs, counts.Lost, counts.Twice, counts.WaitMean, counts.WaitP99, counts.QueueLong, counts.Probes, counts.ListEntries, counts.Unheld, counts.UnheldAtEnd, counts.ColdSends)
+		fmt.Fprintf(out, "| %s | %.4f | %.4f | %.5f | %d | %d | %.3f, %.2f | %.1f | %.3f | %d | %d, %d | %.2f |\n", r.Name, counts.ValueRatio, float64(counts.Refused)/jobs,
+			float64(counts.Failed)/jobs, counts.Lost, counts.StartedTwice, counts.WaitMean, counts.WaitP99, counts.LongestQueue, counts.Probes, counts.ListEntries, counts.MaxUnheld, counts.UnheldAtEnd, counts.MaxColdJobs)
 	}
 	return nil
 }
--- a/internal/scale/hollow/simulate.go
+++ b/internal/scale/hollow/simulate.go
@@ -37,9 +37,9 @@
 	}
 	s.Ownership = c.Ownership
 	meter := &meter{}
-	s.Around = meter.measure
+	s.AroundDecision = meter.measure
 	o := Outcome{Fleet: f, Candidate: c.Name}
-	o.Counts = world.Play(s)
+	o.Counts = world.Simulate(s)
 	meter.sampleHeap()
 	o.DecisionTime, o.HeapBytes = meter.cpuTime, meter.heapBytes
 	return o, nil
@@ -118,18 +118,18 @@
 		held += float64(n)
 	}
 	figures := map[string]float64{
-		"worth":                              c.Worth,
+		"worth":                              c.ValueRatio,
 		"refused_part":                       float64(c.Refused) / jobs,
 		"failed_part":                        float64(c.Failed) / jobs,
 		"wait_mean_s":                        c.WaitMean,
 		"wait_p99_s":                         c.WaitP99,
 		"herd":                               c.Herd,
-		"crossings_per_job":                  c.Crossings,
+		"crossings_per_job":                  c.CrossZoneAttempts,
 		"probes_per_job":                     c.Probes,
 		"new_connections_per_job":            c.NewConnections,
-		"probe_connections_part":             c.ProbeConnection,
+		"probe_connections_part":             c.ProbeConnectionShare,
 		"starts_per_s":                       jobs / o.seconds(),
-		"in_hand":                            c.InHand,
+		"in_hand":                            c.JobsAtWorkers,
 		"workers_held_mean":                  held / float64(o.Fleet.Schedulers),
 		"probe_bytes_per_s":                  o.perScheduler(c.Probes * jobs * 2 * probeBytes),
 		"list_bytes_per_s":                   o.perScheduler(float64(c.ListEntries) * listEntryBytes),
@@ -138,8 +138,8 @@
 		"decisions_core_part_each_scheduler": o.DecisionTime.Seconds() / (float64(o.Fleet.Duration) / float64(second)) / float64(o.Fleet.Schedulers),
 		"heap_bytes":                         float64(o.HeapBytes),
 	}
-	if len(c.FetchesIn) == 2 {
-		figures["fetches_10s_per_job"], figures["fetches_300s_per_job"] = c.FetchesIn[0], c.FetchesIn[1]
+	if len(c.KeyMissesIn) == 2 {
+		figures["fetches_10s_per_job"], figures["fetches_300s_per_job"] = c.KeyMissesIn[0], c.KeyMissesIn[1]
 	}
 	return figures
 }
--- a/internal/standin/faktory.go
+++ b/internal/standin/faktory.go
@@ -15,14 +15,14 @@
 
 // Faktory is a client or worker of the Faktory work protocol, written from its public specification.
 type Faktory struct {
-	*Raw
-	Hi string
+	*RawConn
+	HandshakeReply string
 }
 
 // NewFaktory connects and says HELLO; wid makes it a worker.
 func NewFaktory(t *testing.T, address, wid, password string) *Faktory {
-	f := &Faktory{Raw: Dial(t, address)}
-	f.Hi = f.Reply()
+	f := &Faktory{RawConn: Dial(t, address)}
+	f.HandshakeReply = f.Reply()
 	hello := map[string]any{"v": 2, "hostname": "here", "pid": 1, "labels": []string{"test"}}
 	if wid != "" {
 		hello["wid"] = wid
@@ -31,19 +31,19 @@
 		S string `json:"s"`
 		I int    `json:"i"`
 	}
-	require.NoError(t, json.Unmarshal([]byte(strings.TrimPrefix(f.Hi, "HI ")), &hi))
+	require.NoError(t, json.Unmarshal([]byte(strings.TrimPrefix(f.HandshakeReply, "HI ")), &hi))
 	if hi.S != "" {
 		hello["pwdhash"] = faktory.PasswordHash(password, hi.S, hi.I)
 	}
 	text, _ := json.Marshal(hello)
-	f.Hi = f.Do("HELLO", string(text))
+	f.HandshakeReply = f.Do("HELLO", string(text))
 	return f
 }
 
 // Reply reads one reply: the text of a simple string or bulk string, "(none)" for the null string, and
 // an error with its "-" before it.
 func (f *Faktory) Reply() string {
-	line, err := f.R.ReadString('\n')
+	line, err := f.Reader.ReadString('\n')
 	if err != nil {
 		return "(closed)"
 	}
@@ -58,7 +58,7 @@
 			return "(none)"
 		}
 		data := make([]byte, n+2)
-		_, err = io.ReadFull(f.R, data)
+		_, err = io.ReadFull(f.Reader, data)
 		require.NoError(f.T, err)
 		return string(data[:n])
 	}
@@ -67,7 +67,7 @@
 
 // Do sends a command and reads its reply.
 func (f *Faktory) Do(verb, arg string) string {
-	f.Say(strings.TrimSpace(verb+" "+arg) + "\r\n")
+	f.Send(strings.TrimSpace(verb+" "+arg) + "\r\n")
 	return f.Reply()
 }
 
@@ -87,7 +87,7 @@
 }
 
 // State looks a job up.
-func (f *Faktory) State(jid string) string {
+func (f *Faktory) JobState(jid string) string {
 	var track struct{ State string }
 	require.NoError(f.T, json.Unmarshal([]byte(f.Do("TRACK", "GET "+jid)), &track))
 	return track.State
--- a/internal/standin/mixed.go
+++ b/internal/standin/mixed.go
@@ -7,13 +7,13 @@
 )
 
 // Runs counts how often workers ran each job. It may be used from any goroutine.
-type Runs struct {
+type RunCounter struct {
 	mu     sync.Mutex
 	counts map[string]int // by the job's id
 }
 
 // Ran notes a run of a job, and gives the number of jobs that have run.
-func (r *Runs) Ran(id string) (jobs int) {
+func (r *RunCounter) Record(id string) (jobs int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.counts == nil {
@@ -24,7 +24,7 @@
 }
 
 // Counts gives how often each job ran.
-func (r *Runs) Counts() map[string]int {
+func (r *RunCounter) Counts() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.counts)
@@ -32,11 +32,11 @@
 
 // VanishingWorkers starts Faktory workers that break off with the last of so many fetched jobs unacknowledged,
 // and come again under another name. They go on until stop is closed; the group is done when all have ended.
-func (n *Node) VanishingWorkers(workers, fetches int, runs *Runs, stop <-chan struct{}) *sync.WaitGroup {
+func (n *Node) StartVanishingWorkers(workers, fetches int, runs *RunCounter, stop <-chan struct{}) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for i := range workers {
 		all.Go(func() {
-			for life := 0; n.fetchUntilGone(fmt.Sprintf("w-%d-%d", i, life), fetches, runs, stop); life++ {
+			for life := 0; n.fetchUntilDisconnect(fmt.Sprintf("w-%d-%d", i, life), fetches, runs, stop); life++ {
 			}
 		})
 	}
@@ -44,7 +44,7 @@
 }
 
 // fetchUntilGone is the life of one such worker; again tells that it broke off with its last job.
-func (n *Node) fetchUntilGone(wid string, fetches int, runs *Runs, stop <-chan struct{}) (again bool) {
+func (n *Node) fetchUntilDisconnect(wid string, fetches int, runs *RunCounter, stop <-chan struct{}) (again bool) {
 	w := NewFaktory(n.T, n.Faktory.Address(), wid, "")
 	for fetched := 0; ; {
 		select {
@@ -60,7 +60,7 @@
 			}
 			continue
 		}
-		runs.Ran(jid)
+		runs.Record(jid)
 		if fetched++; fetched == fetches {
 			w.Close()
 			return true
