--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -30,31 +30,31 @@
 )
 
 // Patience is how long a test waits for a condition that has to come true.
-const Patience = 10 * time.Second
+const WaitTimeout = 10 * time.Second
 
 // Node is a scheduler within the test's process.
 type Node struct {
-	T       *testing.T
-	Conf    *config.Config
-	Gateway *gateway.Gateway
-	Loop    *core.Loop
-	Core    *core.Core
-	Front   *platform.Front
-	Faktory *faktory.Front
-	HTTP2   *http2.Front
-	Farm    *Discovery
-	Ended   chan struct{}
+	T         *testing.T
+	Conf      *config.Config
+	Gateway   *gateway.Gateway
+	Loop      *core.Loop
+	Core      *core.Core
+	Front     *platform.Front
+	Faktory   *faktory.Front
+	HTTP2     *http2.Front
+	Discovery *Discovery
+	Ended     chan struct{}
 
-	mu  sync.Mutex
-	log []string
+	mu       sync.Mutex
+	logLines []string
 }
 
 // Start runs a node that knows the workers; change may alter the configuration first.
 func Start(t *testing.T, change func(*config.Config), workers ...*Worker) *Node {
 	t.Helper()
-	n := &Node{T: t, Farm: NewDiscovery(t), Ended: make(chan struct{})}
+	n := &Node{T: t, Discovery: NewDiscovery(t), Ended: make(chan struct{})}
 	n.Conf = &config.Config{
-		Name: "n0", Listen: "127.0.0.1:0", Discovery: n.Farm.Address(), Seed: 1,
+		Name: "n0", Listen: "127.0.0.1:0", Discovery: n.Discovery.Address(), Seed: 1,
 		Limits: config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		Names: config.Names{Classes: []string{"board-view", "move", "settle"}, Zones: []string{"suva", "lautoka"},
 			Kinds: []string{"gen1"}, ConnIdleTimeout: 60_000_000},
@@ -65,8 +65,8 @@
 				{LatencyTarget: 1_200_000, Deadline: 20_000_000, Value: 10, Kind: -1}}},
 		Faktory: config.DefaultFaktory(), HTTP2: config.DefaultHTTP2(), StateDir: t.TempDir(),
 	}
-	n.Conf.KnownWorkers = n.Farm.Tell(true, entries("up", workers)...)
-	n.Farm.Whole(n.Conf.KnownWorkers)
+	n.Conf.KnownWorkers = n.Discovery.EncodeList(true, listEntries("up", workers)...)
+	n.Discovery.SetFullList(n.Conf.KnownWorkers)
 	if change != nil {
 		change(n.Conf)
 	}
@@ -79,14 +79,14 @@
 		close(n.Ended)
 	}()
 	for _, w := range workers {
-		w.BackTo(n)
+		w.SendCallbacksTo(n)
 	}
 	t.Cleanup(func() {
 		n.Loop.Post(n.Loop.Stop)
 		<-n.Ended
 	})
-	if n.Conf.Discovery == n.Farm.Address() {
-		n.Eventually(func() bool { return n.Farm.watching() })
+	if n.Conf.Discovery == n.Discovery.Address() {
+		n.Eventually(func() bool { return n.Discovery.isWatched() })
 	}
 	return n
 }
@@ -95,15 +95,15 @@
 func (n *Node) Write(line []byte) (int, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.log = append(n.log, string(line))
+	n.logLines = append(n.logLines, string(line))
 	return len(line), nil
 }
 
 // Logged tells whether a line with the text has been logged.
-func (n *Node) Logged(text string) bool {
+func (n *Node) HasLogged(text string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return strings.Contains(strings.Join(n.log, "\n"), text)
+	return strings.Contains(strings.Join(n.logLines, "\n"), text)
 }
 
 // URL is where a client finds a path.
@@ -112,11 +112,11 @@
 // Eventually waits for a condition.
 func (n *Node) Eventually(f func() bool) {
 	n.T.Helper()
-	require.Eventually(n.T, f, Patience, time.Millisecond)
+	require.Eventually(n.T, f, WaitTimeout, time.Millisecond)
 }
 
 // On runs a function on the loop and waits for it.
-func (n *Node) On(f func()) {
+func (n *Node) RunOnLoop(f func()) {
 	done := make(chan struct{})
 	n.Loop.Post(func() { f(); close(done) })
 	<-done
@@ -130,7 +130,7 @@
 }
 
 // Ask sends a request as a client would and waits for the answer. It may be called from any goroutine.
-func (n *Node) Ask(class, key, id string, leftMS int, body string) Answer {
+func (n *Node) SendRequest(class, key, id string, leftMS int, body string) Answer {
 	q, _ := http.NewRequest("POST", n.URL("/"+class+"/"+key), strings.NewReader(body))
 	q.Header.Set(platform.HeaderID, id)
 	q.Header.Set(platform.HeaderClass, class)
@@ -145,7 +145,7 @@
 }
 
 // Event sends a callback and gives the status that came back.
-func Event(url string, fields map[string]any) int {
+func PostCallback(url string, fields map[string]any) int {
 	text, _ := json.Marshal(fields)
 	r, err := http.Post(url, "application/json", bytes.NewReader(text))
 	if err != nil {
@@ -157,14 +157,14 @@
 
 // Discovery tells a node of the farm.
 type Discovery struct {
-	server *httptest.Server
-	mu     sync.Mutex
-	index  int
-	lines  chan string
-	whole  json.RawMessage
-	watch  int
-	after  string
-	breaks bool
+	server       *httptest.Server
+	mu           sync.Mutex
+	index        int
+	lines        chan string
+	fullList     json.RawMessage
+	watchCount   int
+	watchedFrom  string
+	truncateNext bool
 }
 
 // NewDiscovery starts one that has nothing to tell.
@@ -174,14 +174,14 @@
 		if r.URL.Query().Get("watch") == "" {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			w.Write(d.whole)
+			w.Write(d.fullList)
 			return
 		}
 		w.WriteHeader(200)
 		w.(http.Flusher).Flush()
 		d.mu.Lock()
-		d.watch++
-		d.after = r.URL.Query().Get("after")
+		d.watchCount++
+		d.watchedFrom = r.URL.Query().Get("after")
 		d.mu.Unlock()
 		for {
 			select {
@@ -189,7 +189,7 @@
 				// In two parts, as a line may come.
 				io.WriteString(w, line[:len(line)/2])
 				w.(http.Flusher).Flush()
-				if d.broken() {
+				if d.takeTruncation() {
 					continue
 				}
 				io.WriteString(w, line[len(line)/2:]+"\n")
@@ -207,47 +207,47 @@
 func (d *Discovery) Address() string { return d.server.Listener.Addr().String() }
 
 // Whole sets the answer for those who ask for the whole list.
-func (d *Discovery) Whole(list json.RawMessage) {
+func (d *Discovery) SetFullList(list json.RawMessage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.whole = list
+	d.fullList = list
 }
 
 // After is the version that the last watch continued from.
-func (d *Discovery) After() string {
+func (d *Discovery) WatchedFrom() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.after
+	return d.watchedFrom
 }
 
 // Break has the next line stop in its middle.
-func (d *Discovery) Break() {
+func (d *Discovery) TruncateNextLine() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.breaks = true
+	d.truncateNext = true
 }
 
-func (d *Discovery) broken() (yes bool) {
+func (d *Discovery) takeTruncation() (yes bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	yes, d.breaks = d.breaks, false
+	yes, d.truncateNext = d.truncateNext, false
 	return yes
 }
 
 // Watches is the number of watches that have been opened.
-func (d *Discovery) Watches() int {
+func (d *Discovery) WatchCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.watch
+	return d.watchCount
 }
 
-func (d *Discovery) watching() bool { return d.Watches() > 0 }
+func (d *Discovery) isWatched() bool { return d.WatchCount() > 0 }
 
 // Say sends a line to the watch as it is.
-func (d *Discovery) Say(line string) { d.lines <- line }
+func (d *Discovery) SendLine(line string) { d.lines <- line }
 
 // Tell makes a line of the list.
-func (d *Discovery) Tell(whole bool, endpoints ...map[string]any) json.RawMessage {
+func (d *Discovery) EncodeList(whole bool, endpoints ...map[string]any) json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.index++
@@ -255,26 +255,26 @@
 	return text
 }
 
-func entries(status string, workers []*Worker) (out []map[string]any) {
+func listEntries(status string, workers []*Worker) (out []map[string]any) {
 	for _, w := range workers {
-		out = append(out, w.Entry(status))
+		out = append(out, w.ListEntry(status))
 	}
 	return out
 }
 
 // Worker is a table worker. Do answers a job's request; nil stands for Done.
 type Worker struct {
-	Name string
-	Do   func(w *Worker, id string, rw http.ResponseWriter, r *http.Request)
+	Name   string
+	Handle func(w *Worker, id string, rw http.ResponseWriter, r *http.Request)
 	// Cut tells, where it is set, of a request whose connection is to be closed instead of an answer.
-	Cut func(r *http.Request) bool
+	ShouldDrop func(r *http.Request) bool
 
-	server  *httptest.Server
-	mu      sync.Mutex
-	back    string
-	jobs    []Job
-	deleted []string
-	conns   int
+	server      *httptest.Server
+	mu          sync.Mutex
+	callbackURL string
+	jobs        []Job
+	deleted     []string
+	connCount   int
 }
 
 // Job is a request that a worker got.
@@ -282,15 +282,15 @@
 
 // NewWorker starts a table worker.
 func NewWorker(t *testing.T, name string, do func(w *Worker, id string, rw http.ResponseWriter, r *http.Request)) *Worker {
-	w := &Worker{Name: name, Do: do}
+	w := &Worker{Name: name, Handle: do}
 	if do == nil {
-		w.Do = Done
+		w.Handle = CompleteJob
 	}
 	w.server = httptest.NewUnstartedServer(http.HandlerFunc(w.serve))
 	w.server.Config.ConnState = func(_ net.Conn, s http.ConnState) {
 		if s == http.StateNew {
 			w.mu.Lock()
-			w.conns++
+			w.connCount++
 			w.mu.Unlock()
 		}
 	}
@@ -300,7 +300,7 @@
 }
 
 func (w *Worker) serve(rw http.ResponseWriter, r *http.Request) {
-	if w.Cut != nil && w.Cut(r) {
+	if w.ShouldDrop != nil && w.ShouldDrop(r) {
 		c, _, _ := rw.(http.Hijacker).Hijack()
 		c.Close()
 		return
@@ -320,32 +320,32 @@
 	w.mu.Lock()
 	w.jobs = append(w.jobs, Job{id, r.URL.RequestURI(), string(body), r.Header.Get(platform.HeaderTimeLeft)})
 	w.mu.Unlock()
-	w.Do(w, id, rw, r)
+	w.Handle(w, id, rw, r)
 }
 
 // Done takes a job and calls back with a result that names worker and job.
-func Done(w *Worker, id string, rw http.ResponseWriter, _ *http.Request) {
+func CompleteJob(w *Worker, id string, rw http.ResponseWriter, _ *http.Request) {
 	rw.WriteHeader(202)
-	go w.Call(id, "done", map[string]any{"result": w.Name + " did " + id})
+	go w.SendCallback(id, "done", map[string]any{"result": w.Name + " did " + id})
 }
 
 // Call calls back.
-func (w *Worker) Call(id, state string, more map[string]any) int {
+func (w *Worker) SendCallback(id, state string, more map[string]any) int {
 	fields := map[string]any{"id": id, "from": w.Name, "state": state}
 	for k, v := range more {
 		fields[k] = v
 	}
 	w.mu.Lock()
-	url := w.back
+	url := w.callbackURL
 	w.mu.Unlock()
-	return Event(url, fields)
+	return PostCallback(url, fields)
 }
 
 // BackTo has a worker that was not there at the node's start call it back.
-func (w *Worker) BackTo(n *Node) {
+func (w *Worker) SendCallbacksTo(n *Node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.back = n.URL(platform.PathEvents)
+	w.callbackURL = n.URL(platform.PathEvents)
 }
 
 // Jobs are the requests that have come.
@@ -356,50 +356,52 @@
 }
 
 // Deleted tells whether a job has been given up by DELETE.
-func (w *Worker) Deleted(id string) bool {
+func (w *Worker) WasDeleted(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return strings.Contains(strings.Join(w.deleted, " "), id)
 }
 
 // Conns is the number of connections that have been opened to the worker.
-func (w *Worker) Conns() int {
+func (w *Worker) ConnCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.conns
+	return w.connCount
 }
 
 // Address is where the worker listens.
 func (w *Worker) Address() string { return w.server.Listener.Addr().String() }
 
 // Entry is the worker's entry of the list.
-func (w *Worker) Entry(status string) map[string]any { return Entry(w.Name, w.Address(), status) }
+func (w *Worker) ListEntry(status string) map[string]any {
+	return ListEntry(w.Name, w.Address(), status)
+}
 
 // Entry is the entry of the list of a worker at an address.
-func Entry(name, address, status string) map[string]any {
+func ListEntry(name, address, status string) map[string]any {
 	return map[string]any{"name": name, "address": address, "zone": "suva", "type": "gen1", "group": 0,
 		"status": status, "weight": 1.0, "since_ms": 0}
 }
 
 // Raw is a plain connection, for input that no client library would write.
-type Raw struct {
+type RawConn struct {
 	net.Conn
-	T *testing.T
-	R *bufio.Reader
+	T      *testing.T
+	Reader *bufio.Reader
 }
 
 // Dial opens a plain connection.
-func Dial(t *testing.T, address string) *Raw {
+func Dial(t *testing.T, address string) *RawConn {
 	c, err := net.Dial("tcp", address)
 	require.NoError(t, err)
-	c.SetDeadline(time.Now().Add(Patience))
+	c.SetDeadline(time.Now().Add(WaitTimeout))
 	t.Cleanup(func() { c.Close() })
-	return &Raw{c, t, bufio.NewReader(c)}
+	return &RawConn{c, t, bufio.NewReader(c)}
 }
 
 // Say writes text as it is. What it brings has Patience to come, however long the connection has stood.
-func (r *Raw) Say(text string) {
-	r.SetDeadline(time.Now().Add(Patience))
+func (r *RawConn) Send(text string) {
+	r.SetDeadline(time.Now().Add(WaitTimeout))
 	_, err := io.WriteString(r.Conn, text)
 	require.NoError(r.T, err)
 }
@@ -414,5 +416,5 @@
 func (n *Node) ClearLog() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.log = nil
+	n.logLines = nil
 }
--- a/internal/world/faults.go
+++ b/internal/world/faults.go
@@ -2,29 +2,29 @@
 
 import "cobaltflow/rules"
 
-func (w *World) planFaults() {
-	for _, f := range w.set.Faults {
-		w.at(f.At, func() { w.fault(f) })
+func (w *World) scheduleFaults() {
+	for _, f := range w.setup.Faults {
+		w.schedule(f.At, func() { w.injectFault(f) })
 	}
-	if w.set.RestartsPerS > 0 {
-		w.nextRestart()
+	if w.setup.RestartsPerS > 0 {
+		w.scheduleRestart()
 	}
 }
 
-func (w *World) fault(f Fault) {
+func (w *World) injectFault(f Fault) {
 	switch f.Kind {
 	case KillScheduler:
 		w.schedulers[f.Scheduler].kill()
-		w.spread(f.Scheduler, false)
+		w.announceMember(f.Scheduler, false)
 	case StartScheduler:
 		w.schedulers[f.Scheduler].start()
-		w.spread(f.Scheduler, true)
+		w.announceMember(f.Scheduler, true)
 	case PauseScheduler:
 		w.pause(f)
 	case SplitMembers:
-		w.splitUntil = w.now + f.For
-		w.split(false)
-		w.at(w.now+f.For, func() { w.split(true) })
+		w.splitUntil = w.now + f.Duration
+		w.announceHalves(false)
+		w.schedule(w.now+f.Duration, func() { w.announceHalves(true) })
 	case LoseZone:
 		w.loseZone(f)
 	}
@@ -33,51 +33,51 @@
 // kill ends a process with all that it holds. What it sent goes on at the workers; nobody hears of its end.
 func (x *scheduler) kill() {
 	for _, j := range x.jobs {
-		if j.due >= x.world.set.Warm {
+		if j.arrivedAt >= x.world.setup.WarmUp {
 			x.world.figures.Lost++
 		}
 	}
-	x.alive = false
-	x.starts++
+	x.isAlive = false
+	x.incarnation++
 	clear(x.jobs)
 	clear(x.sent)
 }
 
 // spread has the other members learn of one, each in its own time. What is over by then is not believed.
-func (w *World) spread(member int, alive bool) {
+func (w *World) announceMember(member int, alive bool) {
 	for _, x := range w.schedulers {
 		if x.rank == member {
 			continue
 		}
-		w.at(w.now+w.set.Detect.draw(w.rng), func() {
-			if w.answers(member) == alive {
-				x.decide(func() { x.believe(member, alive) })
+		w.schedule(w.now+w.setup.DetectionDelay.draw(w.rng), func() {
+			if w.sendsHeartbeats(member) == alive {
+				x.decide(func() { x.setMember(member, alive) })
 			}
 		})
 	}
 }
 
 // answers tells whether a member's heartbeats go out now.
-func (w *World) answers(member int) bool {
+func (w *World) sendsHeartbeats(member int) bool {
 	x := w.schedulers[member]
-	return x.alive && w.now >= x.pausedUntil
+	return x.isAlive && w.now >= x.pausedUntil
 }
 
 func (w *World) pause(f Fault) {
 	x := w.schedulers[f.Scheduler]
-	x.pausedUntil = w.now + f.For
-	w.spread(f.Scheduler, false)
-	w.at(x.pausedUntil, func() { w.spread(f.Scheduler, true) })
+	x.pausedUntil = w.now + f.Duration
+	w.announceMember(f.Scheduler, false)
+	w.schedule(x.pausedUntil, func() { w.announceMember(f.Scheduler, true) })
 }
 
 // split has each member learn that those of the other half are dead, or alive again.
-func (w *World) split(alive bool) {
+func (w *World) announceHalves(alive bool) {
 	half := len(w.schedulers) / 2
 	for _, x := range w.schedulers {
-		w.at(w.now+w.set.Detect.draw(w.rng), func() {
+		w.schedule(w.now+w.setup.DetectionDelay.draw(w.rng), func() {
 			for member := range w.schedulers {
-				if (member < half) != (x.rank < half) && w.schedulers[member].alive {
-					x.decide(func() { x.believe(member, alive) })
+				if (member < half) != (x.rank < half) && w.schedulers[member].isAlive {
+					x.decide(func() { x.setMember(member, alive) })
 				}
 			}
 		})
@@ -85,7 +85,7 @@
 }
 
 // cut tells whether messages between two schedulers are lost by a split.
-func (w *World) cut(x, y *scheduler) bool {
+func (w *World) isPartitioned(x, y *scheduler) bool {
 	half := len(w.schedulers) / 2
 	return w.now < w.splitUntil && (x.rank < half) != (y.rank < half)
 }
@@ -93,15 +93,15 @@
 func (w *World) loseZone(f Fault) {
 	var lost []*worker
 	for _, t := range w.workers {
-		if t.set.Zone == f.Zone && t.startedAt <= w.now {
+		if t.setup.Zone == f.Zone && t.startedAt <= w.now {
 			lost = append(lost, t)
 			w.loseWorker(t)
 		}
 	}
 	w.changeList(lost, rules.Gone)
-	w.at(w.now+f.For, func() {
+	w.schedule(w.now+f.Duration, func() {
 		for _, t := range lost {
-			t.down = false
+			t.isDown = false
 			t.startedAt, t.entry.StartedAt = w.now, w.now
 		}
 		w.changeList(lost, rules.Ready)
@@ -110,10 +110,10 @@
 
 // loseWorker ends a worker with what it runs and what waits there.
 func (w *World) loseWorker(t *worker) {
-	t.down = true
+	t.isDown = true
 	for _, p := range append(t.active, t.queue...) {
-		p.dead = true
-		w.end(p, rules.Reset)
+		p.isLost = true
+		w.reportOutcome(p, rules.Reset)
 	}
 	t.active, t.queue, t.running = nil, nil, 0
 }
@@ -124,21 +124,21 @@
 		t.entry.State = state
 	}
 	for _, x := range w.schedulers {
-		w.at(w.now+w.set.ListLate.draw(w.rng), func() { x.tellList(changed) })
+		w.schedule(w.now+w.setup.ListDelay.draw(w.rng), func() { x.deliverList(changed) })
 	}
 }
 
 // nextRestart has a worker drain and start anew. What it runs goes on meanwhile: the old process ends it.
-func (w *World) nextRestart() {
-	w.at(w.now+rules.Time(w.rng.ExpFloat64()/w.set.RestartsPerS*1e6), func() {
+func (w *World) scheduleRestart() {
+	w.schedule(w.now+rules.Time(w.rng.ExpFloat64()/w.setup.RestartsPerS*1e6), func() {
 		t := w.workers[w.rng.IntN(len(w.workers))]
-		if t.listed && t.entry.State == rules.Ready {
+		if t.isListed && t.entry.State == rules.Ready {
 			w.changeList([]*worker{t}, rules.Draining)
-			w.at(w.now+w.set.RestartTakes, func() {
+			w.schedule(w.now+w.setup.RestartDuration, func() {
 				t.startedAt, t.entry.StartedAt = w.now, w.now
 				w.changeList([]*worker{t}, rules.Ready)
 			})
 		}
-		w.nextRestart()
+		w.scheduleRestart()
 	})
 }
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -16,11 +16,11 @@
 // World plays one Setup.
 type World struct {
 	counts
-	set        Setup
+	setup      Setup
 	rng        *rand.Rand
 	now        rules.Time
 	events     events
-	order      uint64
+	seq        uint64
 	schedulers []*scheduler
 	workers    []*worker
 	byID       map[rules.WorkerID]*worker
@@ -30,16 +30,16 @@
 
 // event is something due. Of two due at once the first made goes first.
 type event struct {
-	at    rules.Time
-	order uint64
-	do    func()
+	at   rules.Time
+	seq  uint64
+	fire func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -51,34 +51,34 @@
 }
 
 // at has something done at a time, or now where that is over. What would be done after the end is let go.
-func (w *World) at(t rules.Time, do func()) {
-	w.order++
-	if t <= w.set.For {
-		heap.Push(&w.events, event{max(t, w.now), w.order, do})
+func (w *World) schedule(t rules.Time, do func()) {
+	w.seq++
+	if t <= w.setup.Duration {
+		heap.Push(&w.events, event{max(t, w.now), w.seq, do})
 	}
 }
 
 // Play plays a setup and gives its figures.
-func Play(s Setup) Figures {
-	w := &World{counts: newCounts(&s), set: s, rng: rand.New(rand.NewPCG(s.Seed, 0x776f726c64)), byID: map[rules.WorkerID]*worker{}, now: 1}
-	w.set.Workers = slices.Clone(s.Workers) // the caller's stay as they are
+func Simulate(s Setup) Figures {
+	w := &World{counts: newCounts(&s), setup: s, rng: rand.New(rand.NewPCG(s.Seed, 0x776f726c64)), byID: map[rules.WorkerID]*worker{}, now: 1}
+	w.setup.Workers = slices.Clone(s.Workers) // the caller's stay as they are
 	w.makeWorkers()
 	w.makeSchedulers()
-	w.clients(s.Load * w.capacity / s.meanRun())
-	w.at(s.Warm, w.sample)
-	w.planFaults()
-	for len(w.events) > 0 && w.events[0].at <= s.For {
+	w.startClients(s.Load * w.capacity / s.overallMeanRunTime())
+	w.schedule(s.WarmUp, w.sample)
+	w.scheduleFaults()
+	for len(w.events) > 0 && w.events[0].at <= s.Duration {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		e.do()
+		e.fire()
 	}
-	return w.sum()
+	return w.summarize()
 }
 
 func (w *World) makeWorkers() {
-	for i := range w.set.Workers {
-		k := &w.set.Workers[i]
-		k.Speed, k.Slow = cmp.Or(k.Speed, 1), cmp.Or(k.Slow, 1)
+	for i := range w.setup.Workers {
+		k := &w.setup.Workers[i]
+		k.Speed, k.Slowdown = cmp.Or(k.Speed, 1), cmp.Or(k.Slowdown, 1)
 		for range k.Count {
 			w.makeWorker(k)
 		}
@@ -87,19 +87,19 @@
 
 func (w *World) makeWorker(k *Worker) {
 	place := len(w.workers)
-	t := &worker{id: WorkerID(place), place: place, set: k, startedAt: k.Joins, lying: place < w.set.Lying, keys: map[uint64]rules.Time{}}
-	t.entry = rules.ListEntry{Worker: t.id, Zone: k.Zone, Weight: 1, StartedAt: k.Joins}
+	t := &worker{id: WorkerID(place), index: place, setup: k, startedAt: k.JoinsAt, isLying: place < w.setup.LyingWorkers, keyArrivedAt: map[uint64]rules.Time{}}
+	t.entry = rules.ListEntry{Worker: t.id, Zone: k.Zone, Weight: 1, StartedAt: k.JoinsAt}
 	w.workers = append(w.workers, t)
 	w.byID[t.id] = t
-	if k.Joins == 0 {
+	if k.JoinsAt == 0 {
 		w.capacity += float64(k.Slots) * k.Speed
-		t.listed = true
+		t.isListed = true
 		return
 	}
-	w.at(k.Joins, func() {
-		t.listed = true
+	w.schedule(k.JoinsAt, func() {
+		t.isListed = true
 		for _, x := range w.schedulers {
-			x.tellList([]*worker{t})
+			x.deliverList([]*worker{t})
 		}
 	})
 }
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -11,9 +11,9 @@
 
 // site is the deployment of docs/measurements/spread.md: 60 table workers of 4 slots, jobs of 0.5 s, reports late.
 func site() Setup {
-	return Setup{Schedulers: 100, Workers: []Worker{{Count: 60, Slots: 4}}, Shares: []float64{0.45, 0.45, 0.1}, Run: 500_000, Load: 0.8, Keys: 2000,
-		Queue: 1000, ReportAge: Span{470_000, 700_000}, ReportLate: Span{100_000, 200_000}, Noise: 0.05, Net: Span{100, 300},
-		Warm: 8_000_000, For: 40_000_000, Seed: 1,
+	return Setup{Schedulers: 100, Workers: []Worker{{Count: 60, Slots: 4}}, Shares: []float64{0.45, 0.45, 0.1}, MeanRunTime: 500_000, Load: 0.8, Keys: 2000,
+		MaxQueue: 1000, ReportAge: TimeRange{470_000, 700_000}, ReportDelay: TimeRange{100_000, 200_000}, Noise: 0.05, NetworkDelay: TimeRange{100, 300},
+		WarmUp: 8_000_000, Duration: 40_000_000, Seed: 1,
 		Rules: rules.Settings{Zones: 1, Kinds: 1, MayProbe: true, MayCancel: true, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 2_000_000,
 			ConnectTimeout: 150_000, ReportsStart: true, LoadInProbes: true, AnswerSlack: 10_000, DrainGrace: 1_000_000, SlowStartMinCapacity: 0.31,
 			SlowStartWindow: 8_900_000, OverloadFactor: 3, OverloadWindow: 1_000_000, ProbeCost: 0.0018, PeerMessageCost: 0.0096, CrossZoneCost: 0.13,
@@ -25,7 +25,7 @@
 
 // skewed has hot keys, and schedulers of which a tenth get ten times what the others get.
 func skewed(s Setup) Setup {
-	s.Skew, s.Unlike = 0.9, 10
+	s.Skew, s.BusySchedulerFactor = 0.9, 10
 	return s
 }
 
@@ -43,37 +43,37 @@
 	}
 }
 
-func now(v *View, i int) float64 { return float64(v.Now(i)) }
+func now(v *View, i int) float64 { return float64(v.JobsNow(i)) }
 
 func seen(v *View, i int) float64 {
-	n, _ := v.Seen(i)
+	n, _ := v.JobsReported(i)
 	return float64(n)
 }
 
 func short(s Setup) Setup {
-	s.Schedulers, s.Workers, s.For = 20, []Worker{{Count: 20, Slots: 4}}, 20_000_000
+	s.Schedulers, s.Workers, s.Duration = 20, []Worker{{Count: 20, Slots: 4}}, 20_000_000
 	return s
 }
 
 func TestTheSameSeedGivesTheSameRecord(t *testing.T) {
 	s := short(skewed(site()))
-	one := Play(s)
-	assert.Equal(t, one, Play(s))
+	one := Simulate(s)
+	assert.Equal(t, one, Simulate(s))
 	s.Seed = 2
-	assert.NotEqual(t, one, Play(s))
+	assert.NotEqual(t, one, Simulate(s))
 }
 
 // The model is right where the answer is known: with one slot of a queue of the kind M/M/1 at 0.5 the mean wait is one
 // running time, and the better a baseline sees, the less is waited.
 func TestBaselinesStandInTheirOrder(t *testing.T) {
 	s := site()
-	s.Schedulers, s.Workers, s.Load, s.Run, s.Warm, s.For = 1, []Worker{{Count: 20, Slots: 1}}, 0.5, 50_000, 0, 60_000_000
-	s.Choose = of(1, now)
-	assert.InDelta(t, 0.05, Play(s).WaitMean, 0.008)
+	s.Schedulers, s.Workers, s.Load, s.MeanRunTime, s.WarmUp, s.Duration = 1, []Worker{{Count: 20, Slots: 1}}, 0.5, 50_000, 0, 60_000_000
+	s.ChooseWorker = of(1, now)
+	assert.InDelta(t, 0.05, Simulate(s).WaitMean, 0.008)
 	waits := func(choose func(*View) int) float64 {
 		s := site()
-		s.Choose = choose
-		return Play(s).WaitMean
+		s.ChooseWorker = choose
+		return Simulate(s).WaitMean
 	}
 	all := []float64{waits(of(3, now)), waits(of(2, now)), waits(of(2, seen)), waits(of(1, now))}
 	assert.IsIncreasing(t, all)
@@ -84,33 +84,33 @@
 // cheaply less than two choices on fresh sight.
 func TestSchedulersTogetherSpreadBetterThanChance(t *testing.T) {
 	chance := site()
-	chance.Choose = of(1, now)
+	chance.ChooseWorker = of(1, now)
 	fresh := site()
-	fresh.Choose = of(2, now)
-	rules := Play(skewed(site()))
-	assert.Less(t, rules.WaitMean, 0.75*Play(chance).WaitMean)
-	assert.Less(t, rules.WaitP99, 0.75*Play(chance).WaitP99)
+	fresh.ChooseWorker = of(2, now)
+	rules := Simulate(skewed(site()))
+	assert.Less(t, rules.WaitMean, 0.75*Simulate(chance).WaitMean)
+	assert.Less(t, rules.WaitP99, 0.75*Simulate(chance).WaitP99)
 	assert.Less(t, float64(rules.Refused), 0.01*float64(rules.Jobs))
 	peers := site()
 	peers.Schedulers, peers.Rules.MayBroadcast, peers.Rules.PeerMessageCost = 20, true, 0.0001
-	assert.Less(t, Play(peers).WaitMean, Play(fresh).WaitMean)
+	assert.Less(t, Simulate(peers).WaitMean, Simulate(fresh).WaitMean)
 }
 
 // Where messages are dear and schedulers many, what they tell costs more than it earns: nothing is told.
 func TestManySchedulersTellNothingWhereMessagesAreDear(t *testing.T) {
 	s := site()
-	s.Schedulers, s.Rules.MayBroadcast, s.For = 300, true, 16_000_000
-	assert.Zero(t, Play(s).Messages)
+	s.Schedulers, s.Rules.MayBroadcast, s.Duration = 300, true, 16_000_000
+	assert.Zero(t, Simulate(s).Messages)
 	s.Schedulers = 3
-	assert.NotZero(t, Play(s).Messages)
+	assert.NotZero(t, Simulate(s).Messages)
 }
 
 // Where the words of jobs' ends get lost, those jobs don't fill the books until their clients' patience is over: a third
 // of the messages lost had 46 % of all jobs refused beside free slots.
 func TestLostMessagesDoNotFillTheBooks(t *testing.T) {
 	s := site()
-	s.Rules.MayBroadcast, s.Rules.PeerMessageCost, s.PeersLost, s.For = true, 0.0001, 1.0/3, 24_000_000
-	f := Play(s)
+	s.Rules.MayBroadcast, s.Rules.PeerMessageCost, s.PeerMessageLoss, s.Duration = true, 0.0001, 1.0/3, 24_000_000
+	f := Simulate(s)
 	assert.Less(t, float64(f.Refused), 0.01*float64(f.Jobs))
 	assert.Less(t, f.WaitMean, 0.2)
 }
@@ -119,10 +119,10 @@
 func TestWorkersThatJoinAreNotRunOver(t *testing.T) {
 	for _, schedulers := range []int{20, 100} {
 		s := skewed(site())
-		s.Schedulers, s.Workers = schedulers, []Worker{{Count: 50, Slots: 4}, {Count: 10, Slots: 4, Joins: 12_000_000}}
-		f := Play(s)
-		assert.Less(t, f.MostAtCold, 1.0, "%d schedulers", schedulers)
-		assert.Positive(t, f.MostAtCold, "%d schedulers", schedulers)
+		s.Schedulers, s.Workers = schedulers, []Worker{{Count: 50, Slots: 4}, {Count: 10, Slots: 4, JoinsAt: 12_000_000}}
+		f := Simulate(s)
+		assert.Less(t, f.MaxColdWork, 1.0, "%d schedulers", schedulers)
+		assert.Positive(t, f.MaxColdWork, "%d schedulers", schedulers)
 	}
 }
 
@@ -133,24 +133,24 @@
 		s := site()
 		s.Seed = rapid.Uint64Range(1, 1<<40).Draw(t, "seed")
 		s.Schedulers = rapid.IntRange(1, 40).Draw(t, "schedulers")
-		s.Warm, s.For = 0, 9_000_000
+		s.WarmUp, s.Duration = 0, 9_000_000
 		for i := range s.Rules.Classes {
 			s.Rules.Classes[i].Deadline = 2_500_000 // or the run is over before most answers are due
 		}
 		s.Load = rapid.Float64Range(0.2, 1.6).Draw(t, "load")
 		s.Skew = rapid.Float64Range(0, 1.3).Draw(t, "skew")
-		s.Queue = rapid.IntRange(2, 60).Draw(t, "queue")
+		s.MaxQueue = rapid.IntRange(2, 60).Draw(t, "queue")
 		s.Rules.MayProbe = rapid.Bool().Draw(t, "probes")
 		s.Rules.MayBroadcast = rapid.Bool().Draw(t, "peers")
 		s.Rules.PeerMessageCost = rapid.SampledFrom([]float64{0, 0.0096}).Draw(t, "peer price")
-		s.PeersLost = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "lost")
+		s.PeerMessageLoss = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "lost")
 		s.Workers = []Worker{{Count: rapid.IntRange(2, 20).Draw(t, "workers"), Slots: rapid.IntRange(1, 8).Draw(t, "slots")},
-			{Count: rapid.IntRange(0, 4).Draw(t, "slow"), Slots: 4, Slow: 4},
-			{Count: rapid.IntRange(0, 4).Draw(t, "joining"), Slots: 4, Joins: 3_000_000}}
-		s.Lying = rapid.IntRange(0, 2).Draw(t, "lying")
-		f := Play(s)
-		if f.Twice > 0 || f.Late > 0 || f.MostAtCold >= 1 {
-			t.Fatalf("%d started twice, %d without an answer, %.2f of what a cold worker bears", f.Twice, f.Late, f.MostAtCold)
+			{Count: rapid.IntRange(0, 4).Draw(t, "slow"), Slots: 4, Slowdown: 4},
+			{Count: rapid.IntRange(0, 4).Draw(t, "joining"), Slots: 4, JoinsAt: 3_000_000}}
+		s.LyingWorkers = rapid.IntRange(0, 2).Draw(t, "lying")
+		f := Simulate(s)
+		if f.StartedTwice > 0 || f.Overdue > 0 || f.MaxColdWork >= 1 {
+			t.Fatalf("%d started twice, %d without an answer, %.2f of what a cold worker bears", f.StartedTwice, f.Overdue, f.MaxColdWork)
 		}
 	})
 }
