--- a/internal/standin/faktory.go
+++ b/internal/standin/faktory.go
@@ -13,13 +13,14 @@
 	"cobaltflow/internal/faktory"
 )
 
-// Faktory is a client or worker of the Faktory work protocol, written from its public specification.
+// Faktory is a client or worker of the Faktory work protocol, written from its public specification. Its methods fail the
+// test on a malformed reply.
 type Faktory struct {
 	*RawConn
-	HandshakeReply string
+	HandshakeReply string // the reply to HELLO
 }
 
-// NewFaktory connects and says HELLO; wid makes it a worker.
+// NewFaktory connects and sends HELLO; a non-empty wid makes the connection a worker's.
 func NewFaktory(t *testing.T, address, wid, password string) *Faktory {
 	f := &Faktory{RawConn: Dial(t, address)}
 	f.HandshakeReply = f.Reply()
@@ -27,21 +28,21 @@
 	if wid != "" {
 		hello["wid"] = wid
 	}
-	var hi struct {
+	var greeting struct {
 		S string `json:"s"`
 		I int    `json:"i"`
 	}
-	require.NoError(t, json.Unmarshal([]byte(strings.TrimPrefix(f.HandshakeReply, "HI ")), &hi))
-	if hi.S != "" {
-		hello["pwdhash"] = faktory.PasswordHash(password, hi.S, hi.I)
+	require.NoError(t, json.Unmarshal([]byte(strings.TrimPrefix(f.HandshakeReply, "HI ")), &greeting))
+	if greeting.S != "" {
+		hello["pwdhash"] = faktory.PasswordHash(password, greeting.S, greeting.I)
 	}
 	text, _ := json.Marshal(hello)
 	f.HandshakeReply = f.Do("HELLO", string(text))
 	return f
 }
 
-// Reply reads one reply: the text of a simple string or bulk string, "(none)" for the null string, and
-// an error with its "-" before it.
+// Reply reads one reply. It returns the text of a simple string or bulk string, "(none)" for the null string, an error
+// with its leading "-", and "(closed)" at the end of the connection.
 func (f *Faktory) Reply() string {
 	line, err := f.Reader.ReadString('\n')
 	if err != nil {
@@ -71,12 +72,13 @@
 	return f.Reply()
 }
 
-// Push pushes a job.
+// Push pushes a job with leftMS milliseconds to its deadline and returns the reply.
 func (f *Faktory) Push(jid, jobtype string, leftMS int) string {
 	return f.Do("PUSH", fmt.Sprintf(`{"jid":%q,"jobtype":%q,"args":[1,"a"],"custom":{"time_left_ms":%d}}`, jid, jobtype, leftMS))
 }
 
-// Fetch fetches from the default queue until there is a job, and gives its jid; empty: none came.
+// Fetch sends one FETCH for the default queue and returns the job's ID and type. Without a job the ID is empty, and
+// jobtype holds the reply's text.
 func (f *Faktory) Fetch() (jid, jobtype string) {
 	text := f.Do("FETCH", "default")
 	var job struct{ JID, Jobtype string }
@@ -86,7 +88,7 @@
 	return job.JID, job.Jobtype
 }
 
-// State looks a job up.
+// JobState returns the job's state as TRACK GET reports it.
 func (f *Faktory) JobState(jid string) string {
 	var track struct{ State string }
 	require.NoError(f.T, json.Unmarshal([]byte(f.Do("TRACK", "GET "+jid)), &track))
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin holds what the tests put in the place of the outside: clients, table workers and
-// discovery of the platform, and Faktory clients and workers, all on the loopback address, with ports
-// from the kernel. They follow the public specifications and decide nothing.
+// Package standin holds the fakes that the integration tests use: clients, table workers and a discovery server of the
+// platform, and Faktory clients and workers. All of them listen on ports that the kernel picks on the loopback address,
+// follow the public specifications and make no scheduling decision. Only tests import it.
 package standin
 
 import (
@@ -29,10 +29,10 @@
 	"cobaltflow/rules"
 )
 
-// Patience is how long a test waits for a condition that has to come true.
+// WaitTimeout bounds how long a test waits for a condition that has to become true.
 const WaitTimeout = 10 * time.Second
 
-// Node is a scheduler within the test's process.
+// Node is a scheduler that runs within the test's process.
 type Node struct {
 	T         *testing.T
 	Conf      *config.Config
@@ -43,13 +43,14 @@
 	Faktory   *faktory.Front
 	HTTP2     *http2.Front
 	Discovery *Discovery
-	Ended     chan struct{}
+	Ended     chan struct{} // closed when the gateway's Run has returned
 
 	mu       sync.Mutex
 	logLines []string
 }
 
-// Start runs a node that knows the workers; change may alter the configuration first.
+// Start runs a node whose worker list holds the workers, and stops it when the test ends. change, which may be nil, edits
+// the configuration before the start. Start returns once the node watches the fake discovery server, if it uses that one.
 func Start(t *testing.T, change func(*config.Config), workers ...*Worker) *Node {
 	t.Helper()
 	n := &Node{T: t, Discovery: NewDiscovery(t), Ended: make(chan struct{})}
@@ -91,7 +92,7 @@
 	return n
 }
 
-// Write takes a line of the log.
+// Write implements io.Writer for the node's logger and stores the line.
 func (n *Node) Write(line []byte) (int, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -99,52 +100,53 @@
 	return len(line), nil
 }
 
-// Logged tells whether a line with the text has been logged.
+// HasLogged reports whether the log contains the text.
 func (n *Node) HasLogged(text string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return strings.Contains(strings.Join(n.logLines, "\n"), text)
 }
 
-// URL is where a client finds a path.
+// URL returns the URL of a path on the node's HTTP/1.1 front.
 func (n *Node) URL(path string) string { return "http://" + n.Front.Address() + path }
 
-// Eventually waits for a condition.
+// Eventually fails the test unless the condition becomes true within WaitTimeout.
 func (n *Node) Eventually(f func() bool) {
 	n.T.Helper()
 	require.Eventually(n.T, f, WaitTimeout, time.Millisecond)
 }
 
-// On runs a function on the loop and waits for it.
+// RunOnLoop runs a function on the node's loop and waits until it has returned.
 func (n *Node) RunOnLoop(f func()) {
 	done := make(chan struct{})
 	n.Loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// Answer is what a client got.
+// Answer is the final answer that a client received. Status is 0, and Body the error, if there was none.
 type Answer struct {
 	Status     int
 	Body       string
 	RetryAfter string
 }
 
-// Ask sends a request as a client would and waits for the answer. It may be called from any goroutine.
+// SendRequest sends a request over HTTP/1.1 with leftMS milliseconds to its deadline, and waits for the answer. It may be
+// called from any goroutine.
 func (n *Node) SendRequest(class, key, id string, leftMS int, body string) Answer {
-	q, _ := http.NewRequest("POST", n.URL("/"+class+"/"+key), strings.NewReader(body))
-	q.Header.Set(platform.HeaderID, id)
-	q.Header.Set(platform.HeaderClass, class)
-	q.Header.Set(platform.HeaderTimeLeft, fmt.Sprint(leftMS))
-	r, err := http.DefaultClient.Do(q)
+	req, _ := http.NewRequest("POST", n.URL("/"+class+"/"+key), strings.NewReader(body))
+	req.Header.Set(platform.HeaderID, id)
+	req.Header.Set(platform.HeaderClass, class)
+	req.Header.Set(platform.HeaderTimeLeft, fmt.Sprint(leftMS))
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return Answer{Body: err.Error()}
 	}
-	defer r.Body.Close()
-	text, _ := io.ReadAll(r.Body)
-	return Answer{Status: r.StatusCode, Body: string(text), RetryAfter: r.Header.Get("Retry-After")}
+	defer resp.Body.Close()
+	text, _ := io.ReadAll(resp.Body)
+	return Answer{Status: resp.StatusCode, Body: string(text), RetryAfter: resp.Header.Get("Retry-After")}
 }
 
-// Event sends a callback and gives the status that came back.
+// PostCallback sends a worker's callback and returns the HTTP status of the reply; 0 means that none arrived.
 func PostCallback(url string, fields map[string]any) int {
 	text, _ := json.Marshal(fields)
 	r, err := http.Post(url, "application/json", bytes.NewReader(text))
@@ -155,7 +157,7 @@
 	return r.StatusCode
 }
 
-// Discovery tells a node of the farm.
+// Discovery is a fake discovery server: it serves the worker list and streams updates to those who watch it.
 type Discovery struct {
 	server       *httptest.Server
 	mu           sync.Mutex
@@ -167,7 +169,7 @@
 	truncateNext bool
 }
 
-// NewDiscovery starts one that has nothing to tell.
+// NewDiscovery starts a discovery server with an empty list.
 func NewDiscovery(t *testing.T) *Discovery {
 	d := &Discovery{lines: make(chan string, 64)}
 	d.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -186,7 +188,7 @@
 		for {
 			select {
 			case line := <-d.lines:
-				// In two parts, as a line may come.
+				// A line is sent in two writes, as the network may split it.
 				io.WriteString(w, line[:len(line)/2])
 				w.(http.Flusher).Flush()
 				if d.takeTruncation() {
@@ -203,38 +205,39 @@
 	return d
 }
 
-// Address is where discovery listens.
+// Address returns the host and port that the server listens on.
 func (d *Discovery) Address() string { return d.server.Listener.Addr().String() }
 
-// Whole sets the answer for those who ask for the whole list.
+// SetFullList sets the answer to requests for the complete list.
 func (d *Discovery) SetFullList(list json.RawMessage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fullList = list
 }
 
-// After is the version that the last watch continued from.
+// WatchedFrom returns the list version that the latest watch resumed from.
 func (d *Discovery) WatchedFrom() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.watchedFrom
 }
 
-// Break has the next line stop in its middle.
+// TruncateNextLine makes the server send only the first half of the next line.
 func (d *Discovery) TruncateNextLine() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.truncateNext = true
 }
 
-func (d *Discovery) takeTruncation() (yes bool) {
+// takeTruncation reports whether to truncate the present line, and resets the flag.
+func (d *Discovery) takeTruncation() (truncate bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	yes, d.truncateNext = d.truncateNext, false
-	return yes
+	truncate, d.truncateNext = d.truncateNext, false
+	return truncate
 }
 
-// Watches is the number of watches that have been opened.
+// WatchCount returns how many watches have been opened so far.
 func (d *Discovery) WatchCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -243,15 +246,15 @@
 
 func (d *Discovery) isWatched() bool { return d.WatchCount() > 0 }
 
-// Say sends a line to the watch as it is.
+// SendLine sends a line unchanged to the open watch.
 func (d *Discovery) SendLine(line string) { d.lines <- line }
 
-// Tell makes a line of the list.
-func (d *Discovery) EncodeList(whole bool, endpoints ...map[string]any) json.RawMessage {
+// EncodeList encodes endpoints as the next version of the list: a complete one, or an update.
+func (d *Discovery) EncodeList(full bool, endpoints ...map[string]any) json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.index++
-	text, _ := json.Marshal(map[string]any{"index": d.index, "snapshot": whole, "endpoints": endpoints})
+	text, _ := json.Marshal(map[string]any{"index": d.index, "snapshot": full, "endpoints": endpoints})
 	return text
 }
 
@@ -262,11 +265,11 @@
 	return out
 }
 
-// Worker is a table worker. Do answers a job's request; nil stands for Done.
+// Worker is a fake table worker. Handle answers the request of a job; NewWorker replaces nil by CompleteJob.
 type Worker struct {
 	Name   string
 	Handle func(w *Worker, id string, rw http.ResponseWriter, r *http.Request)
-	// Cut tells, where it is set, of a request whose connection is to be closed instead of an answer.
+	// ShouldDrop, if set, selects the requests whose connection is closed without an answer.
 	ShouldDrop func(r *http.Request) bool
 
 	server      *httptest.Server
@@ -277,10 +280,10 @@
 	connCount   int
 }
 
-// Job is a request that a worker got.
+// Job is a job's request as the worker received it.
 type Job struct{ ID, Target, Body, TimeLeft string }
 
-// NewWorker starts a table worker.
+// NewWorker starts a table worker. It stops when the test ends.
 func NewWorker(t *testing.T, name string, do func(w *Worker, id string, rw http.ResponseWriter, r *http.Request)) *Worker {
 	w := &Worker{Name: name, Handle: do}
 	if do == nil {
@@ -323,13 +326,13 @@
 	w.Handle(w, id, rw, r)
 }
 
-// Done takes a job and calls back with a result that names worker and job.
+// CompleteJob accepts a job with 202 and sends a callback at once, with a result that names the worker and the job.
 func CompleteJob(w *Worker, id string, rw http.ResponseWriter, _ *http.Request) {
 	rw.WriteHeader(202)
 	go w.SendCallback(id, "done", map[string]any{"result": w.Name + " did " + id})
 }
 
-// Call calls back.
+// SendCallback sends a callback about a job with additional fields, and returns the HTTP status of the reply.
 func (w *Worker) SendCallback(id, state string, more map[string]any) int {
 	fields := map[string]any{"id": id, "from": w.Name, "state": state}
 	for k, v := range more {
@@ -341,56 +344,56 @@
 	return PostCallback(url, fields)
 }
 
-// BackTo has a worker that was not there at the node's start call it back.
+// SendCallbacksTo sets the node that receives the worker's callbacks; Start does so for the workers that it is given.
 func (w *Worker) SendCallbacksTo(n *Node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.callbackURL = n.URL(platform.PathEvents)
 }
 
-// Jobs are the requests that have come.
+// Jobs returns the jobs' requests received so far.
 func (w *Worker) Jobs() []Job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Job(nil), w.jobs...)
 }
 
-// Deleted tells whether a job has been given up by DELETE.
+// WasDeleted reports whether a DELETE has cancelled the job.
 func (w *Worker) WasDeleted(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return strings.Contains(strings.Join(w.deleted, " "), id)
 }
 
-// Conns is the number of connections that have been opened to the worker.
+// ConnCount returns how many connections have been opened to the worker so far.
 func (w *Worker) ConnCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.connCount
 }
 
-// Address is where the worker listens.
+// Address returns the host and port that the worker listens on.
 func (w *Worker) Address() string { return w.server.Listener.Addr().String() }
 
-// Entry is the worker's entry of the list.
+// ListEntry returns the worker's entry of the worker list.
 func (w *Worker) ListEntry(status string) map[string]any {
 	return ListEntry(w.Name, w.Address(), status)
 }
 
-// Entry is the entry of the list of a worker at an address.
+// ListEntry returns the worker list's entry for a worker at an address.
 func ListEntry(name, address, status string) map[string]any {
 	return map[string]any{"name": name, "address": address, "zone": "suva", "type": "gen1", "group": 0,
 		"status": status, "weight": 1.0, "since_ms": 0}
 }
 
-// Raw is a plain connection, for input that no client library would write.
+// RawConn is a TCP connection for input that no client library would send.
 type RawConn struct {
 	net.Conn
 	T      *testing.T
 	Reader *bufio.Reader
 }
 
-// Dial opens a plain connection.
+// Dial opens a raw connection. It is closed when the test ends.
 func Dial(t *testing.T, address string) *RawConn {
 	c, err := net.Dial("tcp", address)
 	require.NoError(t, err)
@@ -399,20 +402,21 @@
 	return &RawConn{c, t, bufio.NewReader(c)}
 }
 
-// Say writes text as it is. What it brings has Patience to come, however long the connection has stood.
+// Send writes text unchanged and moves the connection's deadline to WaitTimeout from now, so that a reply has the full
+// time even on a connection that was idle before.
 func (r *RawConn) Send(text string) {
 	r.SetDeadline(time.Now().Add(WaitTimeout))
 	_, err := io.WriteString(r.Conn, text)
 	require.NoError(r.T, err)
 }
 
-// Stop has the worker's process die.
+// Stop closes the worker's listener and all its connections, as the death of its process would.
 func (w *Worker) Stop() {
 	w.server.CloseClientConnections()
 	w.server.Close()
 }
 
-// ClearLog forgets what was logged.
+// ClearLog drops the log lines stored so far.
 func (n *Node) ClearLog() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/world/clients.go
+++ b/internal/world/clients.go
@@ -8,34 +8,35 @@
 	"cobaltflow/rules"
 )
 
-// keySpread makes the numbers of keys into keys that are spread evenly.
+// keyMultiplier spreads consecutive numbers over the 64-bit keys: 2^64 divided by the golden ratio (Fibonacci hashing).
 const keyMultiplier = 0x9e3779b97f4a7c15
 
-// Key gives the key of the decisions for the n-th of Setup.Keys, from 0; the first is asked for most.
+// Key returns the key that the dispatchers see for the n-th of Setup.Keys, counted from 0. Key 0 is the most frequent.
 func Key(n int) uint64 { return uint64(n+1) * keyMultiplier }
 
+// job is a request from its arrival at a scheduler to its answer.
 type job struct {
 	id         rules.RequestID
 	scheduler  *scheduler
 	class      int
-	key        uint64
-	runTime    float64
+	key        uint64  // number of the key, from 1
+	runTime    float64 // microseconds at speed 1
 	arrivedAt  rules.Time
 	deadline   rules.Time
-	startCount int
+	startCount int // how often a worker has started it
 }
 
-// clients is the open loop in which jobs come.
+// clients generates jobs in an open loop: at a rate that does not depend on the answers.
 type clients struct {
 	world                    *World
-	rate                     float64 // jobs a microsecond
+	rate                     float64 // jobs per microsecond
 	jobCount                 int
-	keyWeights, classWeights []float64 // cumulated
-	schedulerWeights         []float64 // cumulated, of the schedulers
+	keyWeights, classWeights []float64 // cumulative
+	schedulerWeights         []float64 // cumulative
 	view                     View
 }
 
-// clients has jobs come, so many a microsecond.
+// startClients starts generating jobs, rate of them per microsecond on average.
 func (w *World) startClients(rate float64) {
 	s := &w.setup
 	c := &clients{world: w, rate: rate}
@@ -55,7 +56,7 @@
 	c.scheduleNext()
 }
 
-// wait lets the next job come. During the ramp as many jobs more come as a steady state has in hand.
+// scheduleNext schedules the next job's arrival. During the ramp-up it adds as many jobs as run in the steady state.
 func (c *clients) scheduleNext() {
 	w, rate := c.world, c.rate
 	if w.now < w.setup.RampUp {
@@ -64,72 +65,75 @@
 	w.schedule(w.now+rules.Time(w.rng.ExpFloat64()/rate), c.submit)
 }
 
+// submit creates a job, gives it to a scheduler and schedules the next one.
 func (c *clients) submit() {
 	w, s := c.world, &c.world.setup
 	c.jobCount++
-	to := w.rng.Float64()
+	random := w.rng.Float64()
 	j := &job{id: rules.RequestID(fmt.Sprintf("q%d", c.jobCount)), class: draw.Pick(c.classWeights, w.rng.Float64()), key: uint64(draw.Pick(c.keyWeights, w.rng.Float64())) + 1, arrivedAt: w.now}
 	j.runTime = s.meanRunTimeOf(j.class) * w.rng.ExpFloat64()
-	x := c.pickScheduler(j, to)
+	sc := c.pickScheduler(j, random)
 	class := &s.Rules.Classes[j.class]
-	j.scheduler, j.deadline = x, w.now+class.Deadline
+	j.scheduler, j.deadline = sc, w.now+class.Deadline
 	if w.isCounting() {
 		w.figures.Jobs++
 		w.offeredValue[j.class] += class.Value
 	}
-	x.jobs[j.id] = j
+	sc.jobs[j.id] = j
 	w.schedule(j.deadline+s.Rules.AnswerSlack+1, func() {
-		if x.jobs[j.id] != nil {
+		if sc.jobs[j.id] != nil {
 			w.figures.Overdue++
 		}
 	})
 	if s.ChooseWorker != nil {
-		x.Send(j.id, 0, w.workers[s.ChooseWorker(&c.view)].id)
+		sc.Send(j.id, 0, w.workers[s.ChooseWorker(&c.view)].id)
 	} else {
-		x.decide(func() {
-			x.dispatcher.Request(w.now, &rules.Request{ID: j.id, Class: j.class, Tenant: -1, Key: j.key * keyMultiplier, HasKey: true, Deadline: j.deadline})
+		sc.decide(func() {
+			sc.dispatcher.Request(w.now, &rules.Request{ID: j.id, Class: j.class, Tenant: -1, Key: j.key * keyMultiplier, HasKey: true, Deadline: j.deadline})
 		})
 	}
 	c.scheduleNext()
 }
 
-// scheduler picks the one that a job comes to, by a draw from 0 to under 1. A client that finds it dead draws again.
-func (c *clients) pickScheduler(j *job, to float64) *scheduler {
+// pickScheduler returns the scheduler that a job goes to, chosen by a random number in [0, 1). If that scheduler is dead the
+// client draws again.
+func (c *clients) pickScheduler(j *job, random float64) *scheduler {
 	w := c.world
 	for try := 0; ; try++ {
-		x := c.drawScheduler(j, to, try)
-		if x.isAlive {
-			return x
+		sc := c.drawScheduler(j, random, try)
+		if sc.isAlive {
+			return sc
 		}
-		to = w.rng.Float64()
+		random = w.rng.Float64()
 	}
 }
 
-// triesNear is how often a client tries the schedulers of its key or zone before it takes any.
+// maxLocalTries is how many schedulers of its key or zone a client tries before it takes any scheduler.
 const maxLocalTries = 8
 
-func (c *clients) drawScheduler(j *job, to float64, try int) *scheduler {
+// drawScheduler returns the scheduler that a random number selects in a client's try, by Setup.Traffic.
+func (c *clients) drawScheduler(j *job, random float64, try int) *scheduler {
 	w, s := c.world, &c.world.setup
 	switch {
 	case try >= maxLocalTries || s.Traffic == Evenly:
-		return w.schedulers[draw.Pick(c.schedulerWeights, to)]
+		return w.schedulers[draw.Pick(c.schedulerWeights, random)]
 	case s.Traffic == ByKey:
 		ofKey := SchedulersForKey(int(j.key)-1, s.Schedulers, s.SchedulersPerKey)
-		return w.schedulers[ofKey[int(to*float64(len(ofKey)))]]
+		return w.schedulers[ofKey[int(random*float64(len(ofKey)))]]
 	}
 	zones := min(max(1, s.Rules.Zones), s.Schedulers)
-	zone := int(to * float64(zones))
+	zone := int(random * float64(zones))
 	inZone := (s.Schedulers - zone + zones - 1) / zones
-	within := to*float64(zones) - float64(zone)
+	within := random*float64(zones) - float64(zone)
 	return w.schedulers[zone+zones*int(within*float64(inZone))]
 }
 
-// SchedulersOf gives the schedulers that the jobs of the n-th key come to under ByKey: so many one after another.
+// SchedulersForKey returns the schedulers that get the jobs of the n-th key under ByKey: perKey consecutive ones.
 func SchedulersForKey(n, schedulers, perKey int) []int {
 	first := int(Key(n) >> 33 % uint64(schedulers))
-	var of []int
+	var ranks []int
 	for i := range min(max(1, perKey), schedulers) {
-		of = append(of, (first+i)%schedulers)
+		ranks = append(ranks, (first+i)%schedulers)
 	}
-	return of
+	return ranks
 }
--- a/internal/world/faults.go
+++ b/internal/world/faults.go
@@ -2,6 +2,7 @@
 
 import "cobaltflow/rules"
 
+// scheduleFaults schedules the faults and restarts of the setup.
 func (w *World) scheduleFaults() {
 	for _, f := range w.setup.Faults {
 		w.schedule(f.At, func() { w.injectFault(f) })
@@ -11,6 +12,7 @@
 	}
 }
 
+// injectFault applies a fault that is due.
 func (w *World) injectFault(f Fault) {
 	switch f.Kind {
 	case KillScheduler:
@@ -30,113 +32,117 @@
 	}
 }
 
-// kill ends a process with all that it holds. What it sent goes on at the workers; nobody hears of its end.
-func (x *scheduler) kill() {
-	for _, j := range x.jobs {
-		if j.arrivedAt >= x.world.setup.WarmUp {
-			x.world.figures.Lost++
+// kill ends a scheduler process with all its requests. Its attempts continue at the workers; their outcomes are dropped.
+func (sc *scheduler) kill() {
+	for _, j := range sc.jobs {
+		if j.arrivedAt >= sc.world.setup.WarmUp {
+			sc.world.figures.Lost++
 		}
 	}
-	x.isAlive = false
-	x.incarnation++
-	clear(x.jobs)
-	clear(x.sent)
+	sc.isAlive = false
+	sc.incarnation++
+	clear(sc.jobs)
+	clear(sc.sent)
 }
 
-// spread has the other members learn of one, each in its own time. What is over by then is not believed.
+// announceMember lets each other scheduler learn that one failed or started, after a delay of its own. A change that was
+// reversed in the meantime has no effect.
 func (w *World) announceMember(member int, alive bool) {
-	for _, x := range w.schedulers {
-		if x.rank == member {
+	for _, sc := range w.schedulers {
+		if sc.rank == member {
 			continue
 		}
 		w.schedule(w.now+w.setup.DetectionDelay.draw(w.rng), func() {
 			if w.sendsHeartbeats(member) == alive {
-				x.decide(func() { x.setMember(member, alive) })
+				sc.decide(func() { sc.setMember(member, alive) })
 			}
 		})
 	}
 }
 
-// answers tells whether a member's heartbeats go out now.
+// sendsHeartbeats reports whether a scheduler is running and not paused.
 func (w *World) sendsHeartbeats(member int) bool {
-	x := w.schedulers[member]
-	return x.isAlive && w.now >= x.pausedUntil
+	sc := w.schedulers[member]
+	return sc.isAlive && w.now >= sc.pausedUntil
 }
 
+// pause stops a scheduler for the duration of a fault.
 func (w *World) pause(f Fault) {
-	x := w.schedulers[f.Scheduler]
-	x.pausedUntil = w.now + f.Duration
+	sc := w.schedulers[f.Scheduler]
+	sc.pausedUntil = w.now + f.Duration
 	w.announceMember(f.Scheduler, false)
-	w.schedule(x.pausedUntil, func() { w.announceMember(f.Scheduler, true) })
+	w.schedule(sc.pausedUntil, func() { w.announceMember(f.Scheduler, true) })
 }
 
-// split has each member learn that those of the other half are dead, or alive again.
+// announceHalves lets each scheduler learn, after a delay of its own, that those of the other half are dead, or alive again.
 func (w *World) announceHalves(alive bool) {
 	half := len(w.schedulers) / 2
-	for _, x := range w.schedulers {
+	for _, sc := range w.schedulers {
 		w.schedule(w.now+w.setup.DetectionDelay.draw(w.rng), func() {
 			for member := range w.schedulers {
-				if (member < half) != (x.rank < half) && w.schedulers[member].isAlive {
-					x.decide(func() { x.setMember(member, alive) })
+				if (member < half) != (sc.rank < half) && w.schedulers[member].isAlive {
+					sc.decide(func() { sc.setMember(member, alive) })
 				}
 			}
 		})
 	}
 }
 
-// cut tells whether messages between two schedulers are lost by a split.
-func (w *World) isPartitioned(x, y *scheduler) bool {
+// isPartitioned reports whether a network partition separates two schedulers now.
+func (w *World) isPartitioned(sc, peer *scheduler) bool {
 	half := len(w.schedulers) / 2
-	return w.now < w.splitUntil && (x.rank < half) != (y.rank < half)
+	return w.now < w.splitUntil && (sc.rank < half) != (peer.rank < half)
 }
 
+// loseZone fails the running workers of a zone and restarts them, cold, after the fault's duration.
 func (w *World) loseZone(f Fault) {
 	var lost []*worker
-	for _, t := range w.workers {
-		if t.setup.Zone == f.Zone && t.startedAt <= w.now {
-			lost = append(lost, t)
-			w.loseWorker(t)
+	for _, wk := range w.workers {
+		if wk.setup.Zone == f.Zone && wk.startedAt <= w.now {
+			lost = append(lost, wk)
+			w.loseWorker(wk)
 		}
 	}
 	w.changeList(lost, rules.Gone)
 	w.schedule(w.now+f.Duration, func() {
-		for _, t := range lost {
-			t.isDown = false
-			t.startedAt, t.entry.StartedAt = w.now, w.now
+		for _, wk := range lost {
+			wk.isDown = false
+			wk.startedAt, wk.entry.StartedAt = w.now, w.now
 		}
 		w.changeList(lost, rules.Ready)
 	})
 }
 
-// loseWorker ends a worker with what it runs and what waits there.
-func (w *World) loseWorker(t *worker) {
-	t.isDown = true
-	for _, p := range append(t.active, t.queue...) {
-		p.isLost = true
-		w.reportOutcome(p, rules.Reset)
+// loseWorker stops a worker and resets its attempts, running and queued.
+func (w *World) loseWorker(wk *worker) {
+	wk.isDown = true
+	for _, a := range append(wk.active, wk.queue...) {
+		a.isLost = true
+		w.reportOutcome(a, rules.Reset)
 	}
-	t.active, t.queue, t.running = nil, nil, 0
+	wk.active, wk.queue, wk.running = nil, nil, 0
 }
 
-// changeList has the schedulers learn of workers, each in its own time.
+// changeList changes the state of workers in the worker list. Each scheduler learns of it after a delay of its own.
 func (w *World) changeList(changed []*worker, state rules.WorkerState) {
-	for _, t := range changed {
-		t.entry.State = state
+	for _, wk := range changed {
+		wk.entry.State = state
 	}
-	for _, x := range w.schedulers {
-		w.schedule(w.now+w.setup.ListDelay.draw(w.rng), func() { x.deliverList(changed) })
+	for _, sc := range w.schedulers {
+		w.schedule(w.now+w.setup.ListDelay.draw(w.rng), func() { sc.deliverList(changed) })
 	}
 }
 
-// nextRestart has a worker drain and start anew. What it runs goes on meanwhile: the old process ends it.
+// scheduleRestart schedules the next rolling restart of a random worker: it drains, then is ready again, cold. Attempts that
+// it runs continue, as the old process finishes them.
 func (w *World) scheduleRestart() {
 	w.schedule(w.now+rules.Time(w.rng.ExpFloat64()/w.setup.RestartsPerS*1e6), func() {
-		t := w.workers[w.rng.IntN(len(w.workers))]
-		if t.isListed && t.entry.State == rules.Ready {
-			w.changeList([]*worker{t}, rules.Draining)
+		wk := w.workers[w.rng.IntN(len(w.workers))]
+		if wk.isListed && wk.entry.State == rules.Ready {
+			w.changeList([]*worker{wk}, rules.Draining)
 			w.schedule(w.now+w.setup.RestartDuration, func() {
-				t.startedAt, t.entry.StartedAt = w.now, w.now
-				w.changeList([]*worker{t}, rules.Ready)
+				wk.startedAt, wk.entry.StartedAt = w.now, w.now
+				w.changeList([]*worker{wk}, rules.Ready)
 			})
 		}
 		w.scheduleRestart()
--- a/internal/world/members.go
+++ b/internal/world/members.go
@@ -10,14 +10,14 @@
 	for rank := range w.setup.Schedulers {
 		w.schedulers = append(w.schedulers, &scheduler{world: w, rank: rank})
 	}
-	for _, x := range w.schedulers {
-		if !w.startsByFault(x.rank) {
-			x.start()
+	for _, sc := range w.schedulers {
+		if !w.startsByFault(sc.rank) {
+			sc.start()
 		}
 	}
 }
 
-// startsLater tells of a scheduler whose first fault is its start.
+// startsByFault reports whether a scheduler's first fault is its start, so that it does not run at time 0.
 func (w *World) startsByFault(rank int) bool {
 	first := Fault{Kind: KillScheduler, At: w.setup.Duration + 1}
 	for _, f := range w.setup.Faults {
@@ -28,64 +28,66 @@
 	return first.Kind == StartScheduler
 }
 
-// start begins a process that knows of its members and its share of the list, and of nothing else.
-func (x *scheduler) start() {
-	w := x.world
-	set := w.setup.Rules
-	set.Rank, set.GroupSize = x.rank, w.setup.Schedulers
-	set.Zone = ZoneOf(x.rank, set.Zones)
-	x.sent, x.jobs = map[rules.RequestID][]*attempt{}, map[rules.RequestID]*job{}
-	x.connUsedAt = make([]rules.Time, len(w.workers))
-	x.assigned = make([]bool, len(w.workers))
-	x.aliveMembers = w.initialMembers(x.rank)
-	x.isAlive = true
-	seed := w.setup.Seed<<16 + uint64(x.rank) + x.incarnation<<40
-	x.decide(func() {
-		x.dispatcher = rules.New(set, seed, w.now, x)
+// start starts a scheduler process. It holds which schedulers are alive and its share of the worker list, and nothing of an
+// earlier process.
+func (sc *scheduler) start() {
+	w := sc.world
+	settings := w.setup.Rules
+	settings.Rank, settings.GroupSize = sc.rank, w.setup.Schedulers
+	settings.Zone = ZoneOf(sc.rank, settings.Zones)
+	sc.sent, sc.jobs = map[rules.RequestID][]*attempt{}, map[rules.RequestID]*job{}
+	sc.connUsedAt = make([]rules.Time, len(w.workers))
+	sc.assigned = make([]bool, len(w.workers))
+	sc.aliveMembers = w.initialMembers(sc.rank)
+	sc.isAlive = true
+	seed := w.setup.Seed<<16 + uint64(sc.rank) + sc.incarnation<<40
+	sc.decide(func() {
+		sc.dispatcher = rules.New(settings, seed, w.now, sc)
 		if w.setup.Directory != nil {
-			x.setHolders(w.setup.Directory.Holders())
+			sc.setHolders(w.setup.Directory.Holders())
 		}
-		x.dispatcher.List(w.now, &rules.List{Form: rules.ListFull, Entries: x.firstList()})
+		sc.dispatcher.List(w.now, &rules.List{Form: rules.ListFull, Entries: sc.firstList()})
 	})
 }
 
-// firstList gives the workers that the scheduler knows at its start.
-func (x *scheduler) firstList() []rules.ListEntry {
-	if x.world.setup.Ownership != nil {
-		x.startOwnership()
-		return x.ownershipHost.filterList(true, x.world.entries(x.world.workers))
+// firstList returns the entries of the workers that the scheduler may send to at its start.
+func (sc *scheduler) firstList() []rules.ListEntry {
+	if sc.world.setup.Ownership != nil {
+		sc.startOwnership()
+		return sc.ownershipHost.filterList(true, sc.world.entries(sc.world.workers))
 	}
-	return x.world.entries(x.assign(x.currentShare()))
+	return sc.world.entries(sc.assign(sc.currentShare()))
 }
 
-// leastForeign is the part of the load that the decisions are told may be others': with none they never ask a worker,
-// and never learn what it can carry.
+// minForeignShare is the least share of a worker's load that the dispatchers take to come from other schedulers. With 0 they
+// would never probe a worker, and so never learn its capacity.
 const minForeignShare = 0.04
 
-// divide tells the decisions that so many schedulers may send to each worker.
-func (x *scheduler) setHolders(holders int) {
-	if holders >= x.world.setup.Schedulers {
-		return // as at the start
+// setHolders tells the dispatcher how many schedulers may send to each worker.
+func (sc *scheduler) setHolders(holders int) {
+	if holders >= sc.world.setup.Schedulers {
+		return // the dispatcher's default
 	}
-	for kind := -1; kind < x.world.setup.Rules.Kinds; kind++ {
-		x.dispatcher.SetSharing(kind, holders, max(minForeignShare, 1-1/float64(holders)))
+	for kind := -1; kind < sc.world.setup.Rules.Kinds; kind++ {
+		sc.dispatcher.SetSharing(kind, holders, max(minForeignShare, 1-1/float64(holders)))
 	}
 }
 
-// members gives who is alive as a scheduler that starts learns it: at time 0 all that do not start later.
+// initialMembers returns which schedulers a starting scheduler takes for alive. At the start of the simulation these are
+// all that no fault starts later.
 func (w *World) initialMembers(rank int) []bool {
 	alive := make([]bool, len(w.schedulers))
-	for i, x := range w.schedulers {
-		alive[i] = x.isAlive || i == rank || w.now == 1 && !w.startsByFault(i)
+	for i, sc := range w.schedulers {
+		alive[i] = sc.isAlive || i == rank || w.now == 1 && !w.startsByFault(i)
 	}
 	return alive
 }
 
-// share gives the workers that the scheduler is to be given now.
-func (x *scheduler) currentShare() []int {
-	w := x.world
+// currentShare returns the indexes of the workers that the scheduler is to hold now.
+func (sc *scheduler) currentShare() []int {
+	w := sc.world
 	if w.setup.Directory != nil {
-		return w.setup.Directory.Share(x.rank, x.aliveMembers)
+		return w.setup.Directory.Share(sc.rank, sc.aliveMembers)
 	}
 	all := make([]int, len(w.workers))
 	for i := range all {
@@ -94,90 +96,90 @@
 	return all
 }
 
-// take notes a share and gives its workers that were not known before.
-func (x *scheduler) assign(share []int) (fresh []*worker) {
-	for _, place := range share {
-		if !x.assigned[place] {
-			x.assigned[place] = true
-			fresh = append(fresh, x.world.workers[place])
+// assign marks the workers of a share as held and returns those that the scheduler did not hold before.
+func (sc *scheduler) assign(share []int) (added []*worker) {
+	for _, index := range share {
+		if !sc.assigned[index] {
+			sc.assigned[index] = true
+			added = append(added, sc.world.workers[index])
 		}
 	}
-	return fresh
+	return added
 }
 
-// held counts the workers that the scheduler is given.
-func (x *scheduler) assignedCount() (n int) {
-	for _, knows := range x.assigned {
-		if knows && x.isAlive {
+// assignedCount returns how many workers the scheduler holds; 0 if it does not run.
+func (sc *scheduler) assignedCount() (n int) {
+	for _, holds := range sc.assigned {
+		if holds && sc.isAlive {
 			n++
 		}
 	}
 	return n
 }
 
-// entries gives what the list says of workers; nothing of those that have not joined yet.
+// entries returns the worker list's entries of those workers that have joined.
 func (w *World) entries(workers []*worker) (entries []rules.ListEntry) {
-	for _, t := range workers {
-		if t.isListed {
-			entries = append(entries, t.entry)
+	for _, wk := range workers {
+		if wk.isListed {
+			entries = append(entries, wk.entry)
 		}
 	}
 	return entries
 }
 
-// tellList tells the scheduler of changed workers, as far as they are its own.
-func (x *scheduler) deliverList(changed []*worker) {
-	w := x.world
-	if !x.isAlive {
+// deliverList gives the scheduler the changed entries of those workers that it holds.
+func (sc *scheduler) deliverList(changed []*worker) {
+	w := sc.world
+	if !sc.isAlive {
 		return
 	}
-	if x.ownershipHost != nil {
-		x.decide(func() { x.applyList(x.ownershipHost.filterList(false, w.entries(changed))) })
+	if sc.ownershipHost != nil {
+		sc.decide(func() { sc.applyList(sc.ownershipHost.filterList(false, w.entries(changed))) })
 		return
 	}
-	changed = slices.DeleteFunc(slices.Clone(changed), func(t *worker) bool { return !x.assigned[t.index] })
+	changed = slices.DeleteFunc(slices.Clone(changed), func(wk *worker) bool { return !sc.assigned[wk.index] })
 	entries := w.entries(changed)
-	x.decide(func() { x.applyList(entries) })
+	sc.decide(func() { sc.applyList(entries) })
 }
 
-// list gives the decisions changed entries. The caller is within decide.
-func (x *scheduler) applyList(entries []rules.ListEntry) {
+// applyList gives the dispatcher changed entries. The caller must be inside decide.
+func (sc *scheduler) applyList(entries []rules.ListEntry) {
 	if len(entries) > 0 {
-		x.countListEntries(entries)
-		x.dispatcher.List(x.world.now, &rules.List{Entries: entries})
+		sc.countListEntries(entries)
+		sc.dispatcher.List(sc.world.now, &rules.List{Entries: entries})
 	}
 }
 
-func (x *scheduler) countListEntries(entries []rules.ListEntry) {
-	if x.world.isCounting() {
-		x.world.figures.ListEntries += len(entries)
+func (sc *scheduler) countListEntries(entries []rules.ListEntry) {
+	if sc.world.isCounting() {
+		sc.world.figures.ListEntries += len(entries)
 	}
 }
 
-// believe changes what a scheduler knows of the members, and gives it its new share: workers of others are Gone for
-// it, while its attempts that are out there go on.
-func (x *scheduler) setMember(member int, alive bool) {
-	w := x.world
-	if !x.isAlive || x.aliveMembers[member] == alive || member == x.rank {
+// setMember updates whether the scheduler takes another one for alive, and applies its new share. A worker that leaves the
+// share is Gone for the dispatcher; attempts already sent to it continue.
+func (sc *scheduler) setMember(member int, alive bool) {
+	w := sc.world
+	if !sc.isAlive || sc.aliveMembers[member] == alive || member == sc.rank {
 		return
 	}
-	x.aliveMembers[member] = alive
+	sc.aliveMembers[member] = alive
 	if w.setup.Directory == nil {
 		return
 	}
-	share := x.currentShare()
-	entries := w.entries(x.assign(share))
-	mine := make([]bool, len(w.workers))
-	for _, place := range share {
-		mine[place] = true
+	share := sc.currentShare()
+	entries := w.entries(sc.assign(share))
+	inShare := make([]bool, len(w.workers))
+	for _, index := range share {
+		inShare[index] = true
 	}
-	for place, knows := range x.assigned {
-		if knows && !mine[place] {
-			x.assigned[place] = false
-			gone := w.workers[place].entry
+	for index, holds := range sc.assigned {
+		if holds && !inShare[index] {
+			sc.assigned[index] = false
+			gone := w.workers[index].entry
 			gone.State = rules.Gone
 			entries = append(entries, gone)
 		}
 	}
-	x.applyList(entries)
+	sc.applyList(entries)
 }
--- a/internal/world/ownership.go
+++ b/internal/world/ownership.go
@@ -5,42 +5,45 @@
 	"cobaltflow/rules"
 )
 
-// fleetShare hosts a scheduler's ownership.Table, as the core does: the decisions are told of its share of the workers.
+// ownershipHost runs a scheduler's ownership.Table as the core does: the dispatcher's worker list holds only the workers
+// that the table assigns to the scheduler. It implements ownership.Actions.
 type ownershipHost struct {
 	scheduler *scheduler
 	table     *ownership.Table
-	changed   []rules.ListEntry // by the present turn
+	changed   []rules.ListEntry // by the present turn of the table
 }
 
-// divideFleet begins the division, before the first list.
-func (x *scheduler) startOwnership() {
-	w := x.world
-	set := *w.setup.Ownership
-	set.Rank, set.Members = x.rank, w.setup.Schedulers
-	set.Zone = ZoneOf(x.rank, w.setup.Rules.Zones)
-	x.ownershipHost = &ownershipHost{scheduler: x}
-	x.ownershipHost.table = ownership.New(set, w.now, x.ownershipHost)
-	x.ownershipHost.turn()
+// startOwnership creates the ownership table. It has to run before the first list.
+func (sc *scheduler) startOwnership() {
+	w := sc.world
+	settings := *w.setup.Ownership
+	settings.Rank, settings.Members = sc.rank, w.setup.Schedulers
+	settings.Zone = ZoneOf(sc.rank, w.setup.Rules.Zones)
+	sc.ownershipHost = &ownershipHost{scheduler: sc}
+	sc.ownershipHost.table = ownership.New(settings, w.now, sc.ownershipHost)
+	sc.ownershipHost.turn()
 }
 
-func (s *ownershipHost) turn() {
-	x, now := s.scheduler, s.scheduler.world.now
+// turn runs the table's periodic work, gives the dispatcher the resulting changes and schedules the next turn.
+func (h *ownershipHost) turn() {
+	sc, now := h.scheduler, h.scheduler.world.now
 	occupied := 0.0
-	if s.table.IsDivided() {
-		occupied = x.dispatcher.Utilization(now)
+	if h.table.IsDivided() {
+		occupied = sc.dispatcher.Utilization(now)
 	}
-	next := s.table.Turn(now, occupied)
-	if len(s.changed) > 0 {
-		x.countListEntries(s.changed)
-		x.dispatcher.List(now, &rules.List{Entries: s.changed})
-		s.changed = s.changed[:0]
+	next := h.table.Turn(now, occupied)
+	if len(h.changed) > 0 {
+		sc.countListEntries(h.changed)
+		sc.dispatcher.List(now, &rules.List{Entries: h.changed})
+		h.changed = h.changed[:0]
 	}
-	x.decideAt(next, s.turn)
+	sc.decideAt(next, h.turn)
 }
 
-// listed tells the table of workers and gives what the decisions are told of them.
-func (s *ownershipHost) filterList(whole bool, entries []rules.ListEntry) (kept []rules.ListEntry) {
-	update := ownership.Update{IsSnapshot: whole}
+// filterList passes a list or an update to the table and returns the entries that the dispatcher is to see: those of workers
+// that the scheduler holds, and Gone for those that it held before.
+func (h *ownershipHost) filterList(isFull bool, entries []rules.ListEntry) (kept []rules.ListEntry) {
+	update := ownership.Update{IsSnapshot: isFull}
 	for _, e := range entries {
 		if e.State == rules.Gone {
 			update.Removed = append(update.Removed, string(e.Worker))
@@ -48,54 +51,54 @@
 			update.Listed = append(update.Listed, ownership.Worker{Name: string(e.Worker), Zone: e.Zone, Kind: e.Kind, StartedAt: e.StartedAt})
 		}
 	}
-	x := s.scheduler
-	s.table.UpdateWorkers(x.world.now, update)
+	sc := h.scheduler
+	h.table.UpdateWorkers(sc.world.now, update)
 	for _, e := range entries {
-		holds := e.State != rules.Gone && s.table.InShare(string(e.Worker))
-		place := x.world.byID[e.Worker].index
-		known := x.assigned[place]
-		x.assigned[place] = holds
+		holds := e.State != rules.Gone && h.table.InShare(string(e.Worker))
+		index := sc.world.byID[e.Worker].index
+		known := sc.assigned[index]
+		sc.assigned[index] = holds
 		if !holds {
 			e.State = rules.Gone
 		}
-		if holds || known && !whole {
+		if holds || known && !isFull {
 			kept = append(kept, e)
 		}
 	}
 	return kept
 }
 
-// Enter implements ownership.Actions, like the methods below.
-func (s *ownershipHost) AcquireWorker(name string) {
-	t := s.scheduler.world.byID[rules.WorkerID(name)]
-	s.scheduler.assigned[t.index] = true
-	s.changed = append(s.changed, t.entry)
+// Enter adds a worker to the dispatcher's list.
+func (h *ownershipHost) AcquireWorker(name string) {
+	wk := h.scheduler.world.byID[rules.WorkerID(name)]
+	h.scheduler.assigned[wk.index] = true
+	h.changed = append(h.changed, wk.entry)
 }
 
-// Leave has the decisions send nothing new to a worker.
-func (s *ownershipHost) ReleaseWorker(name string) {
-	t := s.scheduler.world.byID[rules.WorkerID(name)]
-	s.scheduler.assigned[t.index] = false
-	gone := t.entry
+// Leave removes a worker from the dispatcher's list; it gets no new attempts.
+func (h *ownershipHost) ReleaseWorker(name string) {
+	wk := h.scheduler.world.byID[rules.WorkerID(name)]
+	h.scheduler.assigned[wk.index] = false
+	gone := wk.entry
 	gone.State = rules.Gone
-	s.changed = append(s.changed, gone)
+	h.changed = append(h.changed, gone)
 }
 
-// Divide tells the decisions how a kind is divided.
-func (s *ownershipHost) SetDivision(d ownership.Division) {
-	s.scheduler.dispatcher.SetSharing(d.Kind, d.ColdSenders, d.ForeignLoad)
+// Divide tells the dispatcher how many schedulers share the workers of a kind.
+func (h *ownershipHost) SetDivision(d ownership.Division) {
+	h.scheduler.dispatcher.SetSharing(d.Kind, d.ColdSenders, d.ForeignLoad)
 }
 
-// Member is not counted here.
-func (s *ownershipHost) MemberChanged(int, bool) {}
+// Member does nothing: the simulation does not count members.
+func (h *ownershipHost) MemberChanged(int, bool) {}
 
-// Broadcast sends a heartbeat to all other schedulers.
-func (s *ownershipHost) Broadcast(h ownership.Heartbeat) {
-	x := s.scheduler
-	data := h.Append(nil)
-	x.broadcast(len(data), func(y *scheduler) {
-		if heartbeat, err := ownership.ParseHeartbeat(data); err == nil && y.ownershipHost != nil {
-			y.ownershipHost.table.HandleHeartbeat(x.world.now, x.rank, heartbeat)
+// Broadcast sends a heartbeat to all other schedulers, in its encoded form.
+func (h *ownershipHost) Broadcast(heartbeat ownership.Heartbeat) {
+	sc := h.scheduler
+	data := heartbeat.Append(nil)
+	sc.broadcast(len(data), func(peer *scheduler) {
+		if received, err := ownership.ParseHeartbeat(data); err == nil && peer.ownershipHost != nil {
+			peer.ownershipHost.table.HandleHeartbeat(sc.world.now, sc.rank, received)
 		}
 	})
 }
--- a/internal/world/scheduler.go
+++ b/internal/world/scheduler.go
@@ -6,10 +6,10 @@
 	"cobaltflow/rules"
 )
 
-// peerDelay is what a message between schedulers takes beside the network, in microseconds.
+// peerProcessingDelay is the time from a peer message's arrival to its processing, in microseconds.
 const peerProcessingDelay = 2000
 
-// scheduler is the host of one dispatcher.
+// scheduler runs one dispatcher and implements rules.Actions for it.
 type scheduler struct {
 	world         *World
 	rank          int
@@ -17,24 +17,24 @@
 	ownershipHost *ownershipHost // nil: no Setup.Ownership
 	sent          map[rules.RequestID][]*attempt
 	jobs          map[rules.RequestID]*job
-	incarnation   uint64
+	incarnation   uint64 // number of the process, which each kill raises
 	isAlive       bool
 	pausedUntil   rules.Time
-	aliveMembers  []bool       // which members are alive, as this one knows
-	assigned      []bool       // by worker: whether it is given to this one
-	connUsedAt    []rules.Time // by worker: last use of a connection; 0: none
+	aliveMembers  []bool       // by rank: schedulers that this one takes for alive
+	assigned      []bool       // by worker: whether this scheduler holds it
+	connUsedAt    []rules.Time // by worker: last use of the connection; 0: none
 }
 
-// decide gives an event to the decisions: none to a dead scheduler, and later to one that stands still.
-func (x *scheduler) decide(event func()) {
-	w := x.world
-	starts := x.incarnation
+// decide runs an event of the dispatcher. A dead scheduler drops it; a paused one runs it after the pause.
+func (sc *scheduler) decide(event func()) {
+	w := sc.world
+	starts := sc.incarnation
 	switch {
-	case !x.isAlive:
-	case w.now < x.pausedUntil:
-		w.schedule(x.pausedUntil, func() {
-			if x.incarnation == starts {
-				x.decide(event)
+	case !sc.isAlive:
+	case w.now < sc.pausedUntil:
+		w.schedule(sc.pausedUntil, func() {
+			if sc.incarnation == starts {
+				sc.decide(event)
 			}
 		})
 	case w.setup.AroundDecision != nil:
@@ -44,137 +44,139 @@
 	}
 }
 
-// later has an event given to the decisions of this process, not of one that starts after its death.
-func (x *scheduler) decideAt(at rules.Time, event func()) {
-	starts := x.incarnation
-	x.world.schedule(at, func() {
-		if x.incarnation == starts {
-			x.decide(event)
+// decideAt runs an event of the dispatcher at a time, unless this process has been killed by then.
+func (sc *scheduler) decideAt(at rules.Time, event func()) {
+	starts := sc.incarnation
+	sc.world.schedule(at, func() {
+		if sc.incarnation == starts {
+			sc.decide(event)
 		}
 	})
 }
 
-// connect counts a connection opened where none is kept.
-func (x *scheduler) countConnection(t *worker, probe bool) {
-	w := x.world
-	if last := x.connUsedAt[t.index]; w.isCounting() && (last == 0 || w.now-last > w.setup.ConnectionIdleTimeout) {
+// countConnection counts a new connection to a worker unless one is still open from its last use.
+func (sc *scheduler) countConnection(wk *worker, probe bool) {
+	w := sc.world
+	if last := sc.connUsedAt[wk.index]; w.isCounting() && (last == 0 || w.now-last > w.setup.ConnectionIdleTimeout) {
 		w.connections++
 		if probe {
 			w.probeConnections++
 		}
 	}
-	x.connUsedAt[t.index] = w.now
+	sc.connUsedAt[wk.index] = w.now
 }
 
-// Send is part of rules.Actions, like the methods below.
-func (x *scheduler) Send(r rules.RequestID, _ rules.Time, id rules.WorkerID) {
-	w := x.world
-	p := &attempt{job: x.jobs[r], number: len(x.sent[r]), worker: w.byID[id], incarnation: x.incarnation}
-	x.sent[r] = append(x.sent[r], p)
-	x.countConnection(p.worker, false)
-	if w.isCounting() && p.worker.setup.Zone != ZoneOf(x.rank, w.setup.Rules.Zones) {
+// Send sends an attempt to a worker.
+func (sc *scheduler) Send(r rules.RequestID, _ rules.Time, id rules.WorkerID) {
+	w := sc.world
+	a := &attempt{job: sc.jobs[r], number: len(sc.sent[r]), worker: w.byID[id], incarnation: sc.incarnation}
+	sc.sent[r] = append(sc.sent[r], a)
+	sc.countConnection(a.worker, false)
+	if w.isCounting() && a.worker.setup.Zone != ZoneOf(sc.rank, w.setup.Rules.Zones) {
 		w.crossZoneAttempts++
 	}
-	w.schedule(w.now+w.setup.NetworkDelay.draw(w.rng), func() { w.arrive(p) })
+	w.schedule(w.now+w.setup.NetworkDelay.draw(w.rng), func() { w.arrive(a) })
 }
 
-// Cancel gives up what waits.
-func (x *scheduler) Cancel(r rules.RequestID, number int) {
-	w, p := x.world, x.sent[r][number]
+// Cancel cancels an attempt that still waits in its worker's queue; one that runs continues.
+func (sc *scheduler) Cancel(r rules.RequestID, number int) {
+	w, a := sc.world, sc.sent[r][number]
 	w.schedule(w.now+w.setup.NetworkDelay.draw(w.rng), func() {
-		if i := slices.Index(p.worker.queue, p); i >= 0 {
-			p.worker.queue = slices.Delete(p.worker.queue, i, i+1)
-			w.reportOutcome(p, rules.Cancelled)
+		if i := slices.Index(a.worker.queue, a); i >= 0 {
+			a.worker.queue = slices.Delete(a.worker.queue, i, i+1)
+			w.reportOutcome(a, rules.Cancelled)
 		}
 	})
 }
 
-// Refuse ends a job.
-func (x *scheduler) Refuse(r rules.RequestID, _ rules.Time, _ rules.Reason) {
-	x.endJob(r, &x.world.figures.Refused)
+// Refuse ends a request with a refusal.
+func (sc *scheduler) Refuse(r rules.RequestID, _ rules.Time, _ rules.Reason) {
+	sc.endJob(r, &sc.world.figures.Refused)
 }
 
-// Fail ends a job.
-func (x *scheduler) Fail(r rules.RequestID, _ rules.Reason) {
-	x.endJob(r, &x.world.figures.Failed)
+// Fail ends a request with a failure.
+func (sc *scheduler) Fail(r rules.RequestID, _ rules.Reason) {
+	sc.endJob(r, &sc.world.figures.Failed)
 }
 
-func (x *scheduler) endJob(r rules.RequestID, count *int) {
-	if x.jobs[r].arrivedAt >= x.world.setup.WarmUp {
+// endJob counts a request that got no result and removes it.
+func (sc *scheduler) endJob(r rules.RequestID, count *int) {
+	if sc.jobs[r].arrivedAt >= sc.world.setup.WarmUp {
 		*count++
 	}
-	delete(x.jobs, r)
-	x.releaseAttempts(r)
+	delete(sc.jobs, r)
+	sc.releaseAttempts(r)
 }
 
-// forget lets go of the attempts of a job that is over, once none of them is out.
-func (x *scheduler) releaseAttempts(r rules.RequestID) {
-	if x.jobs[r] != nil {
+// releaseAttempts removes the attempts of an answered request once all their outcomes have arrived.
+func (sc *scheduler) releaseAttempts(r rules.RequestID) {
+	if sc.jobs[r] != nil {
 		return
 	}
-	for _, p := range x.sent[r] {
-		if !p.hasReturned {
+	for _, a := range sc.sent[r] {
+		if !a.hasReturned {
 			return
 		}
 	}
-	delete(x.sent, r)
+	delete(sc.sent, r)
 }
 
-// Timer comes back.
-func (x *scheduler) Timer(delay rules.Time, token uint64) {
-	x.decideAt(x.world.now+delay, func() { x.dispatcher.TimerDue(x.world.now, token) })
+// Timer calls the dispatcher back with the token after the delay.
+func (sc *scheduler) Timer(delay rules.Time, token uint64) {
+	sc.decideAt(sc.world.now+delay, func() { sc.dispatcher.TimerDue(sc.world.now, token) })
 }
 
-// Probe asks a worker for its figures.
-func (x *scheduler) Probe(id rules.WorkerID) {
-	w, t := x.world, x.world.byID[id]
+// Probe requests a worker's load report.
+func (sc *scheduler) Probe(id rules.WorkerID) {
+	w, wk := sc.world, sc.world.byID[id]
 	if w.isCounting() {
 		w.probes++
 	}
-	x.countConnection(t, true)
-	asked := w.now
+	sc.countConnection(wk, true)
+	sentAt := w.now
 	w.schedule(w.now+w.setup.NetworkDelay.draw(w.rng), func() {
 		status, load := rules.OK, rules.Load{}
-		if t.isDown {
+		if wk.isDown {
 			status = rules.Unreachable
 		} else {
-			load = w.visibleLoad(t)
+			load = w.visibleLoad(wk)
 		}
-		x.decideAt(w.now+w.setup.NetworkDelay.draw(w.rng), func() {
-			x.dispatcher.Probed(w.now, &rules.ProbeResult{Worker: id, Status: status, Latency: w.now - asked, Load: load})
+		sc.decideAt(w.now+w.setup.NetworkDelay.draw(w.rng), func() {
+			sc.dispatcher.Probed(w.now, &rules.ProbeResult{Worker: id, Status: status, Latency: w.now - sentAt, Load: load})
 		})
 	})
 }
 
-// Tell sends to all other schedulers; each may lose it.
-func (x *scheduler) Broadcast(data []byte) {
+// Broadcast sends a dispatcher's message to all other schedulers. Each copy may get lost.
+func (sc *scheduler) Broadcast(data []byte) {
 	data = slices.Clone(data)
-	x.broadcast(len(data), func(y *scheduler) { y.dispatcher.PeerMessage(x.world.now, x.rank, data) })
+	sc.broadcast(len(data), func(peer *scheduler) { peer.dispatcher.PeerMessage(sc.world.now, sc.rank, data) })
 }
 
-// broadcast has all other schedulers hear a message of so many bytes. Between the halves of a split none comes through.
-func (x *scheduler) broadcast(size int, hear func(y *scheduler)) {
-	w := x.world
-	for _, y := range w.schedulers {
-		if y == x {
+// broadcast delivers a message of size bytes to all other schedulers. Copies get lost at random, by Setup.PeerMessageLoss,
+// and between the halves of a network partition.
+func (sc *scheduler) broadcast(size int, deliver func(peer *scheduler)) {
+	w := sc.world
+	for _, peer := range w.schedulers {
+		if peer == sc {
 			continue
 		}
 		if w.isCounting() {
 			w.messages++
 			w.messageBytes += size
 		}
-		if lost := w.rng.Float64() < w.setup.PeerMessageLoss; lost || w.isPartitioned(x, y) {
+		if lost := w.rng.Float64() < w.setup.PeerMessageLoss; lost || w.isPartitioned(sc, peer) {
 			continue
 		}
-		y.decideAt(w.now+w.setup.NetworkDelay.draw(w.rng)+peerProcessingDelay, func() { hear(y) })
+		peer.decideAt(w.now+w.setup.NetworkDelay.draw(w.rng)+peerProcessingDelay, func() { deliver(peer) })
 	}
 }
 
-// Watch, Fetch and Log mean nothing here: lists are pushed.
-func (x *scheduler) Watch(bool) {}
+// Watch does nothing: worker list updates are always pushed.
+func (sc *scheduler) Watch(bool) {}
 
-// Fetch is not asked for.
-func (x *scheduler) Fetch() {}
+// Fetch does nothing: worker list updates are always pushed.
+func (sc *scheduler) Fetch() {}
 
-// Log is let pass.
-func (x *scheduler) Log(string) {}
+// Log drops the message.
+func (sc *scheduler) Log(string) {}
--- a/internal/world/setup.go
+++ b/internal/world/setup.go
@@ -7,99 +7,99 @@
 	"cobaltflow/rules"
 )
 
-// Span is a time drawn anew each time, evenly, in microseconds.
+// TimeRange is a range of times in microseconds. Each use draws a time from it, uniformly.
 type TimeRange struct{ Min, Max rules.Time }
 
-func (s TimeRange) draw(rng *rand.Rand) rules.Time {
-	return s.Min + rules.Time(rng.Float64()*float64(s.Max-s.Min))
+func (r TimeRange) draw(rng *rand.Rand) rules.Time {
+	return r.Min + rules.Time(rng.Float64()*float64(r.Max-r.Min))
 }
 
-// Worker is a kind of table worker of the model, and how many there are.
+// Worker describes a number of equal table workers.
 type Worker struct {
 	Count    int
 	Slots    int
-	Speed    float64    // running times are divided by it; 0: 1
-	Slowdown float64    // and multiplied by it, which the schedulers are not told; 0: 1
-	Zone     int        // of the settings
-	JoinsAt  rules.Time // when it starts, cold, and all are told at once; 0: long ago
+	Speed    float64    // divides the running times of jobs; 0: 1
+	Slowdown float64    // multiplies the running times of jobs, unknown to the schedulers; 0: 1
+	Zone     int        // index as in Rules.Zones
+	JoinsAt  rules.Time // when it starts, cold, and joins all worker lists at once; 0: long before the simulation
 }
 
-// Traffic tells to which schedulers jobs come.
+// Traffic is the rule by which clients choose a scheduler for a job.
 type Traffic uint8
 
-// The ways in which clients choose a scheduler.
+// The rules by which clients choose a scheduler.
 const (
-	Evenly Traffic = iota // any of them, by Setup.Unlike
-	ByKey                 // the jobs of a key come to Setup.SchedulersPerKey of them
-	ByZone                // the zones have alike many jobs, and each goes to a scheduler of its own zone
+	Evenly Traffic = iota // any scheduler, weighted by Setup.BusySchedulerFactor
+	ByKey                 // the jobs of a key go to Setup.SchedulersPerKey of the schedulers
+	ByZone                // every zone has equally many jobs, which go to schedulers of their own zone
 )
 
-// Directory decides which part of the worker list each scheduler is given. It is asked again whenever a scheduler's
-// belief of which members are alive has changed.
+// Directory assigns workers to schedulers. A scheduler computes its share anew whenever its view of which schedulers are
+// alive has changed.
 type Directory interface {
-	// Holders is how many schedulers may send to one worker, as the decisions are told.
+	// Holders returns how many schedulers may send to one worker. The dispatchers get it by SetSharing.
 	Holders() int
-	// Share gives the places, in the order of Setup.Workers, of the workers that a scheduler is given. It may keep
-	// neither slice, and the world doesn't change what it returns.
+	// Share returns the indexes of the workers assigned to a scheduler, in the order of Setup.Workers. The callee must not
+	// keep alive, and the caller must not modify the result.
 	Share(scheduler int, alive []bool) []int
 }
 
-// Setup is what is played. Times are microseconds.
+// Setup configures a simulation. Times are in microseconds.
 type Setup struct {
 	Schedulers          int
 	Workers             []Worker
-	Rules               rules.Settings // GroupSize and Rank are set by the world; zones are dealt out in turn
-	Shares              []float64      // of the classes
-	MeanRunTime         float64        // mean running time at speed 1, exponential
-	MeanRunTimeByClass  []float64      // the same by class; nil: Run for all
-	Load                float64        // of what the workers present at the start can do together
+	Rules               rules.Settings // Simulate sets GroupSize, Rank and Zone of each scheduler
+	Shares              []float64      // of each class in the jobs, relative to one another
+	MeanRunTime         float64        // of jobs at speed 1, exponentially distributed
+	MeanRunTimeByClass  []float64      // of each class; nil: MeanRunTime for all
+	Load                float64        // offered work, as a fraction of the capacity of the workers present at the start
 	Keys                int
-	Skew                float64   // exponent of a Zipf law
-	BusySchedulerFactor float64   // a tenth of the schedulers get so many times what the others get; 0: alike
-	MaxQueue            int       // jobs that wait at a worker at most; one more is turned away
-	ReportAge           TimeRange // figures are made anew this often
-	ReportDelay         TimeRange // and seen so much later
-	Noise               float64   // of them, as a part
-	NetworkDelay        TimeRange // one way
-	PeerMessageLoss     float64   // part of the messages between schedulers that is lost, where the rules may tell
-	LyingWorkers        int       // workers, the first ones, whose reports always tell of nothing
+	Skew                float64   // exponent of the Zipf distribution of keys
+	BusySchedulerFactor float64   // a tenth of the schedulers get this multiple of the others' jobs; 0: all get the same
+	MaxQueue            int       // jobs that may wait at a worker; it refuses any more
+	ReportAge           TimeRange // interval between the load reports that a worker makes
+	ReportDelay         TimeRange // from a report's making until schedulers can see it
+	Noise               float64   // relative error of the numbers in reports, at most
+	NetworkDelay        TimeRange // of a message, one way
+	PeerMessageLoss     float64   // fraction of the messages between schedulers that is lost
+	LyingWorkers        int       // the first so many workers always report that they are idle
 	WarmUp, Duration    rules.Time
 	Seed                uint64
-	// Choose, where it is set, takes the place of the decisions: a baseline that may look at anything.
+	// ChooseWorker, if set, replaces the dispatchers by a baseline policy. It returns the index of a worker.
 	ChooseWorker func(*View) int
 
 	Traffic               Traffic
-	SchedulersPerKey      int                 // of ByKey; 0: 1
-	RampUp                rules.Time          // the work of the steady state comes within it, at the start; 0: it builds up by itself
-	SampleInterval        rules.Time          // workers are looked at this often, and make reports at most this often; 0: 50 ms
-	ConnectionIdleTimeout rules.Time          // a connection to a worker is kept so long after its last use; 0: none is kept
-	KeyMissWindows        []rules.Time        // for Figures.FetchesIn
-	Directory             Directory           // nil: every scheduler is given all workers
-	Ownership             *ownership.Settings // the fleet is divided by package ownership; Self, Members and Zone are set by the world
-	ListDelay             TimeRange           // a change of the list by a Fault or a restart is known so much later
-	DetectionDelay        TimeRange           // a change of members is known so much later, where a Directory divides the list
+	SchedulersPerKey      int                 // for ByKey; 0: 1
+	RampUp                rules.Time          // time at the start in which additional jobs fill the system to its steady state; 0: no additional jobs
+	SampleInterval        rules.Time          // between two samples of all workers, and the least time between reports; 0: 50 ms
+	ConnectionIdleTimeout rules.Time          // a connection to a worker stays open so long after its last use; 0: each use opens a connection
+	KeyMissWindows        []rules.Time        // for Figures.KeyMissesIn
+	Directory             Directory           // nil: every scheduler may send to all workers
+	Ownership             *ownership.Settings // nil: package ownership assigns no workers; Simulate sets Self, Members and Zone
+	ListDelay             TimeRange           // until a scheduler learns of a worker list update caused by a Fault or a restart
+	DetectionDelay        TimeRange           // until a scheduler learns that another one failed or started, for Directory
 	Faults                []Fault
-	RestartsPerS          float64 // workers that drain, and start anew after RestartTakes
+	RestartsPerS          float64 // workers that drain, and restart cold after RestartDuration
 	RestartDuration       rules.Time
-	// CountRunning tells that jobs run for long beside For, and those that run at its end are counted as well.
+	// CountRunning counts the jobs that run at the end as served. It is for jobs that are long compared with Duration.
 	CountRunning bool
-	// Around, where it is set, is called around each event that is given to the decisions, and calls decide once.
+	// AroundDecision, if set, is called for each event of a dispatcher and calls decide once. It can measure the dispatcher.
 	AroundDecision func(decide func())
 }
 
-// FaultKind tells what happens.
+// FaultKind is the kind of a Fault.
 type FaultKind uint8
 
-// The faults.
+// The kinds of faults.
 const (
-	KillScheduler  FaultKind = iota // with all that it holds
-	StartScheduler                  // one that was killed; one that was not starts only then
-	PauseScheduler                  // it does nothing for Fault.For, and wakes with what it knew
-	SplitMembers                    // the two halves believe one another dead for Fault.For
-	LoseZone                        // its workers are gone with what they run, and back cold after Fault.For
+	KillScheduler  FaultKind = iota // and lose all its requests
+	StartScheduler                  // a killed scheduler; one whose first fault this is was not running before
+	PauseScheduler                  // it processes no event for Fault.Duration, then continues with its old state
+	SplitMembers                    // a network partition: for Fault.Duration each half takes the other for dead
+	LoseZone                        // its workers fail with their attempts, and restart cold after Fault.Duration
 )
 
-// Fault is one thing that happens in a run.
+// Fault is one fault to inject. Scheduler and Zone apply to the kinds that name one.
 type Fault struct {
 	Kind         FaultKind
 	At, Duration rules.Time
@@ -107,18 +107,18 @@
 	Zone         int
 }
 
-// View is what a baseline chooses by.
+// View is the state that a baseline policy may use.
 type View struct {
 	Rng          *rand.Rand
 	Workers      int
-	JobsNow      func(worker int) int               // jobs that are there
-	JobsReported func(worker int) (int, rules.Time) // by the report that can be seen now, and how long ago it was made
+	JobsNow      func(worker int) int               // jobs that run or wait at the worker
+	JobsReported func(worker int) (int, rules.Time) // the same by the visible report, and the report's age
 }
 
-// defaultSample is Setup.SampleEvery where it is 0.
+// defaultSampleInterval is the value of Setup.SampleInterval if it is 0, in microseconds.
 const defaultSampleInterval = 50_000
 
-// runOf is the mean running time of a class.
+// meanRunTimeOf returns the mean running time of a class at speed 1.
 func (s *Setup) meanRunTimeOf(class int) float64 {
 	if s.MeanRunTimeByClass == nil {
 		return s.MeanRunTime
@@ -126,7 +126,7 @@
 	return s.MeanRunTimeByClass[class]
 }
 
-// meanRun is the mean running time over all jobs.
+// overallMeanRunTime returns the mean running time over all jobs at speed 1.
 func (s *Setup) overallMeanRunTime() float64 {
 	if s.MeanRunTimeByClass == nil {
 		return s.MeanRunTime
--- a/internal/world/worker.go
+++ b/internal/world/worker.go
@@ -7,192 +7,201 @@
 	"cobaltflow/rules"
 )
 
-// attempt is one sending of a job to a worker.
+// keyMissWindow is the time in microseconds after which the next job of a key counts in Figures.KeyMisses again.
+const keyMissWindow = 10_000_000
+
+// attempt is a job sent to one worker.
 type attempt struct {
 	job         *job
-	number      int
+	number      int // index among the job's attempts
 	worker      *worker
 	arrived     rules.Time
-	endsAt      rules.Time // of what runs
-	incarnation uint64     // of the scheduler's process
-	hasReturned bool       // its end has come back
-	isLost      bool       // the worker went down with it
+	endsAt      rules.Time // of an attempt that runs
+	incarnation uint64     // of the scheduler process that sent it
+	hasReturned bool       // its outcome has reached the scheduler
+	isLost      bool       // its worker failed while it ran or waited there
 }
 
+// report is a load report of a worker. Schedulers see it from visibleAt on.
 type report struct {
 	visibleAt rules.Time
 	madeAt    rules.Time
 	load      rules.Load
 }
 
+// worker is the state of one table worker.
 type worker struct {
 	id           rules.WorkerID
-	index        int
+	index        int // in World.workers
 	setup        *Worker
 	entry        rules.ListEntry
-	isListed     bool       // the list has it
-	startedAt    rules.Time // 0: long ago
+	isListed     bool       // it has joined the worker list
+	startedAt    rules.Time // 0: long before the simulation, so it is warm
 	isDown       bool
 	running      int
-	active       []*attempt // what runs
+	active       []*attempt // the attempts that run
 	queue        []*attempt
 	reports      []report
 	nextReportAt rules.Time
-	isLying      bool
+	isLying      bool // its reports always show an idle worker
 
-	lastArrivalAt  rules.Time // last arrival
-	recentArrivals []rules.Time
-	keyArrivedAt   map[uint64]rules.Time
-	recentWork     []arrivedWork
-	isStarved      bool
+	lastArrivalAt  rules.Time
+	recentArrivals []rules.Time          // within the largest report interval
+	keyArrivedAt   map[uint64]rules.Time // last arrival of each key
+	recentWork     []arrivedWork         // within Rules.OverloadWindow, while the worker is cold
+	isStarved      bool                  // counted in Figures.StarvedWorkers since the last arrival
 }
 
+// arrivedWork is the work of one attempt, in microseconds at the worker's speed.
 type arrivedWork struct {
 	at   rules.Time
 	work float64
 }
 
-// arrive has an attempt join its worker's queue.
-func (w *World) arrive(p *attempt) {
-	t := p.worker
-	if t.isDown {
-		w.reportOutcome(p, rules.Unreachable)
+// arrive puts an attempt into its worker's queue. A full queue refuses it, and a worker that is down is unreachable.
+func (w *World) arrive(a *attempt) {
+	wk := a.worker
+	if wk.isDown {
+		w.reportOutcome(a, rules.Unreachable)
 		return
 	}
-	p.arrived = w.now
+	a.arrived = w.now
 	if w.isCounting() {
-		w.countArrival(p)
+		w.countArrival(a)
 	}
-	t.keyArrivedAt[p.job.key] = w.now
-	t.lastArrivalAt, t.isStarved = w.now, false
-	w.recordColdWork(t, p.job.runTime/t.setup.Speed)
-	if len(t.queue) >= w.setup.MaxQueue {
-		w.reportOutcome(p, rules.Refused)
+	wk.keyArrivedAt[a.job.key] = w.now
+	wk.lastArrivalAt, wk.isStarved = w.now, false
+	w.recordColdWork(wk, a.job.runTime/wk.setup.Speed)
+	if len(wk.queue) >= w.setup.MaxQueue {
+		w.reportOutcome(a, rules.Refused)
 		return
 	}
-	t.queue = append(t.queue, p)
-	w.startQueued(t)
+	wk.queue = append(wk.queue, a)
+	w.startQueued(wk)
 }
 
-// countArrival counts fetches of keys, and how many jobs come to one worker at a time.
-func (w *World) countArrival(p *attempt) {
-	t := p.worker
-	last, kept := t.keyArrivedAt[p.job.key]
-	if !kept || w.now-last > 10_000_000 {
+// countArrival counts the first arrival of a key at a worker as a miss, and updates Figures.Herd.
+func (w *World) countArrival(a *attempt) {
+	wk := a.worker
+	last, hasArrived := wk.keyArrivedAt[a.job.key]
+	if !hasArrived || w.now-last > keyMissWindow {
 		w.keyMisses++
 	}
 	for i, window := range w.setup.KeyMissWindows {
-		if !kept || w.now-last > window {
+		if !hasArrived || w.now-last > window {
 			w.keyMissesIn[i]++
 		}
 	}
 	window := w.setup.ReportAge.Max
-	t.recentArrivals = slices.DeleteFunc(append(t.recentArrivals, w.now), func(at rules.Time) bool { return w.now-at > window })
-	fair := w.setup.Load * float64(t.setup.Slots) * t.setup.Speed / t.setup.Slowdown / w.setup.overallMeanRunTime() * float64(window)
-	w.figures.Herd = max(w.figures.Herd, float64(len(t.recentArrivals))/max(1, fair))
+	wk.recentArrivals = slices.DeleteFunc(append(wk.recentArrivals, w.now), func(at rules.Time) bool { return w.now-at > window })
+	fair := w.setup.Load * float64(wk.setup.Slots) * wk.setup.Speed / wk.setup.Slowdown / w.setup.overallMeanRunTime() * float64(window)
+	w.figures.Herd = max(w.figures.Herd, float64(len(wk.recentArrivals))/max(1, fair))
 }
 
-// coldWork measures what a worker that joined gets while it is cold, against what the settings let it have.
-func (w *World) recordColdWork(t *worker, work float64) {
-	age := float64(w.now - t.startedAt)
-	if t.startedAt == 0 || age >= float64(w.setup.Rules.SlowStartWindow) {
+// recordColdWork compares the work that arrives at a cold worker with its limit during slow start. The bounds allow for
+// random variation: n + 3·√n + 3 mean jobs of work and n + 2·√n + 2 jobs.
+func (w *World) recordColdWork(wk *worker, work float64) {
+	age := float64(w.now - wk.startedAt)
+	if wk.startedAt == 0 || age >= float64(w.setup.Rules.SlowStartWindow) {
 		return
 	}
 	r := &w.setup.Rules
-	t.recentWork = slices.DeleteFunc(append(t.recentWork, arrivedWork{w.now, work}), func(p arrivedWork) bool { return w.now-p.at > r.OverloadWindow })
+	wk.recentWork = slices.DeleteFunc(append(wk.recentWork, arrivedWork{w.now, work}), func(a arrivedWork) bool { return w.now-a.at > r.OverloadWindow })
 	sum := 0.0
-	for _, p := range t.recentWork {
-		sum += p.work
+	for _, a := range wk.recentWork {
+		sum += a.work
 	}
-	may := r.OverloadFactor * float64(t.setup.Slots) * (r.SlowStartMinCapacity + (1-r.SlowStartMinCapacity)*age/float64(r.SlowStartWindow)) * float64(r.OverloadWindow)
-	run := w.setup.overallMeanRunTime()
-	n := may / run
-	w.figures.MaxColdWork = max(w.figures.MaxColdWork, sum/run/(n+3*math.Sqrt(n)+3))
-	w.figures.MaxColdJobs = max(w.figures.MaxColdJobs, float64(len(t.recentWork))/(n+2*math.Sqrt(n)+2))
+	limit := r.OverloadFactor * float64(wk.setup.Slots) * (r.SlowStartMinCapacity + (1-r.SlowStartMinCapacity)*age/float64(r.SlowStartWindow)) * float64(r.OverloadWindow)
+	meanRunTime := w.setup.overallMeanRunTime()
+	n := limit / meanRunTime
+	w.figures.MaxColdWork = max(w.figures.MaxColdWork, sum/meanRunTime/(n+3*math.Sqrt(n)+3))
+	w.figures.MaxColdJobs = max(w.figures.MaxColdJobs, float64(len(wk.recentWork))/(n+2*math.Sqrt(n)+2))
 }
 
-func (w *World) startQueued(t *worker) {
-	for len(t.queue) > 0 && t.running < t.setup.Slots {
-		p := t.queue[0]
-		t.queue = t.queue[1:]
-		t.running++
-		t.active = append(t.active, p)
-		if p.job.startCount++; p.job.startCount == 2 && w.setup.Rules.Classes[p.job.class].Effect == rules.Once {
+// startQueued starts attempts from the worker's queue while it has a free slot.
+func (w *World) startQueued(wk *worker) {
+	for len(wk.queue) > 0 && wk.running < wk.setup.Slots {
+		a := wk.queue[0]
+		wk.queue = wk.queue[1:]
+		wk.running++
+		wk.active = append(wk.active, a)
+		if a.job.startCount++; a.job.startCount == 2 && w.setup.Rules.Classes[a.job.class].Effect == rules.Once {
 			w.figures.StartedTwice++
 		}
-		if p.arrived >= w.setup.WarmUp {
-			w.waits = append(w.waits, float64(w.now-p.arrived)/1e6)
+		if a.arrived >= w.setup.WarmUp {
+			w.waits = append(w.waits, float64(w.now-a.arrived)/1e6)
 		}
-		p.endsAt = w.now + max(1000, rules.Time(p.job.runTime/t.setup.Speed*t.setup.Slowdown))
-		w.reportStart(p)
-		w.schedule(p.endsAt, func() { w.finish(p) })
+		a.endsAt = w.now + max(1000, rules.Time(a.job.runTime/wk.setup.Speed*wk.setup.Slowdown))
+		w.reportStart(a)
+		w.schedule(a.endsAt, func() { w.finish(a) })
 	}
 }
 
-// begun tells the scheduler that a job has started.
-func (w *World) reportStart(p *attempt) {
-	x := p.job.scheduler
-	if x.incarnation != p.incarnation {
-		return // it died before
+// reportStart sends the scheduler the worker's report that a job has started.
+func (w *World) reportStart(a *attempt) {
+	sc := a.job.scheduler
+	if sc.incarnation != a.incarnation {
+		return // that process has been killed
 	}
-	x.decideAt(w.now+w.setup.NetworkDelay.draw(w.rng), func() {
-		x.dispatcher.Progress(w.now, &rules.Progress{Request: p.job.id, Attempt: p.number, Worker: p.worker.id, Started: true})
+	sc.decideAt(w.now+w.setup.NetworkDelay.draw(w.rng), func() {
+		sc.dispatcher.Progress(w.now, &rules.Progress{Request: a.job.id, Attempt: a.number, Worker: a.worker.id, Started: true})
 	})
 }
 
-// finish ends a job that runs, unless its worker went down before.
-func (w *World) finish(p *attempt) {
-	if p.isLost {
+// finish completes an attempt that runs, unless its worker failed in the meantime.
+func (w *World) finish(a *attempt) {
+	if a.isLost {
 		return
 	}
-	t := p.worker
-	t.running--
-	i := slices.Index(t.active, p)
-	t.active[i] = t.active[len(t.active)-1]
-	t.active = t.active[:len(t.active)-1]
-	w.reportOutcome(p, rules.OK)
-	w.startQueued(t)
+	wk := a.worker
+	wk.running--
+	i := slices.Index(wk.active, a)
+	wk.active[i] = wk.active[len(wk.active)-1]
+	wk.active = wk.active[:len(wk.active)-1]
+	w.reportOutcome(a, rules.OK)
+	w.startQueued(wk)
 }
 
-// end brings an attempt's end back to its scheduler.
-func (w *World) reportOutcome(p *attempt, s rules.Status) {
-	x := p.job.scheduler
-	if x.incarnation != p.incarnation {
+// reportOutcome sends an attempt's outcome to the scheduler process that sent the attempt, if it still runs.
+func (w *World) reportOutcome(a *attempt, status rules.Status) {
+	sc := a.job.scheduler
+	if sc.incarnation != a.incarnation {
 		return
 	}
-	x.decideAt(w.now+w.setup.NetworkDelay.draw(w.rng), func() {
-		p.hasReturned = true
-		_, open := x.jobs[p.job.id]
+	sc.decideAt(w.now+w.setup.NetworkDelay.draw(w.rng), func() {
+		a.hasReturned = true
+		_, open := sc.jobs[a.job.id]
 		closed := !open
-		if s == rules.OK && open {
+		if status == rules.OK && open {
 			closed = true
-			delete(x.jobs, p.job.id)
-			w.recordServed(p.job, w.now)
+			delete(sc.jobs, a.job.id)
+			w.recordServed(a.job, w.now)
 		}
-		x.dispatcher.Outcome(w.now, &rules.Outcome{Request: p.job.id, Attempt: p.number, Worker: p.worker.id, Status: s, Closed: closed})
-		x.releaseAttempts(p.job.id)
+		sc.dispatcher.Outcome(w.now, &rules.Outcome{Request: a.job.id, Attempt: a.number, Worker: a.worker.id, Status: status, Closed: closed})
+		sc.releaseAttempts(a.job.id)
 	})
 }
 
-// report makes new figures when it is time, and gives those that can be seen now.
-func (w *World) visibleLoad(t *worker) rules.Load {
-	if w.now >= t.nextReportAt {
+// visibleLoad makes a new report of the worker's load when one is due, and returns the latest report that has become
+// visible to schedulers.
+func (w *World) visibleLoad(wk *worker) rules.Load {
+	if w.now >= wk.nextReportAt {
 		noisy := func(n int) float64 {
 			return math.Max(0, math.Floor(float64(n)*(1+w.setup.Noise*(2*w.rng.Float64()-1))+0.5))
 		}
 		r := report{w.now + w.setup.ReportDelay.draw(w.rng), w.now, rules.Load{Has: rules.HasQueue | rules.HasInFlight | rules.HasFreeSlots,
-			Queue: noisy(len(t.queue)), InFlight: noisy(len(t.queue) + t.running), FreeSlots: float64(t.setup.Slots - t.running)}}
-		if t.isLying {
-			r.load.Queue, r.load.InFlight, r.load.FreeSlots = 0, 0, float64(t.setup.Slots)
+			Queue: noisy(len(wk.queue)), InFlight: noisy(len(wk.queue) + wk.running), FreeSlots: float64(wk.setup.Slots - wk.running)}}
+		if wk.isLying {
+			r.load.Queue, r.load.InFlight, r.load.FreeSlots = 0, 0, float64(wk.setup.Slots)
 		}
-		if len(t.reports) == 0 {
+		if len(wk.reports) == 0 {
 			r.visibleAt = w.now
 		}
-		t.reports = append(t.reports, r)
-		t.nextReportAt = w.now + w.setup.ReportAge.draw(w.rng)
+		wk.reports = append(wk.reports, r)
+		wk.nextReportAt = w.now + w.setup.ReportAge.draw(w.rng)
 	}
-	for len(t.reports) > 1 && t.reports[1].visibleAt <= w.now {
-		t.reports = t.reports[1:]
+	for len(wk.reports) > 1 && wk.reports[1].visibleAt <= w.now {
+		wk.reports = wk.reports[1:]
 	}
-	return t.reports[0].load
+	return wk.reports[0].load
 }
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -1,6 +1,7 @@
-// Package world is the model of what the decisions serve, in virtual time: many dispatchers of package rules, table
-// workers with slots, queues and late reports, clients in an open loop, and faults. It owns no socket, goroutine or
-// clock; the same seed gives the same record. It never decides anything.
+// Package world simulates a deployment in virtual time: many schedulers, each with a rules.Dispatcher, table workers with
+// slots, queues and delayed load reports, clients that send requests in an open loop, and faults. It makes no scheduling
+// decision and uses no socket, goroutine or clock; the same seed gives the same figures. Tests of the rules and package
+// scale/hollow call it.
 package world
 
 import (
@@ -13,7 +14,7 @@
 	"cobaltflow/rules"
 )
 
-// World plays one Setup.
+// World is the state of one simulation of a Setup.
 type World struct {
 	counts
 	setup      Setup
@@ -24,11 +25,11 @@
 	schedulers []*scheduler
 	workers    []*worker
 	byID       map[rules.WorkerID]*worker
-	splitUntil rules.Time // messages between the halves of the schedulers are lost
-	capacity   float64    // slots at speed 1 of the workers present at the start
+	splitUntil rules.Time // end of the network partition between the two halves of the schedulers
+	capacity   float64    // slots of the workers present at the start, each weighted by the worker's speed
 }
 
-// event is something due. Of two due at once the first made goes first.
+// event is a function due at a time. Events due at the same time run in the order of their scheduling.
 type event struct {
 	at   rules.Time
 	seq  uint64
@@ -50,18 +51,18 @@
 	return last
 }
 
-// at has something done at a time, or now where that is over. What would be done after the end is let go.
-func (w *World) schedule(t rules.Time, do func()) {
+// schedule runs a function at a time, or now if the time is past. An event after the end of the simulation is dropped.
+func (w *World) schedule(at rules.Time, do func()) {
 	w.seq++
-	if t <= w.setup.Duration {
-		heap.Push(&w.events, event{max(t, w.now), w.seq, do})
+	if at <= w.setup.Duration {
+		heap.Push(&w.events, event{max(at, w.now), w.seq, do})
 	}
 }
 
-// Play plays a setup and gives its figures.
+// Simulate runs a setup to its end and returns the figures.
 func Simulate(s Setup) Figures {
 	w := &World{counts: newCounts(&s), setup: s, rng: rand.New(rand.NewPCG(s.Seed, 0x776f726c64)), byID: map[rules.WorkerID]*worker{}, now: 1}
-	w.setup.Workers = slices.Clone(s.Workers) // the caller's stay as they are
+	w.setup.Workers = slices.Clone(s.Workers) // makeWorkers sets defaults, which the caller must not see
 	w.makeWorkers()
 	w.makeSchedulers()
 	w.startClients(s.Load * w.capacity / s.overallMeanRunTime())
@@ -86,26 +87,26 @@
 }
 
 func (w *World) makeWorker(k *Worker) {
-	place := len(w.workers)
-	t := &worker{id: WorkerID(place), index: place, setup: k, startedAt: k.JoinsAt, isLying: place < w.setup.LyingWorkers, keyArrivedAt: map[uint64]rules.Time{}}
-	t.entry = rules.ListEntry{Worker: t.id, Zone: k.Zone, Weight: 1, StartedAt: k.JoinsAt}
-	w.workers = append(w.workers, t)
-	w.byID[t.id] = t
+	index := len(w.workers)
+	wk := &worker{id: WorkerID(index), index: index, setup: k, startedAt: k.JoinsAt, isLying: index < w.setup.LyingWorkers, keyArrivedAt: map[uint64]rules.Time{}}
+	wk.entry = rules.ListEntry{Worker: wk.id, Zone: k.Zone, Weight: 1, StartedAt: k.JoinsAt}
+	w.workers = append(w.workers, wk)
+	w.byID[wk.id] = wk
 	if k.JoinsAt == 0 {
 		w.capacity += float64(k.Slots) * k.Speed
-		t.isListed = true
+		wk.isListed = true
 		return
 	}
 	w.schedule(k.JoinsAt, func() {
-		t.isListed = true
-		for _, x := range w.schedulers {
-			x.deliverList([]*worker{t})
+		wk.isListed = true
+		for _, sc := range w.schedulers {
+			sc.deliverList([]*worker{wk})
 		}
 	})
 }
 
-// WorkerID is the id of the worker at a place in the order of Setup.Workers.
-func WorkerID(place int) rules.WorkerID { return rules.WorkerID(fmt.Sprintf("t%03d", place)) }
+// WorkerID returns the ID of the worker at an index of the order in which Setup.Workers lists them.
+func WorkerID(index int) rules.WorkerID { return rules.WorkerID(fmt.Sprintf("t%03d", index)) }
 
-// ZoneOf is the zone of a scheduler: zones are dealt out in turn.
+// ZoneOf returns the zone of a scheduler. Zones are assigned round-robin, by the scheduler's rank.
 func ZoneOf(scheduler, zones int) int { return scheduler % max(1, zones) }
