--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs the main job end to end in one process: a gateway with the embedded example configuration,
-// stand-in workers on both fronts and mixed jobs, and tells what ended how. It is for a newcomer's first look.
+// Package demo runs a gateway with the embedded example configuration in one process, together with table workers, Faktory
+// workers and clients that submit jobs of mixed classes, and prints a table of the outcomes. The command's demo calls it.
 package demo
 
 import (
@@ -24,21 +24,22 @@
 	"cobaltflow/internal/platform"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Jobs     int           // in all, over both fronts
-	Duration time.Duration // over which they are spread
+	Jobs     int           // in total, over both fronts
+	Duration time.Duration // time over which the jobs are submitted
 	Seed     uint64
 	Log      *slog.Logger
 }
 
-// tally counts how jobs ended, by front and class.
+// tally counts the outcomes of jobs. Its methods may be called from any goroutine.
 type tally struct {
 	mu   sync.Mutex
-	ends map[[2]string]map[string]int
-	runs map[string]int // of jobs that must not run twice, by id
+	ends map[[2]string]map[string]int // by front and class, then by outcome
+	runs map[string]int               // number of runs of each job, by job ID
 }
 
+// recordEnd counts a job's outcome.
 func (t *tally) recordEnd(front, class, end string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,13 +50,15 @@
 	t.ends[key][end]++
 }
 
+// recordRun counts a run of a job.
 func (t *tally) recordRun(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.runs[id]++
 }
 
-// Run runs the demonstration and writes its table. It fails where a job had no end, or one that must not ran twice.
+// Run runs the demonstration and writes its table. It fails if a Faktory job has not ended 20 s after the last one was
+// submitted, or if a job ran twice whose class does not allow it.
 func Run(ctx context.Context, w io.Writer, o Options) error {
 	conf, err := config.LoadExample()
 	if err != nil {
@@ -63,7 +66,7 @@
 	}
 	conf.Listen, conf.Faktory.Listen, conf.HTTP2.Listen = "127.0.0.1:0", "127.0.0.1:0", ""
 	t := &tally{ends: map[[2]string]map[string]int{}, runs: map[string]int{}}
-	var tables []*measure.TableWorker
+	var tableWorkers []*measure.TableWorker
 	var entries []config.KnownWorker
 	for i := range 3 {
 		worker, err := measure.NewTableWorker(fmt.Sprint("table-", i), 4, 30*time.Millisecond, t.recordRun)
@@ -71,7 +74,7 @@
 			return err
 		}
 		defer worker.Close()
-		tables = append(tables, worker)
+		tableWorkers = append(tableWorkers, worker)
 		entries = append(entries, config.KnownWorker{Name: fmt.Sprint("table-", i), Address: worker.Address()})
 	}
 	if err := conf.SetKnownWorkers(entries); err != nil {
@@ -90,18 +93,18 @@
 		g.Stop()
 		<-ended
 	}()
-	for _, worker := range tables {
+	for _, worker := range tableWorkers {
 		worker.SendCallbacksTo(g.Front.Address())
 	}
 	fmt.Fprintf(w, "gateway: HTTP on %s, Faktory on %s; 3 table workers, 4 Faktory workers; %d jobs over %v\n",
 		g.Front.Address(), g.Faktory.Address(), o.Jobs, o.Duration)
 
-	working, stop := context.WithCancel(ctx)
+	workersCtx, stop := context.WithCancel(ctx)
 	var workers sync.WaitGroup
 	defer workers.Wait()
 	defer stop()
 	for i := range 4 {
-		workers.Go(func() { runFaktoryWorker(working, g.Faktory.Address(), i, o.Seed, t) })
+		workers.Go(func() { runFaktoryWorker(workersCtx, g.Faktory.Address(), i, o.Seed, t) })
 	}
 	if err := submitAll(ctx, g, o, conf, t); err != nil {
 		return err
@@ -115,15 +118,16 @@
 	return ctx.Err()
 }
 
-// fetcher is a worker of the Faktory protocol: it does most jobs, fails some, and now and then goes away with one.
+// runFaktoryWorker runs a worker of the Faktory protocol. It acknowledges most jobs, fails some, and for 2 % disconnects
+// without a report and reconnects under another worker ID.
 func runFaktoryWorker(ctx context.Context, address string, i int, seed uint64, t *tally) {
 	rng := rand.New(rand.NewPCG(seed, uint64(i)))
-	for life := 0; ctx.Err() == nil; life++ {
-		c, err := client.Dial(address, client.Options{WID: fmt.Sprintf("demo-%d-%d", i, life), PID: life})
+	for connection := 0; ctx.Err() == nil; connection++ {
+		c, err := client.Dial(address, client.Options{WID: fmt.Sprintf("demo-%d-%d", i, connection), PID: connection})
 		if err != nil {
 			return
 		}
-		free := context.AfterFunc(ctx, func() { c.Close() })
+		stopClosing := context.AfterFunc(ctx, func() { c.Close() })
 		for {
 			j, err := c.Fetch("default", "tables")
 			if err != nil {
@@ -136,7 +140,7 @@
 			time.Sleep(time.Duration(10+rng.IntN(30)) * time.Millisecond)
 			switch n := rng.IntN(100); {
 			case n < 2:
-				c.Close() // it vanishes, with a job in its hands
+				c.Close() // the worker disconnects without reporting the job's outcome
 			case n < 8:
 				err = c.Fail(j.JID, "DemoError", "one of the few that fail")
 			default:
@@ -146,28 +150,31 @@
 				break
 			}
 		}
-		free()
+		stopClosing()
 		c.Close()
 	}
 }
 
-// pushAll submits all jobs, half over each front, and waits until each has its end.
+// endTimeout is how long submitAll waits for the ends of the Faktory jobs after the last HTTP answer.
+const endTimeout = 20 * time.Second
+
+// submitAll submits all jobs, half over each front, and waits until each has ended.
 func submitAll(ctx context.Context, g *gateway.Gateway, o Options, conf *config.Config, t *tally) error {
 	rng := rand.New(rand.NewPCG(o.Seed, 99))
-	p, err := client.Dial(g.Faktory.Address(), client.Options{})
+	producer, err := client.Dial(g.Faktory.Address(), client.Options{})
 	if err != nil {
 		return err
 	}
-	defer p.Close()
-	var http_ sync.WaitGroup
+	defer producer.Close()
+	var httpJobs sync.WaitGroup
 	var pushed []string
 	pause := o.Duration / time.Duration(max(1, o.Jobs))
 	for n := range o.Jobs {
 		class := conf.Names.Classes[[]int{0, 0, 0, 1, 1, 1, 2}[rng.IntN(7)]]
 		id := fmt.Sprintf("demo-%s-%05d", class, n)
 		if n%2 == 0 {
-			http_.Go(func() { t.recordEnd("HTTP", class, submitHTTP(g.Front.Address(), class, id)) })
-		} else if err := p.Push(client.Job{JID: id, Type: class, Args: []any{n}, Queue: "default",
+			httpJobs.Go(func() { t.recordEnd("HTTP", class, submitHTTP(g.Front.Address(), class, id)) })
+		} else if err := producer.Push(client.Job{JID: id, Type: class, Args: []any{n}, Queue: "default",
 			Custom: map[string]any{"time_left_ms": 10_000}}); err != nil {
 			t.recordEnd("Faktory", class, "turned away")
 		} else {
@@ -179,11 +186,11 @@
 			return ctx.Err()
 		}
 	}
-	http_.Wait()
-	until := time.Now().Add(20 * time.Second)
+	httpJobs.Wait()
+	deadline := time.Now().Add(endTimeout)
 	for len(pushed) > 0 {
 		pushed = slices.DeleteFunc(pushed, func(id string) bool {
-			r, err := p.Do("TRACK", "GET "+id)
+			r, err := producer.Do("TRACK", "GET "+id)
 			end := ""
 			for _, s := range []string{"served", "refused", "failed", "dead", "retries"} {
 				if err == nil && strings.Contains(r.Text, `"state":"`+s+`"`) {
@@ -196,7 +203,7 @@
 			t.recordEnd("Faktory", strings.TrimPrefix(id, "demo-")[:len(id)-len("demo--00000")], end)
 			return true
 		})
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("%d jobs have no end, for instance %s", len(pushed), pushed[0])
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -204,20 +211,20 @@
 	return nil
 }
 
-// ask submits a job over HTTP and waits for its answer.
+// submitHTTP submits a job over HTTP, waits for its answer and returns the outcome.
 func submitHTTP(address, class, id string) string {
-	q, _ := http.NewRequest("POST", fmt.Sprintf("http://%s/%s/t%d", address, class, len(id)%7), strings.NewReader("demo"))
-	q.Header.Set(platform.HeaderID, id)
-	q.Header.Set(platform.HeaderClass, class)
-	q.Header.Set(platform.HeaderTimeLeft, "10000")
-	r, err := http.DefaultClient.Do(q)
-	var gone net.Error
-	if errors.As(err, &gone) || err != nil {
+	req, _ := http.NewRequest("POST", fmt.Sprintf("http://%s/%s/t%d", address, class, len(id)%7), strings.NewReader("demo"))
+	req.Header.Set(platform.HeaderID, id)
+	req.Header.Set(platform.HeaderClass, class)
+	req.Header.Set(platform.HeaderTimeLeft, "10000")
+	resp, err := http.DefaultClient.Do(req)
+	var netErr net.Error
+	if errors.As(err, &netErr) || err != nil {
 		return "no answer"
 	}
-	defer r.Body.Close()
-	io.Copy(io.Discard, r.Body)
-	switch r.StatusCode {
+	defer resp.Body.Close()
+	io.Copy(io.Discard, resp.Body)
+	switch resp.StatusCode {
 	case 200:
 		return "served"
 	case 429, 503:
@@ -226,23 +233,23 @@
 	return "failed"
 }
 
-// table writes what ended how.
+// writeTable writes a table of the outcomes by front and class.
 func (t *tally) writeTable(w io.Writer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ends := []string{"served", "refused", "failed", "dead", "retries", "turned away", "no answer"}
+	outcomes := []string{"served", "refused", "failed", "dead", "retries", "turned away", "no answer"}
 	var keys [][2]string
 	for k := range t.ends {
 		keys = append(keys, k)
 	}
 	slices.SortFunc(keys, func(a, b [2]string) int { return strings.Compare(a[0]+a[1], b[0]+b[1]) })
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(tw, "front\tclass\tjobs\t%s\t\n", strings.Join(ends, "\t"))
+	fmt.Fprintf(tw, "front\tclass\tjobs\t%s\t\n", strings.Join(outcomes, "\t"))
 	for _, k := range keys {
 		all, cells := 0, ""
-		for _, end := range ends {
-			all += t.ends[k][end]
-			cells += fmt.Sprintf("%d\t", t.ends[k][end])
+		for _, outcome := range outcomes {
+			all += t.ends[k][outcome]
+			cells += fmt.Sprintf("%d\t", t.ends[k][outcome])
 		}
 		fmt.Fprintf(tw, "%s\t%s\t%d\t%s\n", k[0], k[1], all, cells)
 	}
--- a/internal/measure/faktory.go
+++ b/internal/measure/faktory.go
@@ -18,29 +18,30 @@
 	"cobaltflow/internal/faktory/client"
 )
 
-// classTable holds the classes of a measured gateway.
+// classTable holds the classes that a measured gateway is configured with.
 var classTable = []struct {
-	name, effect      string
-	deadlineMS, aimMS int
-	worth             float64
+	name, effect                string
+	deadlineMS, latencyTargetMS int
+	value                       float64
 }{{"board-view", "repeatable", 5000, 500, 3}, {"move", "once", 10000, 1000, 2}, {"settle", "once", 20000, 1200, 10}}
 
-// Faktory says what is measured of the Faktory front.
+// FaktoryOptions configures the measurements of the Faktory front.
 type FaktoryOptions struct {
-	Binary        string // of the gateway; empty: this program
-	EarlierBinary string // an earlier build, measured beside it; empty: none
-	Core          int
-	Seconds       float64 // of each measurement
-	Parts         string  // the name of one part; empty: all
+	Binary        string  // program of the gateway; empty: the present one
+	EarlierBinary string  // an earlier build to compare with; empty: none
+	Core          int     // the core that the gateway runs on
+	Seconds       float64 // duration of each measurement
+	Parts         string  // names of the parts to run: cycles, bulk, latency, memory, held, flood; empty: all
 }
 
+// The closed loop's numbers of clients.
 const (
 	pushers     = 32
 	workers     = 16
-	maxInFlight = 64 // jobs that may be on their way at once in the closed loop
+	maxInFlight = 64 // jobs pushed and not yet acknowledged
 )
 
-// RunFaktory measures and writes tables in Markdown. With a word of Only it does the parts that have it.
+// RunFaktory measures the Faktory front and writes tables in Markdown.
 func RunFaktory(ctx context.Context, w io.Writer, o FaktoryOptions) error {
 	return runParts(ctx, w, &o.Binary, o.Core, o.Parts, []part{
 		{"cycles", func() error { return measureCycles(ctx, w, o) }}, {"bulk", func() error { return measureBulk(ctx, w, o) }},
@@ -48,46 +49,47 @@
 		{"held", func() error { return measureHeld(ctx, w, o) }}, {"flood", func() error { return measureFlood(ctx, w, o) }}})
 }
 
-// load is a closed loop of pushers and workers, or an open one where rate is above 0.
+// load generates jobs with pushers and workers in a closed loop, or in an open loop if rate is above 0.
 type load struct {
 	address    string
 	queue      string
-	rate       float64 // jobs a second in all; 0: as fast as the workers take them
-	padding    string
-	timeLeftMS int // time_left_ms of each job; 0: none
+	rate       float64 // jobs per second in total; 0: as fast as the workers acknowledge them
+	padding    string  // an argument of each job
+	timeLeftMS int     // time_left_ms of each job; 0: not set
 
 	done      atomic.Int64
 	refused   atomic.Int64
-	latencies *hdrhistogram.Histogram // µs from when a job was due to the worker's receipt
+	latencies *hdrhistogram.Histogram // microseconds from a job's due time to the worker's receipt
 	mu        sync.Mutex
-	tokens    chan struct{}
+	tokens    chan struct{} // one for each job in flight of the closed loop
 }
 
 // run runs the load until ctx ends.
-func (l *load) run(ctx context.Context, pushers, workers int) error {
+func (l *load) run(ctx context.Context, pusherCount, workerCount int) error {
 	l.tokens = make(chan struct{}, maxInFlight)
 	l.latencies = hdrhistogram.New(1, 60_000_000, 3)
 	var wg sync.WaitGroup
-	errs := make(chan error, pushers+workers)
-	began := time.Now()
-	work := func(f func() error) {
+	errs := make(chan error, pusherCount+workerCount)
+	start := time.Now()
+	run := func(f func() error) {
 		wg.Go(func() {
 			if err := f(); err != nil && ctx.Err() == nil {
 				errs <- err
 			}
 		})
 	}
-	for i := range workers {
-		work(func() error { return l.work(ctx, began, i) })
+	for i := range workerCount {
+		run(func() error { return l.work(ctx, start, i) })
 	}
-	for i := range pushers {
-		work(func() error { return l.push(ctx, began, i, pushers) })
+	for i := range pusherCount {
+		run(func() error { return l.push(ctx, start, i, pusherCount) })
 	}
 	wg.Wait()
 	close(errs)
 	return errors.Join(<-errs)
 }
 
+// openConn connects to the Faktory front, as a worker if wid is set. The connection closes when ctx ends.
 func openConn(ctx context.Context, address, wid string) (*client.Conn, error) {
 	c, err := client.Dial(address, client.Options{WID: wid})
 	if err == nil {
@@ -96,15 +98,18 @@
 	return c, err
 }
 
+// nextID numbers the jobs and workers of all measurements.
 var nextID atomic.Int64
 
-func (l *load) push(ctx context.Context, began time.Time, i, of int) error {
+// push runs the i-th of a number of connections that push jobs. The first argument of a job is its due time in microseconds
+// since start.
+func (l *load) push(ctx context.Context, start time.Time, i, connections int) error {
 	c, err := openConn(ctx, l.address, "")
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	next := 0.0
+	next := 0.0 // due time in seconds
 	if l.rate > 0 {
 		next = float64(i) / l.rate
 	}
@@ -113,13 +118,13 @@
 		custom = fmt.Sprintf(`,"custom":{"time_left_ms":%d}`, l.timeLeftMS)
 	}
 	for ctx.Err() == nil {
-		due := time.Since(began)
+		due := time.Since(start)
 		if l.rate > 0 {
 			due = time.Duration(next * float64(time.Second))
-			if wait := due - time.Since(began); wait > 0 {
+			if wait := due - time.Since(start); wait > 0 {
 				time.Sleep(wait)
 			}
-			next += float64(of) / l.rate
+			next += float64(connections) / l.rate
 		} else {
 			select {
 			case l.tokens <- struct{}{}:
@@ -142,7 +147,8 @@
 	return nil
 }
 
-func (l *load) work(ctx context.Context, began time.Time, i int) error {
+// work runs a worker connection that fetches and acknowledges jobs.
+func (l *load) work(ctx context.Context, start time.Time, i int) error {
 	c, err := openConn(ctx, l.address, fmt.Sprintf("measure-%s-%d-%d", l.queue, i, nextID.Add(1)))
 	if err != nil {
 		return err
@@ -156,17 +162,17 @@
 		if r.IsNull {
 			continue
 		}
-		now := time.Since(began)
+		now := time.Since(start)
 		jid, due := textBetween(r.Text, `"jid":"`, `"`), textBetween(r.Text, `"args":[`, `,`)
-		var us int64
-		fmt.Sscan(due, &us)
+		var dueMicros int64
+		fmt.Sscan(due, &dueMicros)
 		if _, err := c.Do("ACK", `{"jid":"`+jid+`"}`); err != nil {
 			return err
 		}
 		l.done.Add(1)
 		if l.rate > 0 {
 			l.mu.Lock()
-			l.latencies.RecordValue(max(1, now.Microseconds()-us))
+			l.latencies.RecordValue(max(1, now.Microseconds()-dueMicros))
 			l.mu.Unlock()
 		} else {
 			select {
@@ -178,22 +184,24 @@
 	return nil
 }
 
+// textBetween returns the part of a text between the first from and the next to.
 func textBetween(text, from, to string) string {
 	_, rest, _ := strings.Cut(text, from)
 	out, _, _ := strings.Cut(rest, to)
 	return out
 }
 
-// rate runs a load for some seconds after a warm-up and gives jobs a second and the gateway's CPU time for each.
+// measureRate runs a load for some seconds after a warm-up of a quarter of them, and returns the jobs per second and the
+// gateway's CPU time per job.
 func measureRate(ctx context.Context, g *gateway, l *load, seconds float64) (perSecond float64, cpu time.Duration, err error) {
-	run, cancel := context.WithCancel(ctx)
+	runCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ended := make(chan error, 1)
-	go func() { ended <- l.run(run, pushers, workers) }()
+	go func() { ended <- l.run(runCtx, pushers, workers) }()
 	sleep(ctx, time.Duration(seconds/4*float64(time.Second)))
-	done, used, at := l.done.Load(), g.cpuTime(), time.Now()
+	done, used, start := l.done.Load(), g.cpuTime(), time.Now()
 	sleep(ctx, time.Duration(seconds*float64(time.Second)))
-	n, took := l.done.Load()-done, time.Since(at)
+	n, took := l.done.Load()-done, time.Since(start)
 	cpu = g.cpuTime() - used
 	cancel()
 	err = <-ended
@@ -203,6 +211,7 @@
 	return float64(n) / took.Seconds(), cpu / time.Duration(n), err
 }
 
+// sleep waits for a duration or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -210,7 +219,7 @@
 	}
 }
 
-// measureCycles compares the closed loop of this build with an earlier one's, in turn.
+// measureCycles compares the closed loop's rate of this build with an earlier one's, in alternation.
 func measureCycles(ctx context.Context, w io.Writer, o FaktoryOptions) error {
 	fmt.Fprintf(w, "### Cycles (PUSH, FETCH, ACK) on one core, %d pushers, %d workers\n\n| build | cycles/s | CPU µs/cycle |\n| --- | ---: | ---: |\n", pushers, workers)
 	for range 2 {
@@ -239,7 +248,7 @@
 	return nil
 }
 
-// bulkOf makes a PUSHB of n jobs of about 200 bytes.
+// bulkArgument returns the argument of a PUSHB with n jobs of about 200 bytes each.
 func bulkArgument(n int, queue string) string {
 	var b bytes.Buffer
 	b.WriteByte('[')
@@ -254,6 +263,7 @@
 	return b.String()
 }
 
+// measureBulk measures PUSHB on several connections.
 func measureBulk(ctx context.Context, w io.Writer, o FaktoryOptions) error {
 	g, err := startGateway(gatewayOptions{binary: o.Binary, core: o.Core})
 	if err != nil {
@@ -301,28 +311,30 @@
 	}
 }
 
+// measureLatency measures the time from a job's due time to its receipt at fractions of the closed loop's rate.
 func measureLatency(ctx context.Context, w io.Writer, o FaktoryOptions) error {
 	g, err := startGateway(gatewayOptions{binary: o.Binary, core: o.Core})
 	if err != nil {
 		return err
 	}
 	defer g.stop()
-	most, _, err := measureRate(ctx, g, &load{address: g.faktory, queue: "closed"}, o.Seconds)
+	maxRate, _, err := measureRate(ctx, g, &load{address: g.faktory, queue: "closed"}, o.Seconds)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "### From when a PUSH was due to the worker's receipt, on one core, %d pushers, %d workers\n\n| load, jobs/s | p50 ms | p99 ms | p99.9 ms | most ms |\n| ---: | ---: | ---: | ---: | ---: |\n", pushers, workers)
-	for _, part := range []float64{0.25, 0.5, 0.75} {
-		l := &load{address: g.faktory, queue: fmt.Sprint("open-", part), rate: part * most}
+	for _, fraction := range []float64{0.25, 0.5, 0.75} {
+		l := &load{address: g.faktory, queue: fmt.Sprint("open-", fraction), rate: fraction * maxRate}
 		if _, _, err := measureRate(ctx, g, l, o.Seconds); err != nil {
 			return err
 		}
 		ms := func(q float64) float64 { return float64(l.latencies.ValueAtQuantile(q)) / 1000 }
-		fmt.Fprintf(w, "| %.0f (%.0f %%) | %.2f | %.2f | %.2f | %.2f |\n", l.rate, 100*part, ms(50), ms(99), ms(99.9), ms(100))
+		fmt.Fprintf(w, "| %.0f (%.0f %%) | %.2f | %.2f | %.2f | %.2f |\n", l.rate, 100*fraction, ms(50), ms(99), ms(99.9), ms(100))
 	}
 	return nil
 }
 
+// measureMemory measures the gateway's memory by the number of held jobs.
 func measureMemory(ctx context.Context, w io.Writer, o FaktoryOptions) error {
 	fmt.Fprint(w, "### Memory of held jobs of 200 bytes\n\n| held | resident MB | highest MB | bytes a job over an empty one |\n| ---: | ---: | ---: | ---: |\n")
 	g, err := startGateway(gatewayOptions{binary: o.Binary, core: o.Core, memoryMB: 192, faktory: map[string]any{"max_held_mb": 64, "max_client_mb": 64}})
@@ -349,8 +361,8 @@
 	return nil
 }
 
-// measureHeld runs the closed loop beside a backlog of the same queue: three rounds in turn, since a machine's speed
-// drifts, of which the middle one by CPU time counts.
+// measureHeld measures the closed loop beside a backlog in the same queue. It runs three rounds over all backlogs, since a
+// machine's speed drifts, and prints the round with the median CPU time.
 func measureHeld(ctx context.Context, w io.Writer, o FaktoryOptions) error {
 	fmt.Fprint(w, "### Cycles beside held jobs of the same queue, on one core, the middle of three rounds\n\n| held | cycles/s | CPU µs/cycle |\n| ---: | ---: | ---: |\n")
 	type round struct {
@@ -376,6 +388,7 @@
 	return nil
 }
 
+// measureCyclesBeside measures the closed loop of a new gateway that holds a number of jobs in the same queue.
 func measureCyclesBeside(ctx context.Context, o FaktoryOptions, held int) (perSecond float64, cpu time.Duration, err error) {
 	g, err := startGateway(gatewayOptions{binary: o.Binary, core: o.Core})
 	if err != nil {
--- a/internal/measure/flood.go
+++ b/internal/measure/flood.go
@@ -16,11 +16,11 @@
 	"cobaltflow/internal/platform"
 )
 
-// measureFlood compares what the HTTP front's jobs earn with and without ten times as many jobs that are pushed.
+// measureFlood compares the value that jobs of the HTTP front earn with and without a flood of PUSHes at ten times their rate.
 func measureFlood(ctx context.Context, w io.Writer, o FaktoryOptions) error {
-	const httpRate, times = 200.0, 10
-	fmt.Fprintf(w, "### HTTP jobs, %.0f a second, beside a flood of PUSHes at %d times that rate, on one core\n\n| flood | worth served | p50 ms | p99 ms | PUSHes taken/s | turned away/s |\n| --- | ---: | ---: | ---: | ---: | ---: |\n", httpRate, times)
-	for _, workers := range []int{-1, 1, 0, -1, 1, 0} { // of the flood's queue; below 0: no flood
+	const httpRate, floodFactor = 200.0, 10
+	fmt.Fprintf(w, "### HTTP jobs, %.0f a second, beside a flood of PUSHes at %d times that rate, on one core\n\n| flood | worth served | p50 ms | p99 ms | PUSHes taken/s | turned away/s |\n| --- | ---: | ---: | ---: | ---: | ---: |\n", httpRate, floodFactor)
+	for _, workers := range []int{-1, 1, 0, -1, 1, 0} { // workers of the flood's queue; below 0: no flood
 		flood := workers >= 0
 		var tables []*TableWorker
 		var addresses []string
@@ -39,16 +39,16 @@
 		for _, t := range tables {
 			t.SendCallbacksTo(g.http)
 		}
-		run, cancel := context.WithTimeout(ctx, time.Duration(o.Seconds*float64(time.Second)))
-		l := &load{address: g.faktory, queue: "flood", rate: httpRate * times, padding: strings.Repeat("x", 150)}
+		runCtx, cancel := context.WithTimeout(ctx, time.Duration(o.Seconds*float64(time.Second)))
+		l := &load{address: g.faktory, queue: "flood", rate: httpRate * floodFactor, padding: strings.Repeat("x", 150)}
 		ended := make(chan error, 1)
 		if flood {
-			go func() { ended <- l.run(run, pushers, workers) }()
+			go func() { ended <- l.run(runCtx, pushers, workers) }()
 		} else {
 			ended <- nil
 		}
 		h := &httpLoad{address: g.http, rate: httpRate}
-		h.run(run)
+		h.run(runCtx)
 		cancel()
 		err = <-ended
 		g.stop()
@@ -59,8 +59,8 @@
 		if flood {
 			name = fmt.Sprintf("%.0f/s, %d workers", l.rate, workers)
 		}
-		lat := h.quantiles()
-		fmt.Fprintf(w, "| %s | %.3f | %.1f | %.1f | %.0f | %.0f |\n", name, h.earnedValue/h.offeredValue, lat[0], lat[1],
+		latencyMS := h.quantiles()
+		fmt.Fprintf(w, "| %s | %.3f | %.1f | %.1f | %.0f | %.0f |\n", name, h.earnedValue/h.offeredValue, latencyMS[0], latencyMS[1],
 			(l.rate*o.Seconds-float64(l.refused.Load()))/o.Seconds*boolToFloat(flood), float64(l.refused.Load())/o.Seconds)
 	}
 	return nil
@@ -73,61 +73,64 @@
 	return 0
 }
 
-// httpLoad is an open loop of the HTTP front's clients, with a mix of classes.
+// httpLoad sends jobs of mixed classes to the HTTP front in an open loop.
 type httpLoad struct {
 	address                   string
-	rate                      float64
+	rate                      float64 // jobs per second
 	mu                        sync.Mutex
 	earnedValue, offeredValue float64
 	latencies                 []time.Duration
 	failed                    atomic.Int64
 }
 
+// run sends jobs until the context ends and waits for their answers. An answer after the latency target earns a quarter of
+// the job's value.
 func (h *httpLoad) run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
-	began := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
 	for n := 0; ; n++ {
 		due := time.Duration(float64(n) / h.rate * float64(time.Second))
-		sleep(ctx, due-time.Since(began))
+		sleep(ctx, due-time.Since(start))
 		if ctx.Err() != nil {
 			break
 		}
 		class := classTable[[]int{0, 0, 0, 1, 1, 1, 2}[rng.IntN(7)]]
 		key, id := rng.IntN(50), fmt.Sprintf("http-%d", nextID.Add(1))
 		wg.Go(func() {
-			q, _ := http.NewRequest("POST", fmt.Sprintf("http://%s/%s/t%d", h.address, class.name, key), strings.NewReader("body"))
-			q.Header.Set(platform.HeaderID, id)
-			q.Header.Set(platform.HeaderClass, class.name)
-			q.Header.Set(platform.HeaderTimeLeft, fmt.Sprint(class.deadlineMS))
-			r, err := c.Do(q)
-			took := time.Since(began) - due // from when it was due: a stall is not hidden
+			req, _ := http.NewRequest("POST", fmt.Sprintf("http://%s/%s/t%d", h.address, class.name, key), strings.NewReader("body"))
+			req.Header.Set(platform.HeaderID, id)
+			req.Header.Set(platform.HeaderClass, class.name)
+			req.Header.Set(platform.HeaderTimeLeft, fmt.Sprint(class.deadlineMS))
+			resp, err := c.Do(req)
+			latency := time.Since(start) - due // from the due time, so that a stall of the sender counts too
 			if err == nil {
-				io.Copy(io.Discard, r.Body)
-				r.Body.Close()
-				if r.StatusCode != 200 {
-					err = errors.New(r.Status)
+				io.Copy(io.Discard, resp.Body)
+				resp.Body.Close()
+				if resp.StatusCode != 200 {
+					err = errors.New(resp.Status)
 				}
 			}
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.offeredValue += class.worth
+			h.offeredValue += class.value
 			if err != nil {
 				h.failed.Add(1)
 				return
 			}
-			h.latencies = append(h.latencies, took)
-			if took < time.Duration(class.aimMS)*time.Millisecond {
-				h.earnedValue += class.worth
+			h.latencies = append(h.latencies, latency)
+			if latency < time.Duration(class.latencyTargetMS)*time.Millisecond {
+				h.earnedValue += class.value
 			} else {
-				h.earnedValue += class.worth / 4
+				h.earnedValue += class.value / 4
 			}
 		})
 	}
 	wg.Wait()
 }
 
+// quantiles returns the median and the 99th percentile of the latency, in milliseconds.
 func (h *httpLoad) quantiles() [2]float64 {
 	if len(h.latencies) == 0 {
 		return [2]float64{}
--- a/internal/measure/http.go
+++ b/internal/measure/http.go
@@ -24,33 +24,34 @@
 	"cobaltflow/internal/platform"
 )
 
-// HTTP says what is measured of the HTTP fronts.
+// HTTPOptions configures the measurements of the HTTP fronts.
 type HTTPOptions struct {
-	Binary        string
-	EarlierBinary string // an earlier build, measured beside it; empty: none
-	Core          int
-	Seconds       float64
-	Parts         string // parts: fronts, conns, memory, attacks
+	Binary        string  // program of the gateway; empty: the present one
+	EarlierBinary string  // an earlier build to compare with; empty: none
+	Core          int     // the core that the gateway runs on
+	Seconds       float64 // duration of each measurement
+	Parts         string  // names of the parts to run: fronts, conns, memory, attacks; empty: all
 }
 
-// RunHTTP measures and writes tables in Markdown.
+// RunHTTP measures the HTTP fronts and writes tables in Markdown.
 func RunHTTP(ctx context.Context, w io.Writer, o HTTPOptions) error {
 	return runParts(ctx, w, &o.Binary, o.Core, o.Parts, []part{
 		{"fronts", func() error { return measureFronts(ctx, w, o) }}, {"conns", func() error { return measureConns(ctx, w, o) }},
 		{"memory", func() error { return measureStreams(ctx, w, o) }}, {"attacks", func() error { return measureAttacks(ctx, w, o) }}})
 }
 
-// site is a gateway with table workers of its own.
+// deployment is a gateway process with table workers of its own.
 type deployment struct {
 	*gateway
 	tables []*TableWorker
 }
 
-func newDeployment(o HTTPOptions, run time.Duration, slots int) (*deployment, error) {
+// newDeployment starts four table workers and a gateway that sends to them.
+func newDeployment(o HTTPOptions, meanRunTime time.Duration, slots int) (*deployment, error) {
 	s := &deployment{}
 	var addresses []string
 	for i := range 4 {
-		t, err := NewTableWorker(fmt.Sprint("table-", i), slots, run, nil)
+		t, err := NewTableWorker(fmt.Sprint("table-", i), slots, meanRunTime, nil)
 		if err != nil {
 			return nil, err
 		}
@@ -74,62 +75,63 @@
 	}
 }
 
-// asker asks for one job and waits for its answer.
+// requester sends one job and waits for its answer.
 type requester func() (status int, err error)
 
-// closedLoop runs askers one after the other's answer, and gives jobs a second, the gateway's CPU time a job, and
-// the latencies in µs.
-func closedLoop(ctx context.Context, g *gateway, askers []requester, seconds float64) (rate float64, cpu time.Duration, late *hdrhistogram.Histogram, err error) {
-	run, cancel := context.WithCancel(ctx)
+// closedLoop runs the requesters in parallel, each with one request at a time. After a warm-up of a quarter of seconds it
+// measures the jobs per second, the gateway's CPU time per job and the latencies in microseconds.
+func closedLoop(ctx context.Context, g *gateway, requesters []requester, seconds float64) (rate float64, cpu time.Duration, latencies *hdrhistogram.Histogram, err error) {
+	runCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var done, bad atomic.Int64
+	var served, failed atomic.Int64
 	var mu sync.Mutex
-	late = hdrhistogram.New(1, 60_000_000, 3)
+	latencies = hdrhistogram.New(1, 60_000_000, 3)
 	var wg sync.WaitGroup
-	measured := atomic.Bool{}
-	for _, a := range askers {
+	isMeasuring := atomic.Bool{}
+	for _, request := range requesters {
 		wg.Go(func() {
-			for run.Err() == nil {
-				at := time.Now()
-				status, err := a()
+			for runCtx.Err() == nil {
+				start := time.Now()
+				status, err := request()
 				if err != nil || status != 200 {
-					bad.Add(1)
+					failed.Add(1)
 					if err != nil {
 						time.Sleep(time.Millisecond)
 					}
 					continue
 				}
-				done.Add(1)
-				if measured.Load() {
+				served.Add(1)
+				if isMeasuring.Load() {
 					mu.Lock()
-					late.RecordValue(max(1, time.Since(at).Microseconds()))
+					latencies.RecordValue(max(1, time.Since(start).Microseconds()))
 					mu.Unlock()
 				}
 			}
 		})
 	}
 	sleep(ctx, time.Duration(seconds/4*float64(time.Second)))
-	measured.Store(true)
-	n, used, at := done.Load(), g.cpuTime(), time.Now()
+	isMeasuring.Store(true)
+	n, used, start := served.Load(), g.cpuTime(), time.Now()
 	sleep(ctx, time.Duration(seconds*float64(time.Second)))
-	n, used = done.Load()-n, g.cpuTime()-used
-	rate = float64(n) / time.Since(at).Seconds()
+	n, used = served.Load()-n, g.cpuTime()-used
+	rate = float64(n) / time.Since(start).Seconds()
 	cancel()
 	wg.Wait()
 	if n == 0 {
-		return 0, 0, late, fmt.Errorf("no job was served, %d were not", bad.Load())
+		return 0, 0, latencies, fmt.Errorf("no job was served, %d were not", failed.Load())
 	}
-	return rate, used / time.Duration(n), late, nil
+	return rate, used / time.Duration(n), latencies, nil
 }
 
-// drained reads an answer to its end, so that its connection can be used again.
-func drainBody(p *http.Response) (status int) {
-	io.Copy(io.Discard, p.Body)
-	p.Body.Close()
-	return p.StatusCode
+// drainBody reads an answer to its end, so that its connection can be reused, and returns the status.
+func drainBody(resp *http.Response) (status int) {
+	io.Copy(io.Discard, resp.Body)
+	resp.Body.Close()
+	return resp.StatusCode
 }
 
-// http1Askers make plain HTTP/1.1 connections, one for each asker.
+// http1Requesters opens n HTTP/1.1 connections and returns a requester for each, and a function that closes them. A
+// connection that can't be opened is left out.
 func http1Requesters(address, path string, n int) ([]requester, func()) {
 	var conns []net.Conn
 	var out []requester
@@ -145,11 +147,11 @@
 			if err != nil {
 				return 0, err
 			}
-			p, err := http.ReadResponse(r, nil)
+			resp, err := http.ReadResponse(r, nil)
 			if err != nil {
 				return 0, err
 			}
-			return drainBody(p), nil
+			return drainBody(resp), nil
 		})
 	}
 	return out, func() {
@@ -159,38 +161,40 @@
 	}
 }
 
-// http2Askers make conns connections with streams askers on each.
+// http2Requesters returns requesters for conns HTTP/2 connections with streams requesters on each, and a function that
+// closes the connections.
 func http2Requesters(address, path string, conns, streams int) ([]requester, func()) {
 	var out []requester
-	var open []*http.Transport
+	var transports []*http.Transport
 	var clearText http.Protocols
 	clearText.SetUnencryptedHTTP2(true)
 	for range conns {
 		t := &http.Transport{Protocols: &clearText, MaxConnsPerHost: 1, HTTP2: &http.HTTP2Config{StrictMaxConcurrentRequests: true}}
-		open = append(open, t)
+		transports = append(transports, t)
 		for range streams {
 			out = append(out, func() (int, error) {
-				q, _ := http.NewRequest("POST", "http://"+address+path, strings.NewReader("body"))
-				q.Header.Set(platform.HeaderID, fmt.Sprint("m-", nextID.Add(1)))
-				q.Header.Set(platform.HeaderTimeLeft, "5000")
-				p, err := t.RoundTrip(q)
+				req, _ := http.NewRequest("POST", "http://"+address+path, strings.NewReader("body"))
+				req.Header.Set(platform.HeaderID, fmt.Sprint("m-", nextID.Add(1)))
+				req.Header.Set(platform.HeaderTimeLeft, "5000")
+				resp, err := t.RoundTrip(req)
 				if err != nil {
 					return 0, err
 				}
-				return drainBody(p), nil
+				return drainBody(resp), nil
 			})
 		}
 	}
 	return out, func() {
-		for _, t := range open {
+		for _, t := range transports {
 			t.CloseIdleConnections()
 		}
 	}
 }
 
+// jobPath is the request path of the jobs that the requesters send.
 const jobPath = "/board-view/k"
 
-// measureFronts compares the two fronts at a hundred jobs in flight.
+// measureFronts compares the HTTP/1.1 and the HTTP/2 front with a hundred jobs in flight.
 func measureFronts(ctx context.Context, w io.Writer, o HTTPOptions) error {
 	fmt.Fprint(w, "### A hundred jobs in flight, on one core\n\n| clients | jobs/s | CPU µs/job | p50 ms | p99 ms |\n| --- | ---: | ---: | ---: | ---: |\n")
 	for range 2 {
@@ -199,34 +203,35 @@
 			if err != nil {
 				return err
 			}
-			var askers []requester
+			var requesters []requester
 			var done func()
 			switch kind[:2] {
 			case "1 ":
-				askers, done = http2Requesters(s.http2, jobPath, 1, 100)
+				requesters, done = http2Requesters(s.http2, jobPath, 1, 100)
 			case "10":
-				if askers, done = http2Requesters(s.http2, jobPath, 10, 10); strings.Contains(kind, "/1.1") {
+				if requesters, done = http2Requesters(s.http2, jobPath, 10, 10); strings.Contains(kind, "/1.1") {
 					done()
-					askers, done = http1Requesters(s.http, jobPath, 100)
+					requesters, done = http1Requesters(s.http, jobPath, 100)
 				}
 			}
-			rate, cpu, late, err := closedLoop(ctx, s.gateway, askers, o.Seconds)
+			rate, cpu, latencies, err := closedLoop(ctx, s.gateway, requesters, o.Seconds)
 			done()
 			s.close()
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(w, "| %s | %.0f | %.1f | %.2f | %.2f |\n", kind, rate, float64(cpu.Nanoseconds())/1000,
-				float64(late.ValueAtQuantile(50))/1000, float64(late.ValueAtQuantile(99))/1000)
+				float64(latencies.ValueAtQuantile(50))/1000, float64(latencies.ValueAtQuantile(99))/1000)
 		}
 	}
 	return nil
 }
 
-// measureConns looks at HTTP/1.1 by the number of connections, with a reverse proxy of the standard library beside it.
+// measureConns measures HTTP/1.1 by the number of connections, and compares it with an earlier build and with the standard
+// library's reverse proxy.
 func measureConns(ctx context.Context, w io.Writer, o HTTPOptions) error {
 	fmt.Fprint(w, "### HTTP/1.1 by connections, on one core\n\n| connections | jobs/s | CPU µs/job | p99 ms | earlier build, jobs/s | CPU µs/job | httputil.ReverseProxy, requests/s |\n| ---: | ---: | ---: | ---: | ---: | ---: | ---: |\n")
-	back, err := net.Listen("tcp", "127.0.0.1:0")
+	backend, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
@@ -234,51 +239,52 @@
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, "result of this job")
 	})}
-	go plain.Serve(back)
+	go plain.Serve(backend)
 	defer plain.Close()
 	for _, n := range []int{8, 32, 64, 128, 256} {
-		rate, cpu, late, err := measureConnCount(ctx, o, n)
+		rate, cpu, latencies, err := measureConnCount(ctx, o, n)
 		if err != nil {
 			return err
 		}
-		before, cost := 0.0, time.Duration(0)
+		earlierRate, earlierCPU := 0.0, time.Duration(0)
 		if o.EarlierBinary != "" {
 			earlier := o
 			earlier.Binary = o.EarlierBinary
-			if before, cost, _, err = measureConnCount(ctx, earlier, n); err != nil {
+			if earlierRate, earlierCPU, _, err = measureConnCount(ctx, earlier, n); err != nil {
 				return err
 			}
 		}
-		proxy, err := startProxy(o, back.Addr().String())
+		proxy, err := startProxy(o, backend.Addr().String())
 		if err != nil {
 			return err
 		}
-		askers, done := http1Requesters(proxy.http, jobPath, n)
-		other, _, _, err := closedLoop(ctx, proxy, askers, o.Seconds)
+		requesters, done := http1Requesters(proxy.http, jobPath, n)
+		proxyRate, _, _, err := closedLoop(ctx, proxy, requesters, o.Seconds)
 		done()
 		proxy.stop()
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(w, "| %d | %.0f | %.1f | %.2f | %.0f | %.1f | %.0f |\n", n, rate, float64(cpu.Nanoseconds())/1000,
-			float64(late.ValueAtQuantile(99))/1000, before, float64(cost.Nanoseconds())/1000, other)
+			float64(latencies.ValueAtQuantile(99))/1000, earlierRate, float64(earlierCPU.Nanoseconds())/1000, proxyRate)
 	}
 	return nil
 }
 
-func measureConnCount(ctx context.Context, o HTTPOptions, n int) (rate float64, cpu time.Duration, late *hdrhistogram.Histogram, err error) {
+// measureConnCount runs the closed loop over n HTTP/1.1 connections to a new deployment.
+func measureConnCount(ctx context.Context, o HTTPOptions, n int) (rate float64, cpu time.Duration, latencies *hdrhistogram.Histogram, err error) {
 	s, err := newDeployment(o, 0, 64)
 	if err != nil {
 		return 0, 0, nil, err
 	}
 	defer s.close()
-	askers, done := http1Requesters(s.http, jobPath, n)
+	requesters, done := http1Requesters(s.http, jobPath, n)
 	defer done()
-	return closedLoop(ctx, s.gateway, askers, o.Seconds)
+	return closedLoop(ctx, s.gateway, requesters, o.Seconds)
 }
 
-// startProxy runs ReverseProxy as a process on the core.
-func startProxy(o HTTPOptions, to string) (*gateway, error) {
+// startProxy runs ServeReverseProxy to a backend's address as a process on the measured core.
+func startProxy(o HTTPOptions, backend string) (*gateway, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -287,7 +293,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &gateway{http: address, cmd: exec.Command(self, "measure", "reverse-proxy", address, to)}
+	g := &gateway{http: address, cmd: exec.Command(self, "measure", "reverse-proxy", address, backend)}
 	g.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := startOnCore(g.cmd, o.Core); err != nil {
 		return nil, err
@@ -295,14 +301,15 @@
 	return g, waitReachable(address)
 }
 
-// ReverseProxy serves httputil.ReverseProxy at an address, for a comparison.
-func ServeReverseProxy(address, to string) error {
-	p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: to})
+// ServeReverseProxy serves the standard library's reverse proxy to a backend at an address, as a baseline. It returns only on
+// an error.
+func ServeReverseProxy(address, backend string) error {
+	p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: backend})
 	p.Transport = &http.Transport{MaxIdleConnsPerHost: 512}
 	return http.ListenAndServe(address, p)
 }
 
-// measureStreams looks at the memory of connections that are idle and of streams that are open.
+// measureStreams measures the memory of idle HTTP/2 connections and of open streams.
 func measureStreams(_ context.Context, w io.Writer, o HTTPOptions) error {
 	s, err := newDeployment(o, time.Hour, 4096)
 	if err != nil {
@@ -329,11 +336,11 @@
 		}
 	}
 	time.Sleep(300 * time.Millisecond)
-	with := s.memory("VmRSS")
-	fmt.Fprintf(w, "| idle connections | %d | %.1f | %d |\n", idle, float64(with)/(1<<20), (with-empty)/idle)
+	afterConns := s.memory("VmRSS")
+	fmt.Fprintf(w, "| idle connections | %d | %.1f | %d |\n", idle, float64(afterConns)/(1<<20), (afterConns-empty)/idle)
 	for i, fr := range framers[:100] {
 		for k := range streams {
-			// Literal fields without indexing: the shortest encoder there is.
+			// HPACK literal fields without indexing need no encoder state.
 			block := []byte{0x83, 0x86}
 			for _, f := range [][2]string{{":path", jobPath}, {"x-correlation-id", fmt.Sprintf("open-%d-%d", i, k)}, {"x-time-left-ms", "60000"}} {
 				block = append(append(append(append(block, 0, byte(len(f[0]))), f[0]...), byte(len(f[1]))), f[1]...)
@@ -344,12 +351,12 @@
 		}
 	}
 	time.Sleep(time.Second)
-	open := s.memory("VmRSS")
-	fmt.Fprintf(w, "| open streams, each with its job at a worker | %d | %.1f | %d |\n", 100*streams, float64(open)/(1<<20), (open-with)/(100*streams))
+	afterStreams := s.memory("VmRSS")
+	fmt.Fprintf(w, "| open streams, each with its job at a worker | %d | %.1f | %d |\n", 100*streams, float64(afterStreams)/(1<<20), (afterStreams-afterConns)/(100*streams))
 	return nil
 }
 
-// measureAttacks compares what usual clients earn under each attack with what they earn without.
+// measureAttacks compares the value that regular HTTP/1.1 clients earn under each attack with their value without one.
 func measureAttacks(ctx context.Context, w io.Writer, o HTTPOptions) error {
 	fmt.Fprint(w, "### HTTP/1.1 jobs, 200 a second, while an HTTP/2 client attacks, on one core\n\n| attack | worth served | p50 ms | p99 ms |\n| --- | ---: | ---: | ---: |\n")
 	write := func(kind http2.FrameType, flags http2.Flags, payload ...byte) func(*http2.Framer, uint32) error {
@@ -387,25 +394,25 @@
 		if err != nil {
 			return err
 		}
-		run, cancel := context.WithTimeout(ctx, time.Duration(o.Seconds*float64(time.Second)))
+		runCtx, cancel := context.WithTimeout(ctx, time.Duration(o.Seconds*float64(time.Second)))
 		var wg sync.WaitGroup
 		if a.do != nil {
 			for range 4 {
-				wg.Go(func() { attack(run, s.http2, a.do) })
+				wg.Go(func() { attack(runCtx, s.http2, a.do) })
 			}
 		}
 		h := &httpLoad{address: s.http, rate: 200}
-		h.run(run)
+		h.run(runCtx)
 		cancel()
 		wg.Wait()
 		s.close()
-		lat := h.quantiles()
-		fmt.Fprintf(w, "| %s | %.3f | %.1f | %.1f |\n", a.name, h.earnedValue/h.offeredValue, lat[0], lat[1])
+		latencyMS := h.quantiles()
+		fmt.Fprintf(w, "| %s | %.3f | %.1f | %.1f |\n", a.name, h.earnedValue/h.offeredValue, latencyMS[0], latencyMS[1])
 	}
 	return nil
 }
 
-// attack connects again and again, and sends frames as fast as they are taken.
+// attack connects repeatedly until the context ends, and sends an attack's frames as fast as the server accepts them.
 func attack(ctx context.Context, address string, do func(*http2.Framer, uint32) error) {
 	for ctx.Err() == nil {
 		nc, err := net.DialTimeout("tcp", address, time.Second)
@@ -415,7 +422,7 @@
 			}
 			continue
 		}
-		free := context.AfterFunc(ctx, func() { nc.Close() })
+		stopClosing := context.AfterFunc(ctx, func() { nc.Close() })
 		go io.Copy(io.Discard, nc)
 		fr := http2.NewFramer(nc, nc)
 		fr.AllowIllegalWrites = true
@@ -424,7 +431,7 @@
 		fr.WriteSettingsAck()
 		for id := uint32(1); do(fr, id) == nil && id < 1<<30; id += 2 {
 		}
-		free()
+		stopClosing()
 		nc.Close()
 	}
 }
--- a/internal/measure/http_test.go
+++ b/internal/measure/http_test.go
@@ -11,16 +11,17 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Askers of one connection share it from the first request on, all of them at once.
-func TestHTTP2AskersShareTheirConnection(t *testing.T) {
+// Concurrent requesters must share their connection from the first request on. A transport that opened a second connection
+// for the first requests would measure more connections than the table says.
+func TestHTTP2RequestersShareTheirConnection(t *testing.T) {
 	const conns, streams = 3, 20
 	var opened atomic.Int64
-	var together sync.WaitGroup
-	together.Add(conns * streams)
+	var allOpen sync.WaitGroup
+	allOpen.Add(conns * streams)
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Equal(t, 2, r.ProtoMajor)
-		together.Done()
-		together.Wait() // no answer before all requests are open
+		allOpen.Done()
+		allOpen.Wait() // no answer before all requests are open
 	}))
 	server.Config.Protocols = new(http.Protocols)
 	server.Config.Protocols.SetUnencryptedHTTP2(true)
@@ -32,16 +33,16 @@
 	server.Start()
 	defer server.Close()
 
-	askers, closeAll := http2Requesters(server.Listener.Addr().String(), jobPath, conns, streams)
+	requesters, closeAll := http2Requesters(server.Listener.Addr().String(), jobPath, conns, streams)
 	defer closeAll()
-	var asked sync.WaitGroup
-	for _, ask := range askers {
-		asked.Go(func() {
-			status, err := ask()
+	var answered sync.WaitGroup
+	for _, request := range requesters {
+		answered.Go(func() {
+			status, err := request()
 			assert.NoError(t, err)
 			assert.Equal(t, http.StatusOK, status)
 		})
 	}
-	asked.Wait()
+	answered.Wait()
 	assert.EqualValues(t, conns, opened.Load())
 }
--- a/internal/measure/process.go
+++ b/internal/measure/process.go
@@ -1,5 +1,5 @@
-// Package measure runs a gateway as a process of its own on one core, puts load on it from the others, and prints
-// what it did as tables. It measures and decides nothing.
+// Package measure runs a gateway as a separate process on one core, generates load from the other cores, and prints tables
+// of throughput, latency and memory. The command's measure calls it.
 package measure
 
 import (
@@ -22,14 +22,15 @@
 	"cobaltflow/internal/procfs"
 )
 
-// part is one of the measurements of a command.
+// part is a named measurement that a command may select.
 type part struct {
 	name string
 	run  func() error
 }
 
-// runParts runs the parts that only names, or all, of a gateway whose program is binary, or this one.
-func runParts(ctx context.Context, w io.Writer, binary *string, core int, only string, parts []part) error {
+// runParts runs the selected parts, or all if selected is empty, and moves this process off the measured core. An empty
+// binary is replaced by the path of the present program.
+func runParts(ctx context.Context, w io.Writer, binary *string, core int, selected string, parts []part) error {
 	if *binary == "" {
 		self, err := os.Executable()
 		if err != nil {
@@ -39,7 +40,7 @@
 	}
 	avoidCore(core)
 	for _, p := range parts {
-		if only != "" && !strings.Contains(only, p.name) {
+		if selected != "" && !strings.Contains(selected, p.name) {
 			continue
 		}
 		if err := p.run(); err != nil {
@@ -53,16 +54,16 @@
 	return nil
 }
 
-// gateway is a gateway that runs as a process.
+// gateway is a gateway process and the addresses of its fronts.
 type gateway struct {
 	cmd     *exec.Cmd
 	http    string
 	http2   string
 	faktory string
-	dir     string
+	dir     string // temporary folder with its configuration and log
 }
 
-// free gives an address that nothing listens on.
+// freeAddress returns a loopback address on which nothing listens at the moment.
 func freeAddress() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,17 +73,17 @@
 	return ln.Addr().String(), nil
 }
 
-// options say what a gateway is started with.
+// gatewayOptions configures a gateway process.
 type gatewayOptions struct {
 	binary    string
-	isEarlier bool // the binary takes the platform's file and a Faktory file of its own
-	core      int  // the one core that it gets; below 0: any
-	workers   []string
-	faktory   map[string]any
-	memoryMB  int // MB
+	isEarlier bool           // the binary is an earlier build, which reads the platform's file and a separate Faktory file
+	core      int            // the core that the process runs on; below 0: any
+	workers   []string       // addresses of the table workers
+	faktory   map[string]any // settings of the Faktory front that replace the defaults
+	memoryMB  int            // memory limit; 0: 1024
 }
 
-// start runs a gateway and waits until both its fronts take connections.
+// startGateway runs a gateway and waits until its HTTP and Faktory fronts accept connections.
 func startGateway(o gatewayOptions) (*gateway, error) {
 	dir, err := os.MkdirTemp("", "measure")
 	if err != nil {
@@ -117,7 +118,7 @@
 	if err := startOnCore(g.cmd, o.core); err != nil {
 		return nil, err
 	}
-	for _, address := range []string{g.http, g.faktory} { // the last of its fronts to listen
+	for _, address := range []string{g.http, g.faktory} { // Faktory is the last front to listen
 		if err := waitReachable(address); err != nil {
 			text, _ := os.ReadFile(filepath.Join(dir, "log"))
 			g.stop()
@@ -127,6 +128,7 @@
 	return g, nil
 }
 
+// waitReachable waits up to 200 attempts, 20 ms apart, until the address accepts connections.
 func waitReachable(address string) (err error) {
 	for range 200 {
 		var c net.Conn
@@ -138,11 +140,11 @@
 	return err
 }
 
-// configure writes the files of a gateway.
+// configure writes the gateway's configuration files and returns the environment and arguments to start it with.
 func (g *gateway) configure(o gatewayOptions) (env, args []string, err error) {
 	classes := []map[string]any{}
 	for _, c := range classTable {
-		classes = append(classes, map[string]any{"name": c.name, "effect": c.effect, "deadline_ms": c.deadlineMS, "aim_ms": c.aimMS, "worth": c.worth})
+		classes = append(classes, map[string]any{"name": c.name, "effect": c.effect, "deadline_ms": c.deadlineMS, "aim_ms": c.latencyTargetMS, "worth": c.value})
 	}
 	limits := map[string]any{"cores": 1, "memory_mb": o.memoryMB, "sockets": 4096}
 	workers := []map[string]any{}
@@ -191,7 +193,7 @@
 	return []string{"RELAY_CONFIG=" + platform}, []string{"serve", "-faktory", path}, err
 }
 
-// startOn starts a process on one core. Its threads inherit the affinity of the thread that starts it.
+// startOnCore starts a process on one core: its threads inherit the affinity of the thread that starts it.
 func startOnCore(cmd *exec.Cmd, core int) error {
 	if core < 0 {
 		return cmd.Start()
@@ -207,13 +209,13 @@
 		return err
 	}
 	err := cmd.Start()
-	if back := unix.SchedSetaffinity(0, &before); err == nil {
-		err = back
+	if restoreErr := unix.SchedSetaffinity(0, &before); err == nil {
+		err = restoreErr
 	}
 	return err
 }
 
-// keepOff takes this process off a core, where it has others.
+// avoidCore moves the threads of this process off a core, unless it is the only one.
 func avoidCore(core int) {
 	var set unix.CPUSet
 	if unix.SchedGetaffinity(0, &set) != nil || set.Count() < 2 {
@@ -228,7 +230,7 @@
 	}
 }
 
-// stop ends the gateway.
+// stop kills the gateway process and removes its folder.
 func (g *gateway) stop() {
 	if g.cmd.Process != nil {
 		g.cmd.Process.Kill()
@@ -237,7 +239,7 @@
 	os.RemoveAll(g.dir)
 }
 
-// cpu is the processor time that the gateway has used; 0: it can't be read.
+// cpuTime returns the CPU time that the gateway has used, or 0 if it can't be read.
 func (g *gateway) cpuTime() time.Duration {
 	used, err := procfs.ProcessorTime(g.cmd.Process.Pid)
 	if err != nil {
@@ -246,7 +248,7 @@
 	return used
 }
 
-// memory gives a figure of the gateway's memory in bytes; 0: it can't be read.
+// memory returns a value of the gateway's memory in bytes, by its key in /proc/PID/status, or 0 if it can't be read.
 func (g *gateway) memory(key string) int64 {
 	size, err := procfs.Memory(g.cmd.Process.Pid, key)
 	if err != nil {
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -13,27 +13,27 @@
 	"cobaltflow/internal/platform"
 )
 
-// TableWorker is a stand-in for a table worker: so many slots, a queue before them, and callbacks at a job's
-// start and end.
+// TableWorker is a fake table worker with a number of slots, an unbounded queue, and callbacks at each job's start and
+// end.
 type TableWorker struct {
 	server          *http.Server
 	ln              net.Listener
 	name            string
-	callbackAddress atomic.Value // where to call back, a string
+	callbackAddress atomic.Value // string: host and port that get the callbacks
 	slots           chan struct{}
 	meanRunTime     time.Duration
 	onStart         func(id string)
 	client          *http.Client
 }
 
-// NewTableWorker starts one on a port from the kernel. A job takes half to one and a half times run; ran, which may
-// be nil, is told of each that starts.
-func NewTableWorker(name string, slots int, run time.Duration, ran func(id string)) (*TableWorker, error) {
+// NewTableWorker starts a worker on a port that the kernel picks on the loopback address. A job runs for 0.5 to 1.5 times
+// meanRunTime. onStart, which may be nil, is called with the ID of each job that starts.
+func NewTableWorker(name string, slots int, meanRunTime time.Duration, onStart func(id string)) (*TableWorker, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	t := &TableWorker{ln: ln, name: name, slots: make(chan struct{}, slots), meanRunTime: run, onStart: ran,
+	t := &TableWorker{ln: ln, name: name, slots: make(chan struct{}, slots), meanRunTime: meanRunTime, onStart: onStart,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	t.callbackAddress.Store("")
 	t.server = &http.Server{Handler: t}
@@ -41,16 +41,16 @@
 	return t, nil
 }
 
-// Address is where it listens.
+// Address returns the host and port that the worker listens on.
 func (t *TableWorker) Address() string { return t.ln.Addr().String() }
 
-// SendCallbacksTo sets the address that gets the callbacks of its jobs.
+// SendCallbacksTo sets the host and port that get the callbacks. It has to be called before the first job arrives.
 func (t *TableWorker) SendCallbacksTo(address string) { t.callbackAddress.Store(address) }
 
-// Close ends it, with its connections.
+// Close closes the worker's listener and its connections.
 func (t *TableWorker) Close() { t.server.Close() }
 
-// ServeHTTP takes a job.
+// ServeHTTP accepts a job with 202 and runs it once a slot is free. Other methods than POST get an empty 200.
 func (t *TableWorker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != "POST" {
 		return
@@ -70,6 +70,7 @@
 	}()
 }
 
+// sendCallback sends a callback about a job. A failure is ignored.
 func (t *TableWorker) sendCallback(id, state, result string) {
 	text, _ := json.Marshal(map[string]string{"id": id, "from": t.name, "state": state, "result": result})
 	r, err := t.client.Post("http://"+t.callbackAddress.Load().(string)+platform.PathEvents, "application/json", strings.NewReader(string(text)))
--- a/internal/procfs/procfs.go
+++ b/internal/procfs/procfs.go
@@ -1,5 +1,5 @@
-// Package procfs reads what the kernel tells of a process under /proc: processor time, memory and descriptors. It
-// decides nothing, and keeps nothing open.
+// Package procfs reads a process's CPU time, memory and open file descriptors from /proc. Package measure and the scale
+// tests call it; it keeps no file open.
 package procfs
 
 import (
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// clockTick is the unit of the times in /proc/PID/stat on Linux, USER_HZ.
+// clockTick is the unit of the times in /proc/PID/stat: USER_HZ is 100 on Linux.
 const clockTick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat behind the name of the command, counted from 0.
+// Indexes of the fields of /proc/PID/stat that follow the command name, counted from 0.
 const (
 	statUserTime   = 11 // utime
 	statSystemTime = 12 // stime
@@ -23,13 +23,13 @@
 
 // Keys of /proc/PID/status.
 const (
-	ResidentMemory     = "VmRSS" // what is in memory now
-	PeakResidentMemory = "VmHWM" // the most that has been
+	ResidentMemory     = "VmRSS" // the memory that is resident now
+	PeakResidentMemory = "VmHWM" // the most that has been resident so far
 )
 
-var errFormat = errors.New("not in the form that is known")
+var errFormat = errors.New("unexpected format")
 
-// ProcessorTime is the processor time that a process has used, in user and in kernel mode, in whole ticks of 10 ms.
+// ProcessorTime returns the CPU time that a process has used in user and in kernel mode, in whole ticks of 10 ms.
 func ProcessorTime(pid int) (time.Duration, error) {
 	path := fmt.Sprintf("/proc/%d/stat", pid)
 	text, err := os.ReadFile(path)
@@ -52,7 +52,7 @@
 	return time.Duration(user+system) * clockTick, nil
 }
 
-// Memory is a figure of /proc/PID/status in bytes, by its key.
+// Memory returns a value of /proc/PID/status, such as ResidentMemory, in bytes. The file has to give it in kB.
 func Memory(pid int, key string) (int64, error) {
 	path := fmt.Sprintf("/proc/%d/status", pid)
 	f, err := os.Open(path)
@@ -74,7 +74,8 @@
 	return 0, fmt.Errorf("%s: %s: %w", path, key, errFormat)
 }
 
-// Descriptors is the number of descriptors that a process holds open.
+// Descriptors returns the number of a process's open file descriptors. For the calling process it includes the one that
+// reads the directory.
 func Descriptors(pid int) (int, error) {
 	d, err := os.Open(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
--- a/internal/procfs/procfs_test.go
+++ b/internal/procfs/procfs_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestReadsItsOwnProcess(t *testing.T) {
+func TestReadOwnProcess(t *testing.T) {
 	resident, err := Memory(os.Getpid(), ResidentMemory)
 	require.NoError(t, err)
 	peak, err := Memory(os.Getpid(), PeakResidentMemory)
@@ -27,14 +27,14 @@
 	first, err := ProcessorTime(os.Getpid())
 	require.NoError(t, err)
 	later := first
-	for later <= first { // until a tick has been counted
+	for later <= first { // until the process has used one more tick
 		later, err = ProcessorTime(os.Getpid())
 		require.NoError(t, err)
 	}
 }
 
-func TestTellsOfAProcessThatIsNot(t *testing.T) {
-	const noProcess = 1 << 30 // over any process id of Linux
+func TestReadFailsForUnknownProcessOrKey(t *testing.T) {
+	const noProcess = 1 << 30 // above the largest process ID of Linux
 	_, err := ProcessorTime(noProcess)
 	require.Error(t, err)
 	_, err = Memory(noProcess, ResidentMemory)
