--- a/internal/conformance/conformance_test.go
+++ b/internal/conformance/conformance_test.go
@@ -11,7 +11,7 @@
 	"cobaltflow/internal/standin"
 )
 
-// Our own front passes the whole suite, with a password and FLUSH on.
+// The project's Faktory front has to pass the whole suite, with a password and FLUSH enabled.
 func TestFaktoryFrontConforms(t *testing.T) {
 	n := standin.Start(t, func(c *config.Config) {
 		c.Faktory.Listen, c.Faktory.Password, c.Faktory.AllowFlush, c.Faktory.DefaultClass = "127.0.0.1:0", "pw", true, "board-view"
@@ -23,8 +23,8 @@
 	assert.Equal(t, conformance.FaktoryCaseCount()+1, passed)
 }
 
-// The suite tells a server that is none: every case fails, and says why.
-func TestTheSuiteCanFail(t *testing.T) {
+// Against a server of another protocol every case has to fail. A case that passes there checks nothing.
+func TestSuiteFailsAgainstAnotherProtocol(t *testing.T) {
 	n := standin.Start(t, nil)
 	var out bytes.Buffer
 	passed, _ := conformance.Report(&out, conformance.RunFaktory(conformance.FaktoryServer{Address: n.Front.Address()}))
@@ -32,7 +32,7 @@
 	assert.Contains(t, out.String(), "0 passed")
 }
 
-// Our own HTTP/2 front passes the whole suite.
+// The project's HTTP/2 front has to pass the whole suite.
 func TestHTTP2FrontConforms(t *testing.T) {
 	n := standin.Start(t, func(c *config.Config) { c.HTTP2.Listen = "127.0.0.1:0" })
 	var out bytes.Buffer
--- a/internal/conformance/faktory.go
+++ b/internal/conformance/faktory.go
@@ -13,28 +13,34 @@
 	"cobaltflow/internal/faktory/client"
 )
 
-// Faktory says how to reach a server of the Faktory work protocol.
+// FaktoryServer describes how to reach a server of the Faktory work protocol, and what it allows.
 type FaktoryServer struct {
 	Address     string
-	Password    string
-	Jobtype     string // one that the server takes, and whose failed jobs it tries again; empty: "conformance"
-	AllowsFlush bool   // the server allows FLUSH, and may lose all it has
+	Password    string // empty: the server requires none
+	Jobtype     string // a job type that the server accepts and whose failed jobs it retries; empty: "conformance"
+	AllowsFlush bool   // the server allows FLUSH, and may lose all its jobs
 }
 
-// fk is what a case of the suite works with: names that are its own, so that cases don't meet one another.
+// faktoryEnv is the environment of one case: its connections, and names that no other case uses, so that cases can run in
+// parallel.
 type faktoryEnv struct {
 	FaktoryServer
 	runPrefix, caseName string
-	lastID              int
+	lastID              int // number of the latest job or worker
 	conns               []*client.Conn
 }
 
+// caseTimeout bounds how long a case waits for a job or a condition.
+const caseTimeout = 8 * time.Second
+
+// faktoryCase is a case of the suite.
 type faktoryCase struct {
 	name, description string
-	run               func(k *faktoryEnv)
+	run               func(e *faktoryEnv)
 }
 
-// RunFaktory runs the suite, some cases at a time, and gives the results in the order of the table.
+// RunFaktory runs the suite, several cases at a time, and sends the results in the order of the table. The channel closes
+// after the last.
 func RunFaktory(s FaktoryServer) <-chan Result {
 	if s.Jobtype == "" {
 		s.Jobtype = "conformance"
@@ -44,214 +50,232 @@
 	go func() {
 		defer close(out)
 		runSuite(len(faktoryCases), func(i int) Result { return s.run(prefix, faktoryCases[i]) }, out)
-		if s.AllowsFlush { // alone, since it takes everything from everybody
+		if s.AllowsFlush { // after all other cases, since it deletes their jobs
 			out <- s.run(prefix, faktoryCase{"flush-empties", "FLUSH leaves no job behind", checkFlush})
 		}
 	}()
 	return out
 }
 
-// run runs a case with connections of its own; prefix is what the names of this run begin with.
+// run runs a case with its own connections. All names of the suite's run start with prefix.
 func (s FaktoryServer) run(prefix string, c faktoryCase) Result {
-	k := &faktoryEnv{FaktoryServer: s, runPrefix: prefix, caseName: c.name}
-	began := time.Now()
-	err := catchFailure(func() { c.run(k) })
-	for _, conn := range k.conns {
+	e := &faktoryEnv{FaktoryServer: s, runPrefix: prefix, caseName: c.name}
+	start := time.Now()
+	err := catchFailure(func() { c.run(e) })
+	for _, conn := range e.conns {
 		conn.Close()
 	}
-	return Result{c.name, c.description, err, time.Since(began)}
+	return Result{c.name, c.description, err, time.Since(start)}
 }
 
-// FaktoryCases is the number of cases in the table.
+// FaktoryCaseCount returns the number of cases in the table, without the one for FLUSH.
 func FaktoryCaseCount() int { return len(faktoryCases) }
 
-func (k *faktoryEnv) fail(format string, args ...any) { panic(failure{fmt.Errorf(format, args...)}) }
+// fail ends the case with an error.
+func (e *faktoryEnv) fail(format string, args ...any) { panic(failure{fmt.Errorf(format, args...)}) }
 
-func (k *faktoryEnv) must(err error) {
+// must ends the case if err is not nil.
+func (e *faktoryEnv) must(err error) {
 	if err != nil {
 		panic(failure{err})
 	}
 }
 
-func (k *faktoryEnv) expectEqual(want, got any, what string) {
+// expectEqual ends the case with an error unless two values are deeply equal.
+func (e *faktoryEnv) expectEqual(want, got any, what string) {
 	if !reflect.DeepEqual(want, got) {
-		k.fail("%s: wanted %v, got %v", what, want, got)
+		e.fail("%s: wanted %v, got %v", what, want, got)
 	}
 }
 
-func (k *faktoryEnv) trackConn(c *client.Conn, err error) *client.Conn {
-	k.must(err)
-	k.conns = append(k.conns, c)
+// trackConn registers a new connection to be closed at the case's end.
+func (e *faktoryEnv) trackConn(c *client.Conn, err error) *client.Conn {
+	e.must(err)
+	e.conns = append(e.conns, c)
 	return c
 }
 
-func (k *faktoryEnv) dialProducer() *client.Conn {
-	return k.trackConn(client.Dial(k.Address, client.Options{Password: k.Password}))
+// dialProducer connects as a producer.
+func (e *faktoryEnv) dialProducer() *client.Conn {
+	return e.trackConn(client.Dial(e.Address, client.Options{Password: e.Password}))
 }
 
-func (k *faktoryEnv) dialWorker() *client.Conn {
-	k.lastID++
-	return k.trackConn(client.Dial(k.Address, client.Options{Password: k.Password, WID: fmt.Sprintf("%s-%s-%d", k.runPrefix, k.caseName, k.lastID)}))
+// dialWorker connects as a worker.
+func (e *faktoryEnv) dialWorker() *client.Conn {
+	e.lastID++
+	return e.trackConn(client.Dial(e.Address, client.Options{Password: e.Password, WID: fmt.Sprintf("%s-%s-%d", e.runPrefix, e.caseName, e.lastID)}))
 }
 
-func (k *faktoryEnv) workerID(n int) string {
-	return fmt.Sprintf("%s-%s-%d", k.runPrefix, k.caseName, n)
+// workerID returns the ID of the case's n-th job or worker.
+func (e *faktoryEnv) workerID(n int) string {
+	return fmt.Sprintf("%s-%s-%d", e.runPrefix, e.caseName, n)
 }
 
-// queue is a name that only this case uses.
-func (k *faktoryEnv) queue(suffix string) string { return k.runPrefix + "-" + k.caseName + suffix }
+// queue returns the name of a queue that only this case uses.
+func (e *faktoryEnv) queue(suffix string) string { return e.runPrefix + "-" + e.caseName + suffix }
 
-// job makes a job of this case's own, in its own queue.
-func (k *faktoryEnv) newJob(change func(*client.Job)) client.Job {
-	k.lastID++
-	j := client.Job{JID: fmt.Sprintf("%s-%s-%d", k.runPrefix, k.caseName, k.lastID), Type: k.Jobtype, Args: []any{1.0, "two", nil}, Queue: k.queue("")}
+// newJob returns a job with its own ID in the case's queue. change, which may be nil, edits it.
+func (e *faktoryEnv) newJob(change func(*client.Job)) client.Job {
+	e.lastID++
+	j := client.Job{JID: fmt.Sprintf("%s-%s-%d", e.runPrefix, e.caseName, e.lastID), Type: e.Jobtype, Args: []any{1.0, "two", nil}, Queue: e.queue("")}
 	if change != nil {
 		change(&j)
 	}
 	return j
 }
 
-func (k *faktoryEnv) do(c *client.Conn, verb, arg string) client.Reply {
+// do sends a command and returns the reply.
+func (e *faktoryEnv) do(c *client.Conn, verb, arg string) client.Reply {
 	r, err := c.Do(verb, arg)
 	if err != nil {
-		k.fail("%s: %v", verb, err)
+		e.fail("%s: %v", verb, err)
 	}
 	return r
 }
 
-func (k *faktoryEnv) expectOK(c *client.Conn, verb, arg string) {
-	if r := k.do(c, verb, arg); !r.IsOK() {
-		k.fail("%s %s: wanted +OK, got %s%s", verb, arg, r.Text, r.Err)
+// expectOK sends a command whose reply has to be OK.
+func (e *faktoryEnv) expectOK(c *client.Conn, verb, arg string) {
+	if r := e.do(c, verb, arg); !r.IsOK() {
+		e.fail("%s %s: wanted +OK, got %s%s", verb, arg, r.Text, r.Err)
 	}
 }
 
-func (k *faktoryEnv) expectError(c *client.Conn, verb, arg string) {
-	if r := k.do(c, verb, arg); r.Err == "" {
-		k.fail("%s %s: wanted an error, got %q", verb, arg, r.Text)
+// expectError sends a command whose reply has to be an error.
+func (e *faktoryEnv) expectError(c *client.Conn, verb, arg string) {
+	if r := e.do(c, verb, arg); r.Err == "" {
+		e.fail("%s %s: wanted an error, got %q", verb, arg, r.Text)
 	}
 }
 
-func (k *faktoryEnv) push(c *client.Conn, j client.Job) client.Job {
-	k.must(c.Push(j))
+// push pushes a job, which has to be accepted, and returns it.
+func (e *faktoryEnv) push(c *client.Conn, j client.Job) client.Job {
+	e.must(c.Push(j))
 	return j
 }
 
-// fetch fetches until there is a job, for a few seconds.
-func (k *faktoryEnv) fetch(c *client.Conn, queues ...string) *client.Job {
+// fetch fetches from the queues, or from the case's own, until it gets a job. It gives up after caseTimeout.
+func (e *faktoryEnv) fetch(c *client.Conn, queues ...string) *client.Job {
 	if len(queues) == 0 {
-		queues = []string{k.queue("")}
+		queues = []string{e.queue("")}
 	}
-	for end := time.Now().Add(8 * time.Second); time.Now().Before(end); {
+	for end := time.Now().Add(caseTimeout); time.Now().Before(end); {
 		j, err := c.Fetch(queues...)
-		k.must(err)
+		e.must(err)
 		if j != nil {
 			return j
 		}
 	}
-	k.fail("no job came from %v", queues)
+	e.fail("no job arrived from %v", queues)
 	return nil
 }
 
-// none has a FETCH find nothing.
-func (k *faktoryEnv) expectNoJob(c *client.Conn, queues ...string) {
+// expectNoJob sends a FETCH that has to return no job.
+func (e *faktoryEnv) expectNoJob(c *client.Conn, queues ...string) {
 	if len(queues) == 0 {
-		queues = []string{k.queue("")}
+		queues = []string{e.queue("")}
 	}
 	j, err := c.Fetch(queues...)
-	k.must(err)
+	e.must(err)
 	if j != nil {
-		k.fail("job %s came, and none was due", j.JID)
+		e.fail("got job %s, wanted none", j.JID)
 	}
 }
 
-// tasks gives the size of a set, by INFO.
-func (k *faktoryEnv) setSize(c *client.Conn, set string) int {
+// setSize returns the number of jobs in a set, such as Retries, as INFO reports it.
+func (e *faktoryEnv) setSize(c *client.Conn, set string) int {
 	info, err := c.Info()
-	k.must(err)
+	e.must(err)
 	f, _ := info["faktory"].(map[string]any)
 	t, _ := f["tasks"].(map[string]any)
 	s, _ := t[set].(map[string]any)
 	n, ok := s["size"].(float64)
 	if !ok {
-		k.fail("INFO has no faktory.tasks.%s.size", set)
+		e.fail("INFO has no faktory.tasks.%s.size", set)
 	}
 	return int(n)
 }
 
-// failed pushes, fetches and fails a job.
-func (k *faktoryEnv) failJob(p, w *client.Conn, change func(*client.Job)) client.Job {
-	j := k.push(p, k.newJob(change))
-	k.fetch(w, j.Queue)
-	k.must(w.Fail(j.JID, "ConformanceError", "it failed on purpose", "one.go:1", "two.go:2"))
+// failJob pushes, fetches and fails a job.
+func (e *faktoryEnv) failJob(p, w *client.Conn, change func(*client.Job)) client.Job {
+	j := e.push(p, e.newJob(change))
+	e.fetch(w, j.Queue)
+	e.must(w.Fail(j.JID, "ConformanceError", "it failed on purpose", "one.go:1", "two.go:2"))
 	return j
 }
 
-func (k *faktoryEnv) mutate(c *client.Conn, cmd, target string, filter map[string]any) {
+// mutate sends a MUTATE of a set, which has to succeed.
+func (e *faktoryEnv) mutate(c *client.Conn, cmd, target string, filter map[string]any) {
 	arg := map[string]any{"cmd": cmd, "target": target}
 	if filter != nil {
 		arg["filter"] = filter
 	}
 	text, _ := json.Marshal(arg)
-	k.expectOK(c, "MUTATE", string(text))
+	e.expectOK(c, "MUTATE", string(text))
 }
 
+// filterJIDs returns the filter of a MUTATE that selects jobs by ID.
 func filterJIDs(ids ...string) map[string]any { return map[string]any{"jids": ids} }
 
+// timeFromNow returns the time after a duration in the format of RFC 3339.
 func timeFromNow(d time.Duration) string { return time.Now().Add(d).UTC().Format(time.RFC3339Nano) }
 
 func ptr(n int) *int { return &n }
 
-// eventually waits for a condition.
-func (k *faktoryEnv) eventually(what string, f func() bool) {
-	for end := time.Now().Add(8 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
+// eventually polls a condition until it is true, for caseTimeout at most.
+func (e *faktoryEnv) eventually(what string, f func() bool) {
+	for end := time.Now().Add(caseTimeout); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			k.fail("it never came true that %s", what)
+			e.fail("timed out waiting until %s", what)
 		}
 	}
 }
 
-func (k *faktoryEnv) jobState(c *client.Conn, jid string) string {
+// jobState returns a job's state as TRACK GET reports it.
+func (e *faktoryEnv) jobState(c *client.Conn, jid string) string {
 	var t struct {
 		State string `json:"state"`
 	}
-	r := k.do(c, "TRACK", "GET "+jid)
-	k.must(json.Unmarshal([]byte(r.Text), &t))
+	r := e.do(c, "TRACK", "GET "+jid)
+	e.must(json.Unmarshal([]byte(r.Text), &t))
 	return t.State
 }
 
-func (k *faktoryEnv) expectClosed(c *client.Conn) {
+// expectClosed reads until the server closes the connection.
+func (e *faktoryEnv) expectClosed(c *client.Conn) {
 	for {
 		if _, err := c.Read(); errors.Is(err, client.ErrClosed) || errors.Is(err, io.EOF) {
 			return
 		} else if err != nil {
-			k.fail("wanted the end of the connection, got %v", err)
+			e.fail("wanted the end of the connection, got %v", err)
 		}
 	}
 }
 
-func checkFlush(k *faktoryEnv) {
-	p := k.dialProducer()
-	k.push(p, k.newJob(nil))
-	k.push(p, k.newJob(func(j *client.Job) { j.At = timeFromNow(time.Hour) }))
-	k.expectOK(p, "FLUSH", "")
+// checkFlush is the case of FLUSH: no job remains in any queue or set.
+func checkFlush(e *faktoryEnv) {
+	p := e.dialProducer()
+	e.push(p, e.newJob(nil))
+	e.push(p, e.newJob(func(j *client.Job) { j.At = timeFromNow(time.Hour) }))
+	e.expectOK(p, "FLUSH", "")
 	info, err := p.Info()
-	k.must(err)
+	e.must(err)
 	f, _ := info["faktory"].(map[string]any)
-	k.expectEqual(0.0, f["total_enqueued"], "total_enqueued")
-	k.expectEqual(0, k.setSize(p, "Scheduled"), "scheduled jobs")
+	e.expectEqual(0.0, f["total_enqueued"], "total_enqueued")
+	e.expectEqual(0, e.setSize(p, "Scheduled"), "scheduled jobs")
 }
 
-// together runs functions at once and waits for them.
-func (k *faktoryEnv) runParallel(fs ...func()) {
+// runParallel runs functions in parallel and waits for all of them.
+func (e *faktoryEnv) runParallel(fs ...func()) {
 	var wg sync.WaitGroup
 	errs := make([]error, len(fs))
 	for i, f := range fs {
 		wg.Go(func() { errs[i] = catchFailure(f) })
 	}
 	wg.Wait()
-	k.must(errors.Join(errs...))
+	e.must(errors.Join(errs...))
 }
 
+// bulkArgument returns the argument of a PUSHB.
 func bulkArgument(jobs ...any) string {
 	text, _ := json.Marshal(jobs)
 	return string(text)
--- a/internal/conformance/faktory_cases.go
+++ b/internal/conformance/faktory_cases.go
@@ -9,81 +9,81 @@
 	"cobaltflow/internal/faktory/client"
 )
 
-// faktoryCases is the table. What they check is the public description of the protocol: the work protocol's
-// specification of github.com/contribsys/faktory (docs/protocol-specification.md) and its wiki.
+// faktoryCases holds all cases. They check the public description of the Faktory work protocol: the specification in
+// github.com/contribsys/faktory (docs/protocol-specification.md) and its wiki.
 var faktoryCases = slices.Concat(sessionCases, pushCases, fetchCases, outcomeCases, scheduledCases, mutateCases, beatCases,
 	infoCases, limitCases)
 
-// sessionCases are greeting, HELLO and the form of commands.
+// sessionCases check the greeting, HELLO and the form of commands.
 var sessionCases = []faktoryCase{
-	{"greeting", "the server speaks first: HI and an object with the protocol's version 2", func(k *faktoryEnv) {
-		c := k.trackConn(client.Open(k.Address, client.Options{}))
-		var hi struct{ V int }
-		k.must(json.Unmarshal([]byte(c.Greeting), &hi))
-		k.expectEqual(2, hi.V, "v")
+	{"greeting", "the server starts with HI and an object with the protocol's version 2", func(e *faktoryEnv) {
+		c := e.trackConn(client.Open(e.Address, client.Options{}))
+		var greeting struct{ V int }
+		e.must(json.Unmarshal([]byte(c.Greeting), &greeting))
+		e.expectEqual(2, greeting.V, "v")
 	}},
-	{"hello-producer", "a HELLO without a wid makes a producer", func(k *faktoryEnv) { k.push(k.dialProducer(), k.newJob(nil)) }},
-	{"hello-all-fields", "a HELLO may carry hostname, wid, pid, labels and v", func(k *faktoryEnv) { k.expectNoJob(k.dialWorker()) }},
-	{"hello-first", "a command before HELLO is an error and ends the connection", func(k *faktoryEnv) {
-		c := k.trackConn(client.Open(k.Address, client.Options{}))
-		k.expectError(c, "INFO", "")
-		k.expectClosed(c)
+	{"hello-producer", "a HELLO without a wid makes a producer", func(e *faktoryEnv) { e.push(e.dialProducer(), e.newJob(nil)) }},
+	{"hello-all-fields", "a HELLO may contain hostname, wid, pid, labels and v", func(e *faktoryEnv) { e.expectNoJob(e.dialWorker()) }},
+	{"hello-first", "a command before HELLO is an error and ends the connection", func(e *faktoryEnv) {
+		c := e.trackConn(client.Open(e.Address, client.Options{}))
+		e.expectError(c, "INFO", "")
+		e.expectClosed(c)
 	}},
-	{"hello-version", "a HELLO of another version is an error", func(k *faktoryEnv) {
-		k.expectError(k.trackConn(client.Open(k.Address, client.Options{})), "HELLO", `{"v":99}`)
+	{"hello-version", "a HELLO of another version is an error", func(e *faktoryEnv) {
+		e.expectError(e.trackConn(client.Open(e.Address, client.Options{})), "HELLO", `{"v":99}`)
 	}},
-	{"hello-malformed", "a HELLO that is no object is an error", func(k *faktoryEnv) {
-		k.expectError(k.trackConn(client.Open(k.Address, client.Options{})), "HELLO", `{`)
+	{"hello-malformed", "a HELLO that is not an object is an error", func(e *faktoryEnv) {
+		e.expectError(e.trackConn(client.Open(e.Address, client.Options{})), "HELLO", `{`)
 	}},
-	{"password", "where the greeting has a salt, a wrong hash is an error and a right one is not", func(k *faktoryEnv) {
-		c := k.trackConn(client.Open(k.Address, client.Options{}))
-		if k.Password == "" {
+	{"password", "where the greeting has a salt, a wrong hash is an error and a right one is not", func(e *faktoryEnv) {
+		c := e.trackConn(client.Open(e.Address, client.Options{}))
+		if e.Password == "" {
 			if contains(c.Greeting, `"s"`) {
-				k.fail("the server asks for a password and none was given")
+				e.fail("the server requires a password, and none is configured")
 			}
 			return
 		}
-		k.expectError(c, "HELLO", `{"v":2,"pwdhash":"00"}`)
-		k.dialProducer()
+		e.expectError(c, "HELLO", `{"v":2,"pwdhash":"00"}`)
+		e.dialProducer()
 	}},
-	{"unknown-verb", "a verb that is not known is an error, and the session goes on", func(k *faktoryEnv) {
-		c := k.dialProducer()
-		k.expectError(c, "JUGGLE", "{}")
-		k.push(c, k.newJob(nil))
+	{"unknown-verb", "an unknown verb is an error, and the session continues", func(e *faktoryEnv) {
+		c := e.dialProducer()
+		e.expectError(c, "JUGGLE", "{}")
+		e.push(c, e.newJob(nil))
 	}},
-	{"end", "END closes the connection", func(k *faktoryEnv) {
-		c := k.dialProducer()
-		k.must(c.Send("END", ""))
-		k.expectClosed(c)
+	{"end", "END closes the connection", func(e *faktoryEnv) {
+		c := e.dialProducer()
+		e.must(c.Send("END", ""))
+		e.expectClosed(c)
 	}},
-	{"pipelining", "commands sent without waiting are answered in their order", func(k *faktoryEnv) {
-		c := k.dialProducer()
+	{"pipelining", "pipelined commands are answered in order", func(e *faktoryEnv) {
+		c := e.dialProducer()
 		text := ""
 		for i := range 20 {
-			j, _ := json.Marshal(k.newJob(nil))
+			j, _ := json.Marshal(e.newJob(nil))
 			if text += "PUSH " + string(j) + "\r\n"; i%5 == 4 {
 				text += "NONSENSE\r\n"
 			}
 		}
 		_, err := io.WriteString(c, text)
-		k.must(err)
+		e.must(err)
 		for i := range 24 {
 			r, err := c.Read()
-			k.must(err)
-			k.expectEqual(i%6 != 5, r.IsOK(), fmt.Sprint("reply ", i))
+			e.must(err)
+			e.expectEqual(i%6 != 5, r.IsOK(), fmt.Sprint("reply ", i))
 		}
 	}},
-	{"in-pieces", "a command may come byte by byte", func(k *faktoryEnv) {
-		c := k.dialProducer()
-		j := k.newJob(nil)
+	{"in-pieces", "a command may arrive byte by byte", func(e *faktoryEnv) {
+		c := e.dialProducer()
+		j := e.newJob(nil)
 		text, _ := json.Marshal(j)
 		for _, b := range []byte("PUSH " + string(text) + "\r\n") {
 			_, err := c.Write([]byte{b})
-			k.must(err)
+			e.must(err)
 		}
 		r, err := c.Read()
-		k.must(err)
-		k.expectEqual(true, r.IsOK(), "PUSH")
-		k.expectEqual(j.JID, k.fetch(k.dialWorker()).JID, "the job")
+		e.must(err)
+		e.expectEqual(true, r.IsOK(), "PUSH")
+		e.expectEqual(j.JID, e.fetch(e.dialWorker()).JID, "the job")
 	}},
 }
--- a/internal/conformance/http2_cases.go
+++ b/internal/conformance/http2_cases.go
@@ -2,6 +2,7 @@
 
 import "golang.org/x/net/http2"
 
+// Short names of the frame types and error codes.
 const (
 	frameData         = http2.FrameData
 	frameHeaders      = http2.FrameHeaders
@@ -23,10 +24,10 @@
 	codeRefusedStream   = http2.ErrCodeRefusedStream
 )
 
-// http2Table collects the cases. Their sections are of RFC 9113, or of RFC 7541 where the name says hpack.
+// http2Table collects the cases. Sections refer to RFC 9113, or to RFC 7541 if they start with hpack.
 type http2Table struct{ cases []http2Case }
 
-// http2Cases makes the table.
+// http2Cases returns all cases.
 func http2Cases() []http2Case {
 	t := &http2Table{}
 	for _, add := range []func(){
@@ -40,24 +41,24 @@
 	return t.cases
 }
 
-// add adds a case. It starts on a connection without a handshake.
-func (t *http2Table) add(section, name, says string, run func(h *http2Conn)) {
-	t.cases = append(t.cases, http2Case{section, name, says, run})
+// add adds a case. It starts on a new connection, before the handshake.
+func (t *http2Table) add(section, name, description string, run func(h *http2Conn)) {
+	t.cases = append(t.cases, http2Case{section, name, description, run})
 }
 
-// ends adds a case in which frames after the handshake end the connection, by one of the codes.
-func (t *http2Table) addConnectionError(section, name, says string, codes []http2.ErrCode, do func(h *http2Conn)) {
-	t.add(section, name, says, func(h *http2Conn) {
+// addConnectionError adds a case in which frames sent after the handshake have to end the connection with one of the codes.
+func (t *http2Table) addConnectionError(section, name, description string, codes []http2.ErrCode, do func(h *http2Conn)) {
+	t.add(section, name, description, func(h *http2Conn) {
 		h.handshake()
 		do(h)
 		h.expectGoAway(codes...)
 	})
 }
 
-// sends makes what a case does from one frame.
+// sendFrame returns the action of a case that sends one frame.
 func sendFrame(kind http2.FrameType, flags http2.Flags, stream uint32, payload ...byte) func(h *http2Conn) {
 	return func(h *http2Conn) { h.writeRaw(kind, flags, stream, payload...) }
 }
 
-// anyOf are codes that will do.
+// anyOf lists the codes that pass.
 func anyOf(codes ...http2.ErrCode) []http2.ErrCode { return codes }
--- a/internal/conformance/http2_connection_cases.go
+++ b/internal/conformance/http2_connection_cases.go
@@ -7,7 +7,7 @@
 	"golang.org/x/net/http2"
 )
 
-// starting has section 3: the preface and the first SETTINGS.
+// addPrefaceCases adds the cases of section 3: the preface and the first SETTINGS.
 func (t *http2Table) addPrefaceCases() {
 	t.add("3.4", "settings-first", "the server's first frame is SETTINGS", func(h *http2Conn) { h.handshake() })
 	t.add("3.4", "request-at-once", "a client may send requests before the server's SETTINGS", func(h *http2Conn) {
@@ -22,7 +22,7 @@
 		h.write("GET / HTTP/1.1\r\nHost: conformance\r\n\r\n")
 		h.expectGoAway(codeProtocol)
 	})
-	t.add("3.4", "half-preface-wrong", "a preface that goes wrong in its middle ends the connection", func(h *http2Conn) {
+	t.add("3.4", "half-preface-wrong", "a preface with a wrong second half ends the connection", func(h *http2Conn) {
 		h.write(http2.ClientPreface[:14] + "XX")
 		h.expectGoAway(codeProtocol)
 	})
@@ -31,7 +31,7 @@
 		h.writeRaw(framePing, 0, 0, make([]byte, 8)...)
 		h.expectGoAway(codeProtocol)
 	})
-	t.add("3.4", "preface-in-pieces", "the preface may come byte by byte", func(h *http2Conn) {
+	t.add("3.4", "preface-in-pieces", "the preface may arrive byte by byte", func(h *http2Conn) {
 		for _, b := range []byte(http2.ClientPreface) {
 			h.write(string(rune(b)))
 		}
@@ -42,7 +42,7 @@
 	})
 }
 
-// framing has sections 4.1 and 4.2: the layout and size of frames.
+// addFramingCases adds the cases of sections 4.1 and 4.2: the layout and size of frames.
 func (t *http2Table) addFramingCases() {
 	t.addConnectionError("4.2", "too-long-data", "a DATA frame over the server's MAX_FRAME_SIZE", anyOf(codeFrameSize), sendFrame(frameData, 0, 1, make([]byte, 16385)...))
 	t.addConnectionError("4.2", "too-long-headers", "a HEADERS frame over MAX_FRAME_SIZE", anyOf(codeFrameSize), sendFrame(frameHeaders, 0x4, 1, make([]byte, 16385)...))
@@ -58,16 +58,16 @@
 		h.writeRaw(framePing, 0xf0, 0, make([]byte, 8)...)
 		h.expectServed()
 	})
-	t.add("4.1", "reserved-bit", "the reserved bit of a stream's number is ignored", func(h *http2Conn) {
+	t.add("4.1", "reserved-bit", "the reserved bit of a stream identifier is ignored", func(h *http2Conn) {
 		h.handshake()
 		h.writeRaw(frameWindowUpdate, 0, 1<<31, encodeUint32(10)...)
 		h.expectServed()
 	})
 }
 
-// headerBlocks has section 4.3 and RFC 7541: blocks of headers and their compression.
+// addHeaderBlockCases adds the cases of section 4.3 and RFC 7541: header blocks and their compression.
 func (t *http2Table) addHeaderBlockCases() {
-	t.add("4.3", "continuation", "a block of headers may come in many frames", func(h *http2Conn) {
+	t.add("4.3", "continuation", "a header block may be split over several frames", func(h *http2Conn) {
 		h.handshake()
 		b := h.encodeHeaders(h.getRequest("x-long", strings.Repeat("v", 300))...)
 		id := h.nextStream
@@ -80,7 +80,7 @@
 		}
 	})
 	for cut := range 8 {
-		t.add("4.3", fmt.Sprint("cut-", cut), fmt.Sprintf("a block of headers may be cut behind byte %d", cut), func(h *http2Conn) {
+		t.add("4.3", fmt.Sprint("cut-", cut), fmt.Sprintf("a header block may be split after byte %d", cut), func(h *http2Conn) {
 			h.handshake()
 			b := h.encodeHeaders(h.getRequest()...)
 			h.writeRaw(frameHeaders, 0x1, 1, b[:cut]...)
@@ -90,12 +90,12 @@
 			}
 		})
 	}
-	t.addConnectionError("4.3", "bad-block", "a block that can't be decoded ends the connection", anyOf(codeCompression), sendFrame(frameHeaders, 0x5, 1, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff))
+	t.addConnectionError("4.3", "bad-block", "a header block that can't be decoded ends the connection", anyOf(codeCompression), sendFrame(frameHeaders, 0x5, 1, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff))
 	t.addConnectionError("hpack-2.3.3", "index-0", "index 0 can't be decoded", anyOf(codeCompression), sendFrame(frameHeaders, 0x5, 1, 0x80))
 	t.addConnectionError("hpack-2.3.3", "index-beyond", "an index beyond both tables can't be decoded", anyOf(codeCompression), sendFrame(frameHeaders, 0x5, 1, 0xfe))
-	t.addConnectionError("hpack-4.2", "table-too-large", "a table size over the server's can't be decoded", anyOf(codeCompression), sendFrame(frameHeaders, 0x5, 1, 0x3f, 0xe1, 0xff, 0xff, 0x03))
+	t.addConnectionError("hpack-4.2", "table-too-large", "a table size update above the server's limit can't be decoded", anyOf(codeCompression), sendFrame(frameHeaders, 0x5, 1, 0x3f, 0xe1, 0xff, 0xff, 0x03))
 	t.addConnectionError("hpack-5.2", "bad-huffman", "a string whose Huffman padding is wrong can't be decoded", anyOf(codeCompression), sendFrame(frameHeaders, 0x5, 1, 0x00, 0x82, 0xff, 0xff, 0x01, 'a'))
-	t.addConnectionError("hpack-6.3", "late-table-size", "a table size behind a field can't be decoded", anyOf(codeCompression), func(h *http2Conn) {
+	t.addConnectionError("hpack-6.3", "late-table-size", "a table size update after a field can't be decoded", anyOf(codeCompression), func(h *http2Conn) {
 		h.writeRaw(frameHeaders, 0x5, 1, append(h.encodeHeaders(h.getRequest()...), 0x20)...)
 	})
 }
--- a/internal/conformance/http2_frame_cases.go
+++ b/internal/conformance/http2_frame_cases.go
@@ -6,7 +6,7 @@
 	"golang.org/x/net/http2"
 )
 
-// frameTargets has of section 6 which frames belong to a stream and which to the connection.
+// addFrameTargetCases adds the cases of section 6 about frames that belong to a stream, or to the connection.
 func (t *http2Table) addFrameTargetCases() {
 	for _, f := range []struct {
 		section, name string
@@ -27,7 +27,7 @@
 	}
 }
 
-// dataAndHeaders has sections 6.1 and 6.2.
+// addDataAndHeadersCases adds the cases of sections 6.1 and 6.2.
 func (t *http2Table) addDataAndHeadersCases() {
 	t.addConnectionError("6.1", "data-all-padding", "DATA whose padding is as long as its payload", anyOf(codeProtocol), func(h *http2Conn) {
 		id := h.openStream(false, h.getRequest()...)
@@ -37,7 +37,7 @@
 		id := h.openStream(false, h.getRequest()...)
 		h.writeRaw(frameData, 0x9, id)
 	})
-	t.add("6.1", "data-padded", "padded DATA is taken without its padding", func(h *http2Conn) {
+	t.add("6.1", "data-padded", "padded DATA is accepted, and its padding ignored", func(h *http2Conn) {
 		h.handshake()
 		id := h.openStream(false, h.getRequest("content-length", "2")...)
 		h.writeRaw(frameData, 0x9, id, 3, 'a', 'b', 0, 0, 0)
@@ -47,7 +47,7 @@
 	})
 	t.addConnectionError("6.2", "headers-all-padding", "HEADERS whose padding is longer than its payload", anyOf(codeProtocol), sendFrame(frameHeaders, 0xd, 1, 9, 0x82))
 	t.addConnectionError("6.2", "headers-short-priority", "HEADERS too short for its priority", anyOf(codeFrameSize, codeProtocol), sendFrame(frameHeaders, 0x25, 1, 0, 0))
-	t.add("6.2", "headers-padded", "padded HEADERS with a priority are taken without both", func(h *http2Conn) {
+	t.add("6.2", "headers-padded", "padded HEADERS with a priority are accepted, and both ignored", func(h *http2Conn) {
 		h.handshake()
 		b := append([]byte{4, 0, 0, 0, 0, 16}, h.encodeHeaders(h.getRequest()...)...)
 		h.writeRaw(frameHeaders, 0x2d, 1, append(b, 0, 0, 0, 0)...)
@@ -55,25 +55,25 @@
 			h.fail("status %s", s)
 		}
 	})
-	t.addConnectionError("6.2", "headers-in-headers", "HEADERS within another stream's block", anyOf(codeProtocol), func(h *http2Conn) {
+	t.addConnectionError("6.2", "headers-in-headers", "HEADERS within another stream's header block", anyOf(codeProtocol), func(h *http2Conn) {
 		b := h.encodeHeaders(h.getRequest()...)
 		h.writeRaw(frameHeaders, 1, 1, b...)
 		h.writeRaw(frameHeaders, 5, 3, b...)
 	})
-	t.addConnectionError("6.2", "data-in-headers", "DATA within a block of headers", anyOf(codeProtocol), func(h *http2Conn) {
+	t.addConnectionError("6.2", "data-in-headers", "DATA within a header block", anyOf(codeProtocol), func(h *http2Conn) {
 		h.writeRaw(frameHeaders, 0, 1, h.encodeHeaders(h.getRequest()...)...)
 		h.writeRaw(frameData, 1, 1, 'a')
 	})
-	t.addConnectionError("6.2", "ping-in-headers", "PING within a block of headers", anyOf(codeProtocol), func(h *http2Conn) {
+	t.addConnectionError("6.2", "ping-in-headers", "PING within a header block", anyOf(codeProtocol), func(h *http2Conn) {
 		h.writeRaw(frameHeaders, 0, 1, h.encodeHeaders(h.getRequest()...)...)
 		h.writeRaw(framePing, 0, 0, make([]byte, 8)...)
 	})
 }
 
-// priorityAndReset has sections 6.3 and 6.4.
+// addPriorityAndResetCases adds the cases of sections 6.3 and 6.4.
 func (t *http2Table) addPriorityAndResetCases() {
 	for _, n := range []int{0, 4, 6} {
-		t.add("6.3", fmt.Sprint("priority-length-", n), fmt.Sprintf("PRIORITY of %d bytes is an error of FRAME_SIZE_ERROR", n), func(h *http2Conn) {
+		t.add("6.3", fmt.Sprint("priority-length-", n), fmt.Sprintf("PRIORITY of %d bytes is a FRAME_SIZE_ERROR", n), func(h *http2Conn) {
 			h.handshake()
 			id := h.openStream(false, h.getRequest()...)
 			h.writeRaw(framePriority, 0, id, make([]byte, n)...)
@@ -103,7 +103,7 @@
 	})
 }
 
-// settings has section 6.5.
+// addSettingsCases adds the cases of section 6.5.
 func (t *http2Table) addSettingsCases() {
 	t.addConnectionError("6.5", "settings-ack-length", "an acknowledgement of SETTINGS with a payload", anyOf(codeFrameSize), sendFrame(frameSettings, 1, 0, encodeSetting(1, 0)...))
 	for _, n := range []int{1, 5, 7} {
@@ -145,9 +145,9 @@
 	})
 }
 
-// pushPingGoAway has sections 6.6 to 6.8.
+// addPushPingGoAwayCases adds the cases of sections 6.6 to 6.8.
 func (t *http2Table) addPushPingGoAwayCases() {
-	t.addConnectionError("6.6", "push-promise", "PUSH_PROMISE of a client", anyOf(codeProtocol), sendFrame(framePushPromise, 4, 1, 0, 0, 0, 2, 0x82))
+	t.addConnectionError("6.6", "push-promise", "PUSH_PROMISE from a client", anyOf(codeProtocol), sendFrame(framePushPromise, 4, 1, 0, 0, 0, 2, 0x82))
 	t.add("6.7", "ping", "PING is answered with its data", func(h *http2Conn) {
 		h.handshake()
 		h.expectPingAck()
@@ -172,7 +172,7 @@
 	})
 }
 
-// windows has section 6.9: flow control.
+// addWindowCases adds the cases of section 6.9: flow control.
 func (t *http2Table) addWindowCases() {
 	t.addConnectionError("6.9", "window-0", "WINDOW_UPDATE of the connection by 0", anyOf(codeProtocol), sendFrame(frameWindowUpdate, 0, 0, encodeUint32(0)...))
 	t.add("6.9", "window-0-stream", "WINDOW_UPDATE of a stream by 0 ends the stream", func(h *http2Conn) {
@@ -191,7 +191,7 @@
 		h.writeRaw(frameWindowUpdate, 0, id, encodeUint32(1<<31-1)...)
 		h.expectReset(id, codeFlowControl)
 	})
-	t.add("6.9.2", "window-negative", "a smaller INITIAL_WINDOW_SIZE is taken while streams are open", func(h *http2Conn) {
+	t.add("6.9.2", "window-negative", "a smaller INITIAL_WINDOW_SIZE is accepted while streams are open", func(h *http2Conn) {
 		h.handshake()
 		h.openStream(false, h.getRequest()...)
 		h.writeRaw(frameSettings, 0, 0, encodeSetting(4, 1)...)
@@ -204,9 +204,9 @@
 	})
 }
 
-// continuations has section 6.10.
+// addContinuationCases adds the cases of section 6.10.
 func (t *http2Table) addContinuationCases() {
-	t.addConnectionError("6.10", "continuation-flood", "CONTINUATIONs without an end", anyOf(codeEnhanceYourCalm, codeProtocol, codeCompression), func(h *http2Conn) {
+	t.addConnectionError("6.10", "continuation-flood", "an endless sequence of CONTINUATION frames", anyOf(codeEnhanceYourCalm, codeProtocol, codeCompression), func(h *http2Conn) {
 		h.writeRaw(frameHeaders, 1, 1, h.encodeHeaders(h.getRequest()...)...)
 		for range 20_000 {
 			if h.framer.WriteRawFrame(frameContinuation, 0, 1, nil) != nil {
@@ -214,12 +214,12 @@
 			}
 		}
 	})
-	t.addConnectionError("6.10", "continuation-elsewhere", "CONTINUATION of another stream", anyOf(codeProtocol), func(h *http2Conn) {
+	t.addConnectionError("6.10", "continuation-elsewhere", "CONTINUATION on another stream", anyOf(codeProtocol), func(h *http2Conn) {
 		b := h.encodeHeaders(h.getRequest()...)
 		h.writeRaw(frameHeaders, 1, 1, b...)
 		h.writeRaw(frameContinuation, 4, 3)
 	})
-	t.addConnectionError("6.10", "continuation-behind-end", "CONTINUATION behind END_HEADERS", anyOf(codeProtocol), func(h *http2Conn) {
+	t.addConnectionError("6.10", "continuation-behind-end", "CONTINUATION after END_HEADERS", anyOf(codeProtocol), func(h *http2Conn) {
 		id := h.openStream(false, h.getRequest()...)
 		h.writeRaw(frameContinuation, 4, id, 0x82)
 	})
--- a/internal/conformance/http2_request_cases.go
+++ b/internal/conformance/http2_request_cases.go
@@ -8,15 +8,15 @@
 	"golang.org/x/net/http2"
 )
 
-// readyRequest are the fields of a whole request.
+// readyRequest holds the fields of a valid request.
 var readyRequest = []string{":method", "GET", ":scheme", "http", ":path", "/-/ready", ":authority", "c"}
 
-// readyWith are the fields of a whole request and more behind them.
+// readyWith returns the fields of a valid request, followed by more.
 func readyWith(more ...string) []string {
 	return append(append([]string(nil), readyRequest...), more...)
 }
 
-// messages has section 8.1: requests, their answers and trailers.
+// addMessageCases adds the cases of section 8.1: requests, their answers and trailers.
 func (t *http2Table) addMessageCases() {
 	t.add("8.1", "get", "a GET is answered", func(h *http2Conn) {
 		h.handshake()
@@ -42,7 +42,7 @@
 			h.fail("status %s", s)
 		}
 	})
-	t.add("8.1", "trailers-no-end", "a second block of headers without END_STREAM is malformed", func(h *http2Conn) {
+	t.add("8.1", "trailers-no-end", "a second header block without END_STREAM is malformed", func(h *http2Conn) {
 		h.handshake()
 		id := h.openStream(false, h.getRequest()...)
 		h.writeRaw(frameHeaders, 4, id, h.encodeHeaders("x-trailer", "v")...)
@@ -56,14 +56,14 @@
 	})
 }
 
-// malformed has sections 8.1.1 to 8.3.1: requests that are malformed by their fields.
+// addMalformedCases adds the cases of sections 8.1.1 to 8.3.1 about requests with malformed fields.
 func (t *http2Table) addMalformedCases() {
 	for _, m := range []struct {
-		section, name, says string
-		fields              []string
+		section, name, description string
+		fields                     []string
 	}{
 		{"8.2.1", "upper-case", "a field name in upper case", readyWith("X-Upper", "v")},
-		{"8.2.1", "name-space", "a field name with a blank", readyWith("x y", "v")},
+		{"8.2.1", "name-space", "a field name with a space", readyWith("x y", "v")},
 		{"8.2.1", "name-colon", "a field name with a colon in it", readyWith("x:y", "v")},
 		{"8.2.1", "name-nul", "a field name with NUL", readyWith("x\x00", "v")},
 		{"8.2.1", "name-empty", "an empty field name", readyWith("", "v")},
@@ -71,7 +71,7 @@
 		{"8.2.1", "value-nul", "a value with NUL", readyWith("x", "a\x00b")},
 		{"8.2.1", "value-lf", "a value with LF", readyWith("x", "a\nb")},
 		{"8.2.1", "value-cr", "a value with CR", readyWith("x", "a\rb")},
-		{"8.2.1", "value-leading-blank", "a value that begins with a blank", readyWith("x", " a")},
+		{"8.2.1", "value-leading-blank", "a value that begins with a space", readyWith("x", " a")},
 		{"8.2.1", "value-trailing-tab", "a value that ends with a tab", readyWith("x", "a\t")},
 		{"8.2.2", "connection", "the field connection", readyWith("connection", "close")},
 		{"8.2.2", "keep-alive", "the field keep-alive", readyWith("keep-alive", "1")},
@@ -80,8 +80,8 @@
 		{"8.2.2", "upgrade", "the field upgrade", readyWith("upgrade", "h2c")},
 		{"8.2.2", "te", "te with anything but trailers", readyWith("te", "gzip")},
 		{"8.3", "unknown-pseudo", "a pseudo-header field that is not defined", append([]string{":other", "v"}, readyRequest...)},
-		{"8.3", "response-pseudo", "a pseudo-header field of answers", append([]string{":status", "200"}, readyRequest...)},
-		{"8.3", "pseudo-behind", "a pseudo-header field behind a regular one", []string{":method", "GET", ":scheme", "http", "x", "v", ":path", "/"}},
+		{"8.3", "response-pseudo", "a pseudo-header field of responses", append([]string{":status", "200"}, readyRequest...)},
+		{"8.3", "pseudo-behind", "a pseudo-header field after a regular one", []string{":method", "GET", ":scheme", "http", "x", "v", ":path", "/"}},
 		{"8.3.1", "no-method", "a request without :method", readyRequest[2:]},
 		{"8.3.1", "no-scheme", "a request without :scheme", append([]string{":method", "GET"}, readyRequest[4:]...)},
 		{"8.3.1", "no-path", "a request without :path", append(append([]string(nil), readyRequest[:4]...), readyRequest[6:]...)},
@@ -96,7 +96,7 @@
 		{"8.1.1", "length-differ", "two content-lengths that differ", readyWith("content-length", "1", "content-length", "2")},
 		{"8.1.1", "length-without-data", "a content-length of 5 without DATA", readyWith("content-length", "5")},
 	} {
-		t.add(m.section, m.name, m.says+" is malformed", func(h *http2Conn) {
+		t.add(m.section, m.name, m.description+" is malformed", func(h *http2Conn) {
 			h.handshake()
 			h.expectMalformed(h.openStream(true, m.fields...))
 			h.expectServed()
@@ -104,7 +104,8 @@
 	}
 }
 
-// fields has sections 8.1.1 to 8.3.1: bodies that are not as long as told, and fields that are no error.
+// addFieldCases adds the cases of sections 8.1.1 to 8.3.1 about bodies of another length than content-length, and about fields
+// that are valid.
 func (t *http2Table) addFieldCases() {
 	for _, n := range []int{1, 3} {
 		t.add("8.1.1", fmt.Sprint("length-2-data-", n), fmt.Sprintf("a content-length of 2 with %d bytes of DATA is malformed", n), func(h *http2Conn) {
@@ -135,9 +136,9 @@
 	})
 }
 
-// floods has section 10.5: more than a server has to bear.
+// addFloodCases adds the cases of section 10.5: excessive load that a server may refuse.
 func (t *http2Table) addFloodCases() {
-	t.add("10.5", "settings-flood", "SETTINGS without end are answered with calm, or all of them", func(h *http2Conn) {
+	t.add("10.5", "settings-flood", "a SETTINGS flood is answered with ENHANCE_YOUR_CALM, or completely", func(h *http2Conn) {
 		h.handshake()
 		go func() {
 			for range 5000 {
@@ -159,13 +160,13 @@
 			}
 		}
 	})
-	t.add("10.5", "large-header-list", "a header list over the server's bound is answered with 431, or ends the stream", func(h *http2Conn) {
+	t.add("10.5", "large-header-list", "a header list above the server's limit is answered with 431, or ends the stream", func(h *http2Conn) {
 		h.handshake()
-		most, told := h.serverSettings[http2.SettingMaxHeaderListSize]
-		if !told || most > 1<<17 {
+		limit, isSet := h.serverSettings[http2.SettingMaxHeaderListSize]
+		if !isSet || limit > 1<<17 {
 			return
 		}
-		b := h.encodeHeaders(readyWith("x-large", strings.Repeat("v", int(most)))...)
+		b := h.encodeHeaders(readyWith("x-large", strings.Repeat("v", int(limit)))...)
 		h.writeRaw(frameHeaders, 1, 1, b[:8000]...)
 		for b = b[8000:]; len(b) > 8000; b = b[8000:] {
 			h.writeRaw(frameContinuation, 0, 1, b[:8000]...)
--- a/internal/conformance/suite.go
+++ b/internal/conformance/suite.go
@@ -1,5 +1,6 @@
-// Package conformance holds suites of cases that any server of a protocol can be held to, over real sockets: each
-// case is named and says in a sentence what it checks. It knows nothing of the server but its address.
+// Package conformance holds protocol test suites that run over real sockets against any server of the Faktory work protocol
+// or of HTTP/2. Each case has a name and a one-sentence description. The command's conformance and the tests call it; it
+// knows nothing of the server but how to reach it.
 package conformance
 
 import (
@@ -8,14 +9,14 @@
 	"time"
 )
 
-// Result is what became of one case.
+// Result is the outcome of one case. Err is nil if the case passed.
 type Result struct {
 	Name, Description string
 	Err               error
 	Duration          time.Duration
 }
 
-// Report writes a line for each result as it comes, and a total. It returns the number of cases that failed.
+// Report writes a line for each result as it arrives, and a total. It returns the numbers of cases that passed and failed.
 func Report(w io.Writer, results <-chan Result) (passed, failed int) {
 	for r := range results {
 		if r.Err != nil {
@@ -30,19 +31,19 @@
 	return passed, failed
 }
 
-// casesAtOnce is how many cases of a suite run at a time.
+// maxParallelCases is how many cases of a suite run at a time.
 const maxParallelCases = 16
 
-// runSuite runs so many cases, casesAtOnce at a time, and sends their results in the order of the cases. It returns
-// when the last has been sent.
+// runSuite runs a number of cases, maxParallelCases at a time, and sends their results in the order of the cases. It returns
+// when it has sent the last.
 func runSuite(cases int, run func(i int) Result, out chan<- Result) {
 	done := make([]chan Result, cases)
-	running := make(chan struct{}, maxParallelCases)
+	slots := make(chan struct{}, maxParallelCases)
 	for i := range cases {
 		done[i] = make(chan Result, 1)
 		go func() {
-			running <- struct{}{}
-			defer func() { <-running }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			done[i] <- run(i)
 		}()
 	}
@@ -51,14 +52,15 @@
 	}
 }
 
-// failure ends a case from within its helpers.
+// failure is the panic value by which a helper ends its case.
 type failure struct{ err error }
 
+// catchFailure runs a function and returns the error of a failure that it panics with. Other panics continue.
 func catchFailure(run func()) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			f, ours := r.(failure)
-			if !ours {
+			f, isFailure := r.(failure)
+			if !isFailure {
 				panic(r)
 			}
 			err = f.err
--- a/internal/world/clients.go
+++ b/internal/world/clients.go
@@ -65,7 +65,7 @@
 	w.schedule(w.now+rules.Time(w.rng.ExpFloat64()/rate), c.submit)
 }
 
-// submit creates a job, gives it to a scheduler and schedules the next one.
+// submit creates a job, submits it to a scheduler and schedules the next one.
 func (c *clients) submit() {
 	w, s := c.world, &c.world.setup
 	c.jobCount++
@@ -108,7 +108,7 @@
 	}
 }
 
-// maxLocalTries is how many schedulers of its key or zone a client tries before it takes any scheduler.
+// maxLocalTries is how many schedulers of its key or zone a client tries before it accepts any scheduler.
 const maxLocalTries = 8
 
 // drawScheduler returns the scheduler that a random number selects in a client's try, by Setup.Traffic.
--- a/internal/world/figures.go
+++ b/internal/world/figures.go
@@ -20,7 +20,7 @@
 	Probes, Messages      float64   // probes of workers and messages between schedulers, per job
 	KeyMisses             float64   // fraction of the jobs that were the first of their key at their worker in 10 s
 	StarvedWorkers        int       // workers that got no job for 5 s while jobs waited elsewhere
-	MaxColdWork           float64   // most work that a cold worker got within Rules.OverloadWindow, over its limit during slow start
+	MaxColdWork           float64   // most work that a cold worker got within Rules.OverloadWindow, over N + 3·√N + 3, where N is its limit during slow start in mean jobs
 
 	JobsAtWorkers        float64   // jobs that run or wait at workers, mean over the samples
 	NewConnections       float64   // per job: attempts and probes sent to a worker without a kept connection
--- a/internal/world/members.go
+++ b/internal/world/members.go
@@ -59,11 +59,11 @@
 	return sc.world.entries(sc.assign(sc.currentShare()))
 }
 
-// minForeignShare is the least share of a worker's load that the dispatchers take to come from other schedulers. With 0 they
+// minForeignShare is the least share of a worker's load that the dispatchers attribute to other schedulers. With 0 they
 // would never probe a worker, and so never learn its capacity.
 const minForeignShare = 0.04
 
-// setHolders tells the dispatcher how many schedulers may send to each worker.
+// setHolders sets how many schedulers the dispatcher expects to send to each worker.
 func (sc *scheduler) setHolders(holders int) {
 	if holders >= sc.world.setup.Schedulers {
 		return // the dispatcher's default
@@ -73,7 +73,7 @@
 	}
 }
 
-// initialMembers returns which schedulers a starting scheduler takes for alive. At the start of the simulation these are
+// initialMembers returns which schedulers a starting scheduler considers alive. At the start of the simulation these are
 // all that no fault starts later.
 func (w *World) initialMembers(rank int) []bool {
 	alive := make([]bool, len(w.schedulers))
@@ -127,7 +127,7 @@
 	return entries
 }
 
-// deliverList gives the scheduler the changed entries of those workers that it holds.
+// deliverList passes the changed entries of the workers that the scheduler holds to its dispatcher.
 func (sc *scheduler) deliverList(changed []*worker) {
 	w := sc.world
 	if !sc.isAlive {
@@ -142,7 +142,7 @@
 	sc.decide(func() { sc.applyList(entries) })
 }
 
-// applyList gives the dispatcher changed entries. The caller must be inside decide.
+// applyList passes changed entries to the dispatcher. The caller must be inside decide.
 func (sc *scheduler) applyList(entries []rules.ListEntry) {
 	if len(entries) > 0 {
 		sc.countListEntries(entries)
@@ -156,7 +156,7 @@
 	}
 }
 
-// setMember updates whether the scheduler takes another one for alive, and applies its new share. A worker that leaves the
+// setMember updates whether the scheduler considers another one alive, and applies its new share. A worker that leaves the
 // share is Gone for the dispatcher; attempts already sent to it continue.
 func (sc *scheduler) setMember(member int, alive bool) {
 	w := sc.world
--- a/internal/world/ownership.go
+++ b/internal/world/ownership.go
@@ -24,7 +24,7 @@
 	sc.ownershipHost.turn()
 }
 
-// turn runs the table's periodic work, gives the dispatcher the resulting changes and schedules the next turn.
+// turn runs the table's periodic work, passes the resulting changes to the dispatcher and schedules the next turn.
 func (h *ownershipHost) turn() {
 	sc, now := h.scheduler, h.scheduler.world.now
 	occupied := 0.0
@@ -84,7 +84,7 @@
 	h.changed = append(h.changed, gone)
 }
 
-// Divide tells the dispatcher how many schedulers share the workers of a kind.
+// Divide sets how many schedulers share the workers of a kind.
 func (h *ownershipHost) SetDivision(d ownership.Division) {
 	h.scheduler.dispatcher.SetSharing(d.Kind, d.ColdSenders, d.ForeignLoad)
 }
--- a/internal/world/scheduler.go
+++ b/internal/world/scheduler.go
@@ -20,7 +20,7 @@
 	incarnation   uint64 // number of the process, which each kill raises
 	isAlive       bool
 	pausedUntil   rules.Time
-	aliveMembers  []bool       // by rank: schedulers that this one takes for alive
+	aliveMembers  []bool       // by rank: schedulers that this one considers alive
 	assigned      []bool       // by worker: whether this scheduler holds it
 	connUsedAt    []rules.Time // by worker: last use of the connection; 0: none
 }
--- a/internal/world/setup.go
+++ b/internal/world/setup.go
@@ -34,7 +34,7 @@
 	ByZone                // every zone has equally many jobs, which go to schedulers of their own zone
 )
 
-// Directory assigns workers to schedulers. A scheduler computes its share anew whenever its view of which schedulers are
+// Directory assigns workers to schedulers. A scheduler recomputes its share whenever its view of which schedulers are
 // alive has changed.
 type Directory interface {
 	// Holders returns how many schedulers may send to one worker. The dispatchers get it by SetSharing.
@@ -95,7 +95,7 @@
 	KillScheduler  FaultKind = iota // and lose all its requests
 	StartScheduler                  // a killed scheduler; one whose first fault this is was not running before
 	PauseScheduler                  // it processes no event for Fault.Duration, then continues with its old state
-	SplitMembers                    // a network partition: for Fault.Duration each half takes the other for dead
+	SplitMembers                    // a network partition: for Fault.Duration each half considers the other dead
 	LoseZone                        // its workers fail with their attempts, and restart cold after Fault.Duration
 )
 
--- a/internal/world/worker.go
+++ b/internal/world/worker.go
@@ -15,7 +15,7 @@
 	job         *job
 	number      int // index among the job's attempts
 	worker      *worker
-	arrived     rules.Time
+	arrivedAt   rules.Time
 	endsAt      rules.Time // of an attempt that runs
 	incarnation uint64     // of the scheduler process that sent it
 	hasReturned bool       // its outcome has reached the scheduler
@@ -65,7 +65,7 @@
 		w.reportOutcome(a, rules.Unreachable)
 		return
 	}
-	a.arrived = w.now
+	a.arrivedAt = w.now
 	if w.isCounting() {
 		w.countArrival(a)
 	}
@@ -128,8 +128,8 @@
 		if a.job.startCount++; a.job.startCount == 2 && w.setup.Rules.Classes[a.job.class].Effect == rules.Once {
 			w.figures.StartedTwice++
 		}
-		if a.arrived >= w.setup.WarmUp {
-			w.waits = append(w.waits, float64(w.now-a.arrived)/1e6)
+		if a.arrivedAt >= w.setup.WarmUp {
+			w.waits = append(w.waits, float64(w.now-a.arrivedAt)/1e6)
 		}
 		a.endsAt = w.now + max(1000, rules.Time(a.job.runTime/wk.setup.Speed*wk.setup.Slowdown))
 		w.reportStart(a)
