--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -43,15 +43,15 @@
 	if n := strings.Count(out.String(), "FINISHED\n"); n != 23 {
 		t.Fatalf("%d replies to 23 batches", n)
 	}
-	by, now := map[string][]string{}, ""
+	byInstance, instance := map[string][]string{}, ""
 	for _, l := range strings.Split(out.String(), "\n") {
 		if name, ok := strings.CutPrefix(l, "CONTEXT\t"); ok {
-			now = name
+			instance = name
 		} else if l != "FINISHED" && l != "" {
-			by[now] = append(by[now], l)
+			byInstance[instance] = append(byInstance[instance], l)
 		}
 	}
-	return by
+	return byInstance
 }
 
 // An instance acts the same whether or not another one runs beside it.
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -18,7 +18,8 @@
 // EventType is the kind of an Event.
 type EventType uint8
 
-// The event types, by the names of package rules.
+// The event types. Attach and Destroy start and end an instance; each other one is named after the Dispatcher's method
+// that handles it.
 const (
 	Attach EventType = iota
 	Destroy
@@ -337,16 +338,16 @@
 		o.Latency = r.integer()
 	case "HEARTBEAT":
 		e.Type = Progress
-		n := &e.Progress
-		n.Request = rules.RequestID(r.id())
-		n.Attempt = r.index()
-		n.Worker = rules.WorkerID(r.id())
-		what, value := r.index(), r.number()
-		switch what {
+		p := &e.Progress
+		p.Request = rules.RequestID(r.id())
+		p.Attempt = r.index()
+		p.Worker = rules.WorkerID(r.id())
+		kind, value := r.index(), r.number()
+		switch kind {
 		case 1:
-			n.Started = true
+			p.Started = true
 		case 2:
-			n.FractionDone = value
+			p.FractionDone = value
 		default:
 			return r.err // an unknown kind of progress is skipped
 		}
--- a/rules/api.go
+++ b/rules/api.go
@@ -57,7 +57,7 @@
 	Group         Group
 	Window        Time // how long a Keyed repeat is dropped, from the first attempt's send
 	Kind          int  // the one kind of worker that can run it; negative: any
-	Priority      int
+	Priority      int  // not used by the decisions
 }
 
 // Tenant is one customer of the service and its quota.
@@ -69,8 +69,8 @@
 type Settings struct {
 	Classes   []Class
 	Tenants   []Tenant
-	Zones     int
-	Kinds     int
+	Zones     int // number of zones
+	Kinds     int // number of kinds of workers
 	Zone      int // zone of this dispatcher
 	Rank      int // number of this dispatcher, from 0 to GroupSize-1
 	GroupSize int // number of dispatchers that send to the same workers; 0: 1
@@ -83,7 +83,7 @@
 	MayHedge         bool // two attempts of a request may be outstanding at once
 	MaxAttempts      int  // 0: 3
 	RetryAfter       bool // a refusal may state when the client may retry
-	MaxRetryAfter    Time
+	MaxRetryAfter    Time // the delay that a refusal states beyond a quota
 	ConnectTimeout   Time
 	ReportsStart     bool // workers report a job's start
 	ProgressInterval Time // workers report a job's progress this often; 0: never
@@ -255,7 +255,7 @@
 	Attempt int
 	Worker  WorkerID
 	Status  Status
-	Latency Time
+	Latency Time // from the send to the end
 	Closed  bool // the request has its final answer
 	Load    Load
 }
@@ -269,7 +269,7 @@
 	FractionDone float64 // otherwise: fraction of the job that is done
 }
 
-// ProbeResult is the result of a probe request.
+// ProbeResult is the result of a probe, which requests a worker's load and runs no job.
 type ProbeResult struct {
 	Worker  WorkerID
 	Status  Status
@@ -284,9 +284,9 @@
 	Refuse(r RequestID, retryAfter Time, why Reason) // final answer: retrying is safe
 	Fail(r RequestID, why Reason)                    // final answer: the request may have run, or may not
 	Timer(delay Time, token uint64)                  // calls TimerDue with the token after the delay
-	Probe(w WorkerID)
-	Broadcast(data []byte) // best effort, to all peers; each that receives it calls PeerMessage
-	Watch(on bool)         // subscribes to the list or ends the subscription
-	Fetch()                // requests the whole list once
+	Probe(w WorkerID)                                // requests the worker's load; its end is passed to Probed
+	Broadcast(data []byte)                           // best effort, to all peers; each that receives it calls PeerMessage
+	Watch(on bool)                                   // subscribes to the list or ends the subscription
+	Fetch()                                          // requests the whole list once
 	Log(text string)
 }
--- a/rules/cold_model_test.go
+++ b/rules/cold_model_test.go
@@ -196,7 +196,7 @@
 // Over 200 draws of settings, with broadcasts that are delivered soon, late or never, and with restarts and upgrades
 // during the slow start, all dispatchers together keep to the bound. Unless their traffic is sparse, they use at least
 // a quarter of the budget.
-func TestAColdWorkersBoundHoldsWithoutBroadcasts(t *testing.T) {
+func TestAColdWorkersBoundHoldsWithAnyBroadcastDelay(t *testing.T) {
 	const seeds = 200
 	for _, delay := range []int{-1, 5, 25} {
 		for _, how := range []struct{ restarts, sparse bool }{{false, false}, {true, false}, {false, true}} {
@@ -235,7 +235,7 @@
 	const seeds = 200
 	for _, burst := range []float64{3, 10, 100} {
 		for _, delay := range []int{-1, 5, 25} {
-			t.Run(fmt.Sprintf("%v times the traffic, heard after %d steps", burst, delay), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%v times the traffic, broadcasts after %d steps", burst, delay), func(t *testing.T) {
 				t.Parallel()
 				failed, worst, worstSeed := 0, 0.0, uint64(0)
 				for seed := range uint64(seeds) {
--- a/rules/digest_test.go
+++ b/rules/digest_test.go
@@ -220,8 +220,8 @@
 	return l
 }
 
-// workerHealth returns how a worker ends its attempts now, by a hash of its id: some are silent, some slow, some
-// fail.
+// workerHealth returns how a worker ends its attempts now, by a hash of its id and by the time: some are silent, some
+// slow, some fail, and which ones changes every four seconds.
 func (run *digestRun) workerHealth(w WorkerID) (silent, slow, failing bool) {
 	n := uint64(hashID(w)) + uint64(run.now/(4000*ms))
 	return n%11 == 0, n%7 == 1, n%13 == 2
--- a/rules/health.go
+++ b/rules/health.go
@@ -33,8 +33,8 @@
 	d.update(w, *e, max(e.State, d.disabled[ByOperator][w.id], d.disabled[BySites][w.id]))
 }
 
-// housekeeping runs once per tick. It subscribes to the list, updates the health of the marked workers and
-// of the whole, probes suspect workers, flushes reports to peers, and retries held requests.
+// housekeeping runs once per tick. It subscribes to the list, checks the health of the marked workers and
+// of the whole fleet, probes suspect workers, flushes reports to peers, and retries held requests.
 func (d *Dispatcher) housekeeping(now Time) {
 	if d.cfg.PullsList && !d.watching && now >= d.pollAt {
 		d.watching = true
@@ -111,8 +111,8 @@
 		w.slowCount > 2 && w.slowSum > slowSuspectRatio*w.slowCount
 }
 
-// isSuspect reports whether a worker is ejected, silent, or far slower than its kind. A silent worker is
-// sent a job again now and then, once this dispatcher has no outstanding attempt there.
+// isSuspect reports whether a worker is ejected, silent, or far slower than its kind. A silent worker may be
+// sent a job again after each ejection, once this dispatcher has no outstanding attempt there.
 func (d *Dispatcher) isSuspect(now Time, w *worker) bool {
 	if w.ejectedUntil > now {
 		return true
--- a/rules/hostile_test.go
+++ b/rules/hostile_test.go
@@ -54,28 +54,28 @@
 	if l.class.Kind >= 0 && e.Kind != l.class.Kind {
 		c.t.Fatalf("sent %s to a worker of kind %d", r, e.Kind)
 	}
-	var bound *ledgerAttempt
-	out := 0
+	var mayHaveRun *ledgerAttempt
+	outstanding := 0
 	for i := range l.attempts {
 		a := &l.attempts[i]
 		if !a.ended {
-			out++
+			outstanding++
 		}
-		if bound == nil && !a.neverRan {
-			bound = a
+		if mayHaveRun == nil && !a.neverRan {
+			mayHaveRun = a
 		}
 	}
-	if out > 1 || out == 1 && !c.settings.MayHedge {
-		c.t.Fatalf("%d attempts of %s are outstanding already", out, r)
+	if outstanding > 1 || outstanding == 1 && !c.settings.MayHedge {
+		c.t.Fatalf("%d attempts of %s are outstanding already", outstanding, r)
 	}
-	if bound != nil {
-		b := c.entries[bound.worker]
+	if mayHaveRun != nil {
+		b := c.entries[mayHaveRun.worker]
 		switch l.class.Effect {
 		case Once:
 			c.t.Fatalf("sent %s of effect Once again", r)
 		case Keyed:
 			if l.class.Group == GroupCell && b.Cell != e.Cell || l.class.Group == GroupZone && b.Zone != e.Zone ||
-				c.now-bound.sentAt > l.class.Window {
+				c.now-mayHaveRun.sentAt > l.class.Window {
 				c.t.Fatalf("sent the keyed %s outside its group or window", r)
 			}
 		}
--- a/rules/peers.go
+++ b/rules/peers.go
@@ -11,7 +11,7 @@
 const (
 	recordSize      = 4    // bytes
 	fullMessageSize = 256  // bytes of a message that costs PeerMessageCost
-	maxPeers        = 4096 // messages of peers beyond are ignored, and those peers count as silent
+	maxPeers        = 4096 // messages of peers of this rank or a higher one are ignored; these peers count as silent
 	maxPeerJobs     = 512  // jobs of peers kept per worker; beyond it the oldest is removed
 )
 
--- a/rules/shed.go
+++ b/rules/shed.go
@@ -34,10 +34,11 @@
 	return true
 }
 
-// probeRequestTarget returns the worker whose load was observed longest ago, if that is long enough ago to
-// send it, as a probe request, a job that would otherwise be shed. Where only a send can show that an
-// overload is over, one observed overload would otherwise shed everything forever. All dispatchers
-// together send a worker fewer than one such job per mean running time [D6].
+// probeRequestTarget returns the worker of the sample that has had no observation of its load and no probe
+// request for the longest time, if that is long enough to send it, as a probe request, a job that would
+// otherwise be shed. Where only a send can show that an overload is over, one observed overload would
+// otherwise shed everything forever. All dispatchers together send a worker fewer than one such job per
+// mean running time [D6].
 func (d *Dispatcher) probeRequestTarget(now Time, r *request) (oldest *worker) {
 	if r.overQuota {
 		return nil
--- a/rules/state.go
+++ b/rules/state.go
@@ -48,8 +48,8 @@
 	outstanding   int        // attempts that have not ended
 	pendingProbes int        // probes whose results the request waits for
 	overQuota     bool       // beyond its tenant's quota
-	held          bool       // in Dispatcher.held: no worker may be sent it
-	closed        bool       // it has its final answer
+	held          bool       // in Dispatcher.held: it may be sent to no worker now
+	closed        bool       // it has its final answer, or its client has disconnected
 	streaming     bool       // its answer is on its way to the client
 }
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// forgetIfEnded removes a request that has its final answer and no outstanding attempt.
+// forgetIfEnded removes a closed request without outstanding attempts.
 func (d *Dispatcher) forgetIfEnded(r *request) {
 	if r.closed && r.outstanding == 0 {
 		delete(d.requests, r.ID)
@@ -173,7 +173,7 @@
 	tenants                   []tokenBucket
 	requests                  map[RequestID]*request
 	running                   []startedAttempt // not ended, or ended since the last tick
-	held                      []*request       // open requests that no worker may be sent
+	held                      []*request       // open requests that may be sent to no worker now
 	probeTokens               float64          // probes that may be sent now
 	keyedRequests             decayingCount    // requests with keys, decayed like those of each key
 
--- a/rules/stats.go
+++ b/rules/stats.go
@@ -49,7 +49,7 @@
 	return true
 }
 
-// decayingCount counts events, of a key if it is kept for one. It was n at the time at.
+// decayingCount counts events, of a key if it is kept for one. The count was n at the time at.
 type decayingCount struct {
 	key uint64
 	n   float64
