--- a/internal/directive/directive.go
+++ b/internal/directive/directive.go
@@ -1,5 +1,5 @@
-// Package directive holds the operators' standing orders to one scheduler, such as disabled workers or a client drain, as
-// versioned registers that merge by last write. It does no I/O and reads no clock: packages gateway and admin change the
+// Package directive holds what operators have set in one scheduler at run time, such as disabled workers or a client drain,
+// as versioned registers that merge by last write. It does no I/O and reads no clock: packages gateway and admin change the
 // directives, and package replica shares them among the processes of the scheduler.
 package directive
 
@@ -90,7 +90,7 @@
 	return entries
 }
 
-// Merge stores another process's entry if it supersedes the own one, and reports whether it did. A new entry beyond
+// Merge stores another process's entry if it supersedes the entry in the set, and reports whether it did. A new entry beyond
 // MaxEntries is ignored: it stays with the process that holds it.
 func (s *Set) Merge(e Entry) bool {
 	s.Observe(e.Version)
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -5,9 +5,9 @@
 	"cobaltflow/rules"
 )
 
-// maxDepartedWorkers bounds the departed workers whose start times are remembered. Beyond it the earliest one is forgotten,
+// maxRemovedWorkers bounds the removed workers whose start times are remembered. Beyond it the earliest one is forgotten,
 // and counts as restarted if it is listed again.
-const maxDepartedWorkers = 4096
+const maxRemovedWorkers = 4096
 
 // StartTimes tracks when workers were started, in the loop's time. Discovery reports a start as a wall-clock date, and the
 // clock of either machine may have been stepped. A date is therefore only compared with the previous one: a worker with the
@@ -15,7 +15,7 @@
 // list after the scheduler's own start, which has no previous dates, is read by the wall clock.
 type StartTimes struct {
 	known       map[string]workerStart // by worker name
-	departed    []string               // in the order of departure; may include workers that are listed again
+	removed     []string               // in the order of their removal; may include workers that are listed again
 	updateCount uint64                 // updates resolved so far
 }
 
@@ -24,7 +24,7 @@
 	startedUnixMS int64 // by discovery's clock
 	startedAt     core.Time
 	lastUpdate    uint64 // number of the last update that named the worker
-	gone          bool   // departed
+	isRemoved     bool   // discovery does not list the worker any more
 }
 
 // Resolve replaces the start time of each worker of an update, which is given by the wall clock. isFirst says that the update
@@ -49,33 +49,33 @@
 		}
 		s.known[w.Name] = workerStart{startedUnixMS: startedUnixMS, startedAt: w.StartedAt, lastUpdate: s.updateCount}
 		if w.State == rules.Gone {
-			s.markDeparted(w.Name)
+			s.markRemoved(w.Name)
 		}
 	}
 	if u.IsSnapshot {
-		s.markAbsentDeparted()
+		s.markAbsentRemoved()
 	}
 }
 
-// markAbsentDeparted marks the workers departed that the current snapshot does not name.
-func (s *StartTimes) markAbsentDeparted() {
+// markAbsentRemoved marks the workers as removed that the current snapshot does not name.
+func (s *StartTimes) markAbsentRemoved() {
 	for name, w := range s.known {
-		if !w.gone && w.lastUpdate != s.updateCount {
-			s.markDeparted(name)
+		if !w.isRemoved && w.lastUpdate != s.updateCount {
+			s.markRemoved(name)
 		}
 	}
 }
 
-// markDeparted marks a worker departed, and forgets the earliest departed one beyond maxDepartedWorkers.
-func (s *StartTimes) markDeparted(name string) {
+// markRemoved marks a worker as removed, and forgets the earliest removed one beyond maxRemovedWorkers.
+func (s *StartTimes) markRemoved(name string) {
 	w := s.known[name]
-	w.gone = true
+	w.isRemoved = true
 	s.known[name] = w
-	s.departed = append(s.departed, name)
-	if len(s.departed) > maxDepartedWorkers {
-		if first := s.departed[0]; s.known[first].gone {
+	s.removed = append(s.removed, name)
+	if len(s.removed) > maxRemovedWorkers {
+		if first := s.removed[0]; s.known[first].isRemoved {
 			delete(s.known, first)
 		}
-		s.departed = s.departed[1:]
+		s.removed = s.removed[1:]
 	}
 }
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -38,7 +38,7 @@
 	assert.Zero(t, resolve(&StartTimes{}, updateOf("w", 0, 0), now, false), "no date: long ago")
 }
 
-// A worker that departs and is listed again with the same date was not restarted.
+// A worker that is removed and listed again with the same date was not restarted.
 func TestWorkerListedAgainWasNotRestarted(t *testing.T) {
 	s := &StartTimes{}
 	first := resolve(s, updateOf("w", 1000, 500), 1000, true)
@@ -46,15 +46,15 @@
 	gone.Workers[0].State = rules.Gone
 	s.Resolve(gone, 2000, false)
 	assert.Equal(t, first, resolve(s, updateOf("w", 1000, 500), 3000, false))
-	for i := range maxDepartedWorkers + 10 {
+	for i := range maxRemovedWorkers + 10 {
 		u := updateOf(fmt.Sprint("x", i), 1, 1)
 		u.Workers[0].State = rules.Gone
 		s.Resolve(u, 4000, false)
 	}
-	assert.LessOrEqual(t, len(s.known), maxDepartedWorkers+1, "departed workers are bounded")
+	assert.LessOrEqual(t, len(s.known), maxRemovedWorkers+1, "removed workers are bounded")
 }
 
-// A worker that departed and is listed again is remembered however many others depart. Workers that are absent from a
+// A worker that was removed and is listed again is remembered however many others are removed. Workers that are absent from a
 // snapshot are bounded like those that discovery reports as removed.
 func TestListedWorkerIsRememberedAndAbsentWorkersAreBounded(t *testing.T) {
 	s := &StartTimes{}
@@ -63,16 +63,16 @@
 	gone.Workers[0].State = rules.Gone
 	s.Resolve(gone, 2000, false)
 	s.Resolve(updateOf("w", 1000, 500), 3000, false)
-	for i := range 2 * maxDepartedWorkers {
+	for i := range 2 * maxRemovedWorkers {
 		u := updateOf(fmt.Sprint("x", i), 1, 1)
 		u.Workers[0].State = rules.Gone
 		s.Resolve(u, 4000, false)
 	}
 	assert.Equal(t, first, resolve(s, updateOf("w", 1000, 500), 5000, false))
-	for i := range 2 * maxDepartedWorkers {
+	for i := range 2 * maxRemovedWorkers {
 		u := updateOf(fmt.Sprint("y", i), 1, 1)
 		u.IsSnapshot = true
 		s.Resolve(u, 6000, false)
 	}
-	assert.LessOrEqual(t, len(s.known), maxDepartedWorkers+1)
+	assert.LessOrEqual(t, len(s.known), maxRemovedWorkers+1)
 }
--- a/internal/front/admission/admission.go
+++ b/internal/front/admission/admission.go
@@ -1,5 +1,5 @@
 // Package admission turns clients' HTTP requests into requests of the core, or rejections, turns final answers into HTTP
-// replies, and keeps the ids of open and recently ended requests. The HTTP/1.1 and HTTP/2 fronts call it, on the event
+// replies, and keeps the IDs of open and recently ended requests. The HTTP/1.1 and HTTP/2 fronts call it, on the event
 // loop only, with the parsed method, path, headers and body; it does no framing.
 package admission
 
@@ -72,7 +72,7 @@
 	Allow  string // with status 405: the allowed method; otherwise empty
 }
 
-// Controller admits requests. The fronts of one gateway share it, because request ids are unique across fronts.
+// Controller admits requests. The fronts of one gateway share it, because request IDs are unique across fronts.
 type Controller struct {
 	core      *core.Core
 	names     *config.Names
@@ -99,7 +99,7 @@
 	if text != "" {
 		return nil, &Rejection{Status: 400, Text: text}
 	}
-	// Every request needs a new id. A recently ended one belongs to an earlier request, which workers still know and for
+	// Every request needs a new ID. A recently ended one belongs to an earlier request, which workers still know and for
 	// which they would reject this one.
 	if c.recentIDs.has(request.ID) {
 		return nil, &Rejection{Status: 400, Text: HeaderID + " was in use"}
@@ -118,10 +118,10 @@
 	return request, nil
 }
 
-// HasSeenID reports whether a request with the id is open or has recently ended.
+// HasSeenID reports whether a request with the ID is open or has recently ended.
 func (c *Controller) HasSeenID(id string) bool { return c.core.HasRequest(id) || c.recentIDs.has(id) }
 
-// RememberID records the id of a request that the core has released as recently ended.
+// RememberID records the ID of a request that the core has released as recently ended.
 func (c *Controller) RememberID(request *core.Request) { c.recentIDs.add(request.ID) }
 
 // parseRequest builds a core request from the headers, with Deadline set to the time left. A non-empty text is the reason
--- a/internal/front/admission/ledger.go
+++ b/internal/front/admission/ledger.go
@@ -22,7 +22,7 @@
 }
 
 // Ledger keeps the outcome of each job for a bounded time after its end, so that a client that reset its stream or lost
-// its connection can look it up. Lookup requires the job's id: entries can't be listed.
+// its connection can look it up. Lookup requires the job's ID: entries can't be listed.
 type Ledger struct {
 	maxJobs, maxBytes int
 	retention         core.Time
@@ -32,7 +32,7 @@
 	Evicted           uint64   // entries removed before their retention time because a limit was reached
 }
 
-// entryOverheadBytes is the estimated memory of an entry in addition to its id and result.
+// entryOverheadBytes is the estimated memory of an entry in addition to its ID and result.
 const entryOverheadBytes = 160
 
 // NewLedger returns a ledger that keeps at most maxJobs ended jobs of together maxBytes, each for the retention time.
--- a/internal/front/admission/recent.go
+++ b/internal/front/admission/recent.go
@@ -2,10 +2,10 @@
 
 import "hash/maphash"
 
-// maxRecentIDs limits the number of remembered ids, and thereby the memory to a quarter of a MB.
+// maxRecentIDs limits the number of remembered IDs, and thereby the memory to a quarter of a MB.
 const maxRecentIDs = 8192
 
-// recentIDs remembers the ids of recently ended requests, as hashes.
+// recentIDs remembers the IDs of recently ended requests, as hashes.
 type recentIDs struct {
 	seed   maphash.Seed
 	hashes map[uint64]struct{}
--- a/internal/gateway/statefile.go
+++ b/internal/gateway/statefile.go
@@ -13,8 +13,8 @@
 // $TMPDIR, and sends the old one SIGTERM once the new one is ready. Package replica exchanges the operators' directives
 // between the two processes, and lets the old one detect the new one, so that it drains its clients at once.
 
-// stateFilePath returns the path of a file or folder that the processes of one scheduler share:
-// cobaltflow-KIND-NAME-ADDRESS in $TMPDIR (os.TempDir) or the configured folder. Kind is what the file holds; name and
+// stateFilePath returns the path of a file or directory that the processes of one scheduler share:
+// cobaltflow-KIND-NAME-ADDRESS in $TMPDIR (os.TempDir) or the configured directory. Kind is what the file holds; name and
 // address are the scheduler's, and equal in an old and a new version. Characters other than letters, digits, '-' and '.'
 // are replaced by '_'. An address whose port the kernel chooses is shared with no other process, so the process ID is
 // appended.
@@ -28,11 +28,11 @@
 	if strings.HasSuffix(conf.Listen, ":0") {
 		suffix += "-" + strconv.Itoa(os.Getpid())
 	}
-	folder := conf.StateDir
-	if folder == "" {
-		folder = os.TempDir()
+	dir := conf.StateDir
+	if dir == "" {
+		dir = os.TempDir()
 	}
-	return filepath.Join(folder, "cobaltflow-"+kind+"-"+suffix)
+	return filepath.Join(dir, "cobaltflow-"+kind+"-"+suffix)
 }
 
 // writePIDFile writes the process ID to the file by which an older version of the program detects its successor. It must
--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// evictClient closes a connection to make room in the budget. If part of a request has been read the client gets a 503,
+// evictClient closes a connection to keep the budget. If part of a request has been read the client gets a 503,
 // since it could not distinguish a close without an answer from a request that was accepted and lost. The connection then stays
 // open until the answer is sent, which the accept limit allows for.
 func (f *Front) evictClient(c *clientConn) {
--- a/internal/platform/dial_race_test.go
+++ b/internal/platform/dial_race_test.go
@@ -202,7 +202,7 @@
 }
 
 // A request that waits for a worker, or for the response to a probe, is not sent if its client has disconnected by the time
-// that one comes.
+// the worker is available or the response arrives.
 func TestCancelledRequestIsNotSentAfterWait(t *testing.T) {
 	sendAndDisconnect := func(n *standin.Node) {
 		c := standin.Dial(t, n.Front.Address())
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -12,7 +12,7 @@
 // shutdownSchedule holds the steps of a shutdown, each as the time after SIGTERM. It ends before the platform may kill the
 // process.
 type shutdownSchedule struct {
-	// Until acceptUntil requests are admitted and connections are kept as before: clients go on using the connections they
+	// Until acceptUntil, requests are admitted and connections are kept as before: clients go on using the connections they
 	// have, and in a rolling restart of a zone there may be no other scheduler to go to yet.
 	acceptUntil core.Time
 	// If a successor serves at the same address, jobs that arrive after refuseJobsAfter are refused, and the listener is
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -377,6 +377,6 @@
 		n.RunOnLoop(func() { n.Front.Stop(n.Loop.Stop) })
 	}
 	_, err := c.Reader.ReadByte()
-	assert.ErrorIs(t, err, io.EOF, "closed after that while")
+	assert.ErrorIs(t, err, io.EOF, "closed once connections are no longer kept")
 	<-n.Ended
 }
--- a/internal/platform/idle.go
+++ b/internal/platform/idle.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// A connection that breaks within staleBreakWindow of its use had been closed by the worker while it was idle.
+	// staleBreakWindow is the time from the start of a call within which a break of its connection shows that the worker
+	// had closed the connection while it was idle.
 	staleBreakWindow = 20 * core.Millisecond
 	// earlyCloseTTL is how long a keep-alive estimate is used after the last observation.
 	earlyCloseTTL = 60 * core.Second
@@ -60,7 +61,7 @@
 }
 
 // addIdle adds a connection to the idle ones, ordered by the time since which it has been idle. That is usually the
-// last place; a connection that was taken for a call that could not begin returns to its earlier place.
+// last place; a connection that was acquired for a call that could not begin returns to its earlier place.
 func (p *connPool) addIdle(l *workerLink) {
 	w := l.worker
 	w.idle = append(w.idle, l)
--- a/internal/platform/idle_test.go
+++ b/internal/platform/idle_test.go
@@ -81,7 +81,7 @@
 				}
 			case 2:
 				p.forgetKeepAlive(w)
-			case 3: // the last used one is taken for a call that may not begin, and stays idle as before
+			case 3: // the last used one is acquired for a call that may not begin, and stays idle as before
 				if n := len(w.idle); n > 0 {
 					l := w.idle[n-1]
 					p.removeIdle(l)
--- a/internal/platform/pool.go
+++ b/internal/platform/pool.go
@@ -16,7 +16,7 @@
 
 const defaultConnectTimeout = 150 * core.Millisecond // without a connect timeout in the settings
 
-// connPool holds the connections to the workers. A connection carries one call at a time and is kept open between
+// connPool holds the connections to the workers. A connection has one call in progress at most and is kept open between
 // calls.
 type connPool struct {
 	front          *Front
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -151,8 +151,8 @@
 	n.RunOnLoop(func() { assert.Zero(t, n.Front.WatchFailures()) })
 }
 
-// Discovery sends something only every 2 s on a watch without updates, so the start of its response counts as a sign of life
-// too. The watch is closed only if the loop, which may be delayed, has received nothing for WatchSilence.
+// Discovery sends something only every 2 s on a watch without updates, so the start of its response also counts as
+// received input. The watch is closed only if the loop, which may be delayed, has received nothing for WatchSilence.
 func TestWatchWithoutUpdatesIsKept(t *testing.T) {
 	n := standin.Start(t, nil)
 	n.Eventually(func() bool { return n.Discovery.WatchedFrom() == "1" })
--- a/internal/platform/unreachable_test.go
+++ b/internal/platform/unreachable_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// The same for a discovery server that refuses connections and then listens again.
+// The next call must also come early enough when a discovery server refuses connections and then listens again.
 func TestRestartedDiscoveryIsCalledInTime(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		for _, schedulers := range []int{1, 300} {
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -89,7 +89,8 @@
 }
 
 // The steps after SIGTERM follow from the earliest time at which the platform may kill the process: 0.7 s after the
-// longest deadline, which counts as 3 s if it is longer. New connections may arrive for 0.4 s.
+// longest deadline, which counts as 3 s if it is longer. New connections may arrive for 0.4 s and must be
+// accepted for longer than that.
 func TestShutdownScheduleFollowsLongestDeadline(t *testing.T) {
 	for longest, kill := range map[core.Time]core.Time{0: 3700, 300: 1000, 1200: 1900, 3000: 3700, 20_000: 3700} {
 		e := newShutdownSchedule([]rules.Class{{Deadline: longest / 2 * core.Millisecond}, {Deadline: longest * core.Millisecond}})
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -343,9 +343,9 @@
 // Of two changes made while the directory is missing, the later one wins, whichever process made it.
 //
 // Guards against a fault found by soak seed 3005: the directory was missing for 1 s during an upgrade, and a worker was
-// enabled at the old process, then disabled at the new one. Versions were one above the highest that the process had seen.
+// enabled at the old process at 55.007 s, then disabled at the new one at 55.309 s. Versions were one above the highest that the process had seen.
 // The new process had seen none, so its later change got version 2, lost to version 6 of the earlier one, and the disabled
-// worker was sent up to 34 attempts although both changes had been confirmed.
+// worker was sent up to 34 attempts, also of class settle, although both changes had been confirmed.
 func TestLaterChangeWinsWhileTheDirectoryIsMissing(t *testing.T) {
 	for _, disabledLast := range []bool{true, false} {
 		for _, freshLast := range []bool{true, false} {
