--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkDecode decodes a whole list in pieces of 16 KiB.
+// BenchmarkDecode decodes a full list in pieces of 16 KiB.
 func BenchmarkDecode(b *testing.B) {
 	for _, endpoints := range []int{1000, 33_000} {
 		text := append(listText(1, endpoints), '\n')
--- a/internal/discovery/lines_test.go
+++ b/internal/discovery/lines_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// An incomplete list is also abandoned for a list that stands where an entry may stand but is too long for one.
+// An incomplete list is also abandoned for a list that begins where an entry may begin but is too long for one.
 func TestIncompleteListIsAbandonedForALongList(t *testing.T) {
 	for _, entries := range []int{100, 1000, 33_000} {
 		good := listText(1, entries)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -18,7 +18,7 @@
 	Version       int64
 	IsSnapshot    bool
 	Workers       []core.ListedWorker
-	Addresses     []string // of the workers, in the same order; empty: the worker is gone
+	Addresses     []string // of the workers, in the same order; empty: the worker was removed
 	StartedUnixMS []int64  // their start times by discovery's clock, in the same order; 0: long ago
 }
 
--- a/internal/discovery/region.go
+++ b/internal/discovery/region.go
@@ -5,19 +5,19 @@
 type region struct {
 	open    bool
 	start   int    // position in the current piece
-	carried []byte // the part in earlier pieces
+	earlier []byte // the part in earlier pieces
 }
 
 // begin opens the region at a position of the current piece.
-func (r *region) begin(pos int) { r.open, r.start, r.carried = true, pos, r.carried[:0] }
+func (r *region) begin(pos int) { r.open, r.start, r.earlier = true, pos, r.earlier[:0] }
 
 // size returns the number of bytes up to a position of the current piece.
-func (r *region) size(pos int) int { return len(r.carried) + pos - r.start }
+func (r *region) size(pos int) int { return len(r.earlier) + pos - r.start }
 
 // retain copies the part in the current piece, before the next piece is decoded.
 func (r *region) retain(piece []byte) {
 	if r.open {
-		r.carried, r.start = append(r.carried, piece[r.start:]...), 0
+		r.earlier, r.start = append(r.earlier, piece[r.start:]...), 0
 	}
 }
 
@@ -25,9 +25,9 @@
 // as long as the piece.
 func (r *region) end(piece []byte, pos int) []byte {
 	r.open = false
-	if len(r.carried) == 0 {
+	if len(r.earlier) == 0 {
 		return piece[r.start:pos]
 	}
-	r.carried = append(r.carried, piece[r.start:pos]...)
-	return r.carried
+	r.earlier = append(r.earlier, piece[r.start:pos]...)
+	return r.earlier
 }
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -22,19 +22,19 @@
 	phaseBody // a body with a Content-Length
 )
 
-// ResponseReader reads discovery's HTTP responses on one connection: first the response with the whole list, if that was
+// ResponseReader reads discovery's HTTP responses on one connection: first the response with the full list, if that was
 // requested, then the response to the watch, which is open-ended. Bodies are passed to the decoder in the pieces in which
 // they arrive, so that memory does not depend on the size of body and chunks.
 type ResponseReader struct {
 	decoder   *Decoder
-	readsList bool // the current response is the whole list, not the watch
+	readsList bool // the current response is the full list, not the watch
 	phase     phase
 	remaining int // bytes of the body or chunk that have not been read
 	response  http1.Response
 }
 
-// NewResponseReader creates the reader of a connection. listFirst says that the whole list was requested before the watch.
-// onLine is called, within Consume, with the result of each line of the watch, and with that of the whole list.
+// NewResponseReader creates the reader of a connection. listFirst says that the full list was requested before the watch.
+// onLine is called, within Consume, with the result of each line of the watch, and with that of the full list.
 func NewResponseReader(listFirst bool, mapping Mapping, limits Limits, onLine func(Line)) *ResponseReader {
 	r := &ResponseReader{decoder: NewDecoder(mapping, limits, onLine), readsList: listFirst}
 	r.decoder.singleList = listFirst
@@ -157,7 +157,7 @@
 	return size, 0, nil
 }
 
-// endList ends the response with the whole list; the response to the watch follows.
+// endList ends the response with the full list; the response to the watch follows.
 func (r *ResponseReader) endList() {
 	r.decoder.end()
 	r.phase, r.readsList, r.decoder.singleList = phaseHead, false, false
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -90,7 +90,7 @@
 				assert.False(t, r.IsPartial())
 				assert.Equal(t, uint64(endpoints), r.DecodedEndpoints())
 				assert.True(t, r.IsWatching())
-				held := cap(r.decoder.fields) + cap(r.decoder.entry.carried) + cap(r.decoder.nextList.carried)
+				held := cap(r.decoder.fields) + cap(r.decoder.entry.earlier) + cap(r.decoder.nextList.earlier)
 				assert.Less(t, held, DefaultLimits.FieldsBytes, "only the text of an entry is kept in memory")
 			}
 		})
