--- a/internal/faktory/actions.go
+++ b/internal/faktory/actions.go
@@ -18,7 +18,7 @@
 // host implements jobs.Actions.
 type host struct{ f *Front }
 
-// unlimitedDeadline is for a job whose client waits without limit; its reservation ends a run before that.
+// unlimitedDeadline is the deadline of a job whose client waits without limit; its reservation ends a run earlier.
 const unlimitedDeadline = 400 * 24 * 3600 * core.Second
 
 // OpenRequest implements jobs.Actions.
--- a/internal/faktory/faults_test.go
+++ b/internal/faktory/faults_test.go
@@ -416,7 +416,7 @@
 	case j := <-got:
 		assert.Equal(t, "job-0002", j.JID)
 	case <-time.After(standin.WaitTimeout):
-		t.Fatal("it waited for the busy one")
+		t.Fatal("the attempt was not moved from the busy worker")
 	}
 }
 
--- a/internal/faktory/front.go
+++ b/internal/faktory/front.go
@@ -127,8 +127,8 @@
 func (f *Front) Address() string { return f.listener.Addr().String() }
 
 // Drain rejects new jobs from now on, since the process is about to end. Jobs that no worker holds end now, unrun.
-// Workers are told to go quiet, after half of faktory.stop_s to terminate, and at its end jobs that they still hold are
-// aborted.
+// Replies to BEAT request workers to go quiet and, after half of faktory.stop_s, to terminate. At the end of
+// faktory.stop_s the jobs that they still hold are aborted.
 func (f *Front) Drain() {
 	if f.draining {
 		return
@@ -243,9 +243,9 @@
 // sessions that flood or do not read.
 func (f *Front) sweep() {
 	now := f.loop.Now()
-	oldestBeat := now - f.conf.Faktory.HeartbeatTimeout()
+	expiredBefore := now - f.conf.Faktory.HeartbeatTimeout()
 	for _, w := range f.workers {
-		if w.lastBeat < oldestBeat {
+		if w.lastSeen < expiredBefore {
 			f.log.Warn("faktory: worker missed its heartbeats", "wid", w.wid)
 			f.sessions.Each(func(_ core.Ref, s *session) {
 				if s.worker == w {
--- a/internal/faktory/fuzz_test.go
+++ b/internal/faktory/fuzz_test.go
@@ -8,7 +8,7 @@
 	"cobaltflow/internal/core"
 )
 
-// The parser never takes more bytes than there are, and asks for more than it has when a command is incomplete.
+// The parser never consumes more bytes than there are, and needs more than there are when a command is incomplete.
 func FuzzParseCommand(f *testing.F) {
 	for _, seed := range []string{"PUSH {}\r\n", "*2\r\n$4\r\nPUSH\r\n$2\r\n{}\r\n", "*1\r\n$0\r\n\r\n", "\n", "*-1\r\n", "$5\r\nabc", "*2\r\n$1\r\n"} {
 		f.Add([]byte(seed))
@@ -20,12 +20,12 @@
 		case err != nil:
 		case need > 0:
 			if need <= len(data) {
-				t.Fatalf("needs %d of %d", need, len(data))
+				t.Fatalf("needs %d bytes although %d are there", need, len(data))
 			}
 		case c.Size <= 0 || c.Size > len(data):
-			t.Fatalf("took %d of %d", c.Size, len(data))
+			t.Fatalf("consumed %d of %d bytes", c.Size, len(data))
 		case len(c.Verb)+len(c.Arg) > c.Size:
-			t.Fatal("more came out than went in")
+			t.Fatal("verb and argument are longer than the command")
 		}
 	})
 }
--- a/internal/faktory/input.go
+++ b/internal/faktory/input.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// commandsDone tells the reading side that the loop has handled commands.
+// commandsDone reports to the reading side that the loop has handled commands.
 func (s *session) commandsDone(size, cost int) {
 	s.addInputBytes(-int64(size))
 	s.input.backlog.Done(cost)
--- a/internal/faktory/session.go
+++ b/internal/faktory/session.go
@@ -109,7 +109,7 @@
 			s.MessageCount++
 			f.commandCount++
 			if w := s.worker; w != nil {
-				w.lastBeat = f.loop.Now()
+				w.lastSeen = f.loop.Now()
 			}
 			f.dispatch(s, cmd)
 		}
@@ -218,7 +218,7 @@
 		f.workers[wid] = w
 	}
 	w.sessionCount++
-	w.lastBeat = f.loop.Now()
+	w.lastSeen = f.loop.Now()
 	s.worker, s.Party = w, "faktory-worker"
 }
 
--- a/internal/faktory/transport.go
+++ b/internal/faktory/transport.go
@@ -17,7 +17,7 @@
 	joinedAt        core.Time           // when it joined its first pool
 	draining        bool
 	state           string                   // from its last BEAT that had one
-	lastBeat        core.Time                // when its last command arrived
+	lastSeen        core.Time                // when its last command arrived
 	rssKB           int64                    // resident memory in kB, from its last BEAT
 	pending         []pendingAttempt         // attempts that are not fetched yet, in the order they were sent
 	fetched         map[string]*core.Attempt // by jid
--- a/internal/faktory/verbs.go
+++ b/internal/faktory/verbs.go
@@ -25,7 +25,7 @@
 	case result.Accepted:
 		return nil
 	case result.Existing != nil:
-		// A repeated PUSH of a job that is in flight or has ended lately: the first one stands, so nothing runs twice.
+		// A repeated PUSH of a job that is in flight or has ended lately: only the first one counts, so nothing runs twice.
 		if s := result.Existing.State; s == jobs.Refused || s == jobs.Failed || s == jobs.Dead {
 			return fmt.Errorf("job %s has ended: %s", j.ID, s)
 		}
@@ -230,8 +230,8 @@
 	f.core.AttemptEnded(attempt.Ref, rules.Error, nil, s.worker.load(1))
 }
 
-// beat handles BEAT, a worker's heartbeat. The reply tells the worker to go quiet or to terminate while the front
-// drains.
+// beat handles BEAT, a worker's heartbeat. While the front drains, the reply requests the worker to go quiet or to
+// terminate.
 func (f *Front) beat(s *session, cmd *parsedCommand) {
 	var b struct {
 		WID   string `json:"wid"`
--- a/internal/fleet/endpoints/worker_server.go
+++ b/internal/fleet/endpoints/worker_server.go
@@ -159,7 +159,7 @@
 	schedulerSites []int    // by scheduler index
 }
 
-// NewCallbacks returns the callbacks to schedulers that listen at addresses and stand at schedulerSites.
+// NewCallbacks returns the callbacks to schedulers that listen at addresses. schedulerSites are the schedulers' sites.
 func NewCallbacks(n *relay.Network, siteCount int, addresses []string, schedulerSites []int) *Callbacks {
 	c := &Callbacks{siteCount: siteCount, addresses: addresses, schedulerSites: schedulerSites}
 	for from := range siteCount {
--- a/internal/front/http2/client_test.go
+++ b/internal/front/http2/client_test.go
@@ -101,7 +101,7 @@
 	return r.next - 2
 }
 
-// readUntil reads frames readUntil one matches, and returns it.
+// readUntil reads frames until one matches, and returns it.
 func (r *rawConn) readUntil(t *testing.T, matches func(xhttp2.Frame) bool) xhttp2.Frame {
 	for {
 		f, err := r.ReadFrame()
--- a/internal/front/http2/stream.go
+++ b/internal/front/http2/stream.go
@@ -162,7 +162,7 @@
 	s.request, s.body = nil, nil
 }
 
-// disconnect handles that the client has left the stream or its connection. If the request's class forbids a second
+// disconnect handles a client that has reset the stream or disconnected. If the request's class forbids a second
 // run, an attempt that a worker may have begun goes on, since cancelling it would leave open whether it ran. Any other
 // request is cancelled, as it is safe to repeat. No further attempt is sent either way.
 func (s *stream) disconnect() {
--- a/internal/jobs/api.go
+++ b/internal/jobs/api.go
@@ -106,10 +106,9 @@
 // Job is one pushed job. The host sets the fields of the first group before Push and does not change them afterwards.
 // Up to a hundred thousand jobs are held at once, so fields that few jobs use are behind pointers.
 type Job struct {
-	ID, Type, Queue string
-	// Payload is dropped when the job ends in another state than Dead.
+	ID, Type, Queue     string
 	Client              string
-	Payload             string // as it was pushed
+	Payload             string // as it was pushed; dropped when the job ends in another state than Dead
 	ArgsOffset, ArgsLen int32  // position of its args in Payload
 	Class               int32
 	Priority            int32 // 1 to 9: MinPriority to MaxPriority
@@ -196,7 +195,7 @@
 	Existing   *Job   // the job that has this id already
 	NotUnique  bool   // another job with the same fingerprint holds the lock
 	Rejected   Reason // the limit that was reached, or ShutDown
-	RetryAfter Time   // when the client may push again; set with Rejected
+	RetryAfter Time   // how long the client should wait before it pushes again; set with Rejected
 }
 
 // Outcome is how a request in the core ended.
--- a/internal/jobs/machine.go
+++ b/internal/jobs/machine.go
@@ -180,8 +180,8 @@
 	m.setExpiry(j, at)
 }
 
-// retryAfter is when a rejected client may push again: after about 16 job ends at the present rate, bounded to 100 ms
-// to 30 s.
+// retryAfter returns how long a rejected client should wait before it pushes again: the time of about 16 job ends at the
+// present rate, bounded to 100 ms to 30 s.
 func (m *Machine) retryAfter() Time {
 	return min(max(Time(16*m.meanEndInterval), 100*Millisecond), 30*Second)
 }
@@ -375,7 +375,7 @@
 	}
 }
 
-// SetTableWorkersReady reports whether any table worker is ready.
+// SetTableWorkersReady records whether any table worker is ready. If so, it opens requests for the queues' backlogs.
 func (m *Machine) SetTableWorkersReady(now Time, ready bool) {
 	if m.tableWorkersReady = ready; ready {
 		for _, q := range m.queueOrder {
--- a/internal/jobs/machine_test.go
+++ b/internal/jobs/machine_test.go
@@ -51,15 +51,15 @@
 
 // fetch sends a FETCH and starts the job that was opened for it; nil: there was none, and the FETCH is cancelled.
 func (h *fakeHost) fetch(queues ...string) *Job {
-	a := &Fetch{}
+	fetch := &Fetch{}
 	n := len(h.opened)
-	h.AddFetch(h.now, a, "w", queues)
+	h.AddFetch(h.now, fetch, "w", queues)
 	if len(h.opened) == n {
-		h.CancelFetch(a)
+		h.CancelFetch(fetch)
 		return nil
 	}
 	j := h.open[h.opened[n]]
-	h.Started(h.now, j, "w", a)
+	h.Started(h.now, j, "w", fetch)
 	return j
 }
 
@@ -133,8 +133,8 @@
 	h := newFakeHost(nil)
 	h.push("one", func(j *Job) { j.Class = 1 })
 	h.push("two", nil)
-	a := &Fetch{}
-	h.AddFetch(h.now, a, "w", []string{"a"})
+	fetch := &Fetch{}
+	h.AddFetch(h.now, fetch, "w", []string{"a"})
 	h.Machine.RequestEnded(h.now, h.open["one"], OutcomeRefused, 0, nil)
 	assert.Equal(t, []string{"one"}, h.opened, "not opened again at once")
 	h.advanceClock(Second)
@@ -198,9 +198,9 @@
 		LimitUniqueLocks: func(s *Settings) { s.MaxHeldJobs = 1 }, LimitQueues: func(s *Settings) { s.MaxQueues = 1 },
 	} {
 		h := newFakeHost(change)
-		v := PushResult{}
+		result := PushResult{}
 		for i := 0; i < 3; i++ {
-			v = h.push(fmt.Sprint(i), func(j *Job) {
+			result = h.push(fmt.Sprint(i), func(j *Job) {
 				switch want {
 				case LimitScheduled:
 					j.NotBefore = h.now + Second
@@ -210,14 +210,14 @@
 					j.Queue = fmt.Sprint("q", i)
 				}
 			})
-			if want == LimitUniqueLocks && v.Accepted { // the locks outlive their jobs
+			if want == LimitUniqueLocks && result.Accepted { // the locks outlive their jobs
 				j := h.fetch("a")
 				h.Machine.RequestEnded(h.now, j, OutcomeFailed, 0, nil)
 				h.Machine.terminate(h.now, j, Failed, ByOperator)
 			}
 		}
-		assert.Equal(t, want, v.Rejected)
-		assert.GreaterOrEqual(t, v.RetryAfter, 100*Millisecond)
+		assert.Equal(t, want, result.Rejected)
+		assert.GreaterOrEqual(t, result.RetryAfter, 100*Millisecond)
 		assert.NotZero(t, h.Stats().Totals.RejectedByReason[want])
 	}
 }
@@ -234,8 +234,8 @@
 	h.SetTableWorkersReady(h.now, true)
 	assert.Len(t, h.opened, 4, "the window of the table workers")
 	fetches := []*Fetch{{}, {}}
-	for _, a := range fetches {
-		h.AddFetch(h.now, a, "w", []string{"a"})
+	for _, fetch := range fetches {
+		h.AddFetch(h.now, fetch, "w", []string{"a"})
 	}
 	assert.Len(t, h.opened, 6)
 	h.Started(h.now, h.open["a-0"], "w", fetches[1])
@@ -281,8 +281,8 @@
 		h.push(fmt.Sprint("e-", i), nil)
 		h.Machine.RequestEnded(h.now, h.fetch("a"), OutcomeServed, 0, nil)
 	}
-	f := h.Stats()
-	assert.Equal(t, []any{2, 3, uint64(3), uint64(2)}, []any{f.Dead, f.Ended, f.Totals.DeadEvicted, f.Totals.EndedEvicted})
+	stats := h.Stats()
+	assert.Equal(t, []any{2, 3, uint64(3), uint64(2)}, []any{stats.Dead, stats.Ended, stats.Totals.DeadEvicted, stats.Totals.EndedEvicted})
 	assert.Nil(t, h.Find("d-0"))
 	assert.NotNil(t, h.Find("d-4"))
 }
@@ -317,17 +317,17 @@
 			for i := range held {
 				h.push(fmt.Sprint("held-", i), nil)
 			}
-			a := &Fetch{}
+			fetch := &Fetch{}
 			queues := []string{"a"}
 			n := held
 			for b.Loop() {
 				h.push(fmt.Sprint("held-", n), nil)
 				n++
 				h.opened = h.opened[:0]
-				h.AddFetch(h.now, a, "w", queues)
+				h.AddFetch(h.now, fetch, "w", queues)
 				j := h.open[h.opened[0]]
 				delete(h.open, j.ID)
-				h.Started(h.now, j, "w", a)
+				h.Started(h.now, j, "w", fetch)
 				h.Machine.RequestEnded(h.now, j, OutcomeServed, 0, nil)
 			}
 		})
--- a/internal/jobs/property_test.go
+++ b/internal/jobs/property_test.go
@@ -72,7 +72,7 @@
 
 func (w *world) check() {
 	m := w.m
-	f := m.Stats()
+	stats := m.Stats()
 	held, bytes, working, enqueued := 0, 0, 0, 0
 	for _, j := range m.jobs {
 		if !j.State.IsFinal() {
@@ -89,13 +89,13 @@
 			w.t.Fatalf("%s: request open in the machine %v, in the core %v", j.ID, j.isOpen, w.open[j])
 		}
 	}
-	if held != f.Held || bytes != f.HeldBytes || working != f.Working || enqueued != f.Enqueued {
-		w.t.Fatalf("held %d/%d, bytes %d/%d, working %d/%d, enqueued %d/%d", held, f.Held, bytes, f.HeldBytes, working, f.Working, enqueued, f.Enqueued)
+	if held != stats.Held || bytes != stats.HeldBytes || working != stats.Working || enqueued != stats.Enqueued {
+		w.t.Fatalf("held %d/%d, bytes %d/%d, working %d/%d, enqueued %d/%d", held, stats.Held, bytes, stats.HeldBytes, working, stats.Working, enqueued, stats.Enqueued)
 	}
 	s := &m.settings
-	if f.Held > s.MaxHeldJobs || f.HeldBytes > s.MaxHeldBytes || f.Scheduled > s.MaxScheduled || f.Retries > s.MaxRetries ||
-		f.Dead > s.MaxDead || f.Ended > s.MaxEnded || f.Queues > s.MaxQueues || f.EndedBytes > s.MaxEndedBytes {
-		w.t.Fatalf("a limit is exceeded: %+v", f)
+	if stats.Held > s.MaxHeldJobs || stats.HeldBytes > s.MaxHeldBytes || stats.Scheduled > s.MaxScheduled || stats.Retries > s.MaxRetries ||
+		stats.Dead > s.MaxDead || stats.Ended > s.MaxEnded || stats.Queues > s.MaxQueues || stats.EndedBytes > s.MaxEndedBytes {
+		w.t.Fatalf("a limit is exceeded: %+v", stats)
 	}
 	for _, j := range w.pushed {
 		final := 0
@@ -114,8 +114,8 @@
 			w.t.Fatalf("queue %s: %d open, %d bound, %d unbound", q.name, q.openCount, q.bound.count, q.unbound.count)
 		}
 	}
-	for _, a := range w.fetches {
-		if j := a.job; j != nil && (j.fetch != a || !a.isWaiting || !j.isOpen) {
+	for _, fetch := range w.fetches {
+		if j := fetch.job; j != nil && (j.fetch != fetch || !fetch.isWaiting || !j.isOpen) {
 			w.t.Fatalf("a FETCH is bound to %s, which is bound to another or to none", j.ID)
 		}
 	}
@@ -180,9 +180,9 @@
 		return
 	}
 	var to *Fetch
-	for _, a := range w.fetches {
-		if a.isWaiting && a.HasQueue(j.Queue) && (to == nil || rapid.Bool().Draw(t, "other")) {
-			to = a
+	for _, fetch := range w.fetches {
+		if fetch.isWaiting && fetch.HasQueue(j.Queue) && (to == nil || rapid.Bool().Draw(t, "other")) {
+			to = fetch
 		}
 	}
 	if to == nil && j.Queue != "tables" {
@@ -239,16 +239,16 @@
 	for w.m.Flush(); w.m.IsClearing(); {
 		w.m.ProcessDue(w.now, 5)
 	}
-	if f := w.m.Stats(); f.Held+f.Dead+f.Ended != 0 {
-		t.Fatalf("jobs left after a flush: %+v", f)
+	if stats := w.m.Stats(); stats.Held+stats.Dead+stats.Ended != 0 {
+		t.Fatalf("jobs left after a flush: %+v", stats)
 	}
 }
 
 // fetch registers a FETCH that does not wait yet.
 func (w *world) fetch(t *rapid.T) {
-	a := rapid.SampledFrom(w.fetches).Draw(t, "ask")
-	if !a.isWaiting {
-		w.m.AddFetch(w.now, a, "w", rapid.SliceOfN(rapid.SampledFrom(queueNames), 1, 4).Draw(t, "queues"))
+	fetch := rapid.SampledFrom(w.fetches).Draw(t, "ask")
+	if !fetch.isWaiting {
+		w.m.AddFetch(w.now, fetch, "w", rapid.SliceOfN(rapid.SampledFrom(queueNames), 1, 4).Draw(t, "queues"))
 	}
 }
 
@@ -294,8 +294,8 @@
 			}
 		}
 		w.check()
-		if f := m.Stats(); f.Held != 0 || f.Clients != 0 {
-			t.Fatalf("held after the drain: %+v", f)
+		if stats := m.Stats(); stats.Held != 0 || stats.Clients != 0 {
+			t.Fatalf("held after the drain: %+v", stats)
 		}
 	})
 }
--- a/internal/jobs/queue.go
+++ b/internal/jobs/queue.go
@@ -17,7 +17,7 @@
 
 	usesTableWorkers bool // the table workers also run its jobs
 	tableWindow      int  // limit of tableOpen
-	tableOpen        int  // jobs that are with the table workers
+	tableOpen        int  // jobs whose request was opened for the table workers
 	notBefore        Time // no request is opened before this time
 	resumeTimer      timer
 }
@@ -242,11 +242,11 @@
 // QueueStats describes all queues, in the order of their first use.
 func (m *Machine) QueueStats(now Time) (out []QueueStats) {
 	for _, q := range m.queueOrder {
-		f := QueueStats{Name: q.name, Enqueued: q.backlog + q.openCount, Paused: q.paused}
+		stats := QueueStats{Name: q.name, Enqueued: q.backlog + q.openCount, Paused: q.paused}
 		if j := q.head(); j != nil {
-			f.Latency = now - j.StateSince
+			stats.Latency = now - j.StateSince
 		}
-		out = append(out, f)
+		out = append(out, stats)
 	}
 	return out
 }
--- a/internal/ownership/api.go
+++ b/internal/ownership/api.go
@@ -144,7 +144,7 @@
 	ReleaseWorker(worker string)
 	// SetDivision sets how the workers of a kind are divided. Until the first call for a kind it is not divided.
 	SetDivision(d Division)
-	// MemberChanged reports that a member expired, left or came back.
+	// MemberChanged reports that a member expired or left, or that it is alive again.
 	MemberChanged(rank int, isAlive bool)
 	// Broadcast sends a heartbeat to all other members. Delivery is not guaranteed.
 	Broadcast(h Heartbeat)
--- a/internal/ownership/members.go
+++ b/internal/ownership/members.go
@@ -39,12 +39,12 @@
 	idleUtilization = 0.02 // mean utilization below which the weights return to 1
 )
 
-func newMembers(set *Settings, now Time) members {
-	m := members{cfg: set, byRank: make([]member, set.Members), liveCount: set.Members, lastTurn: now}
+func newMembers(settings *Settings, now Time) members {
+	m := members{cfg: settings, byRank: make([]member, settings.Members), liveCount: settings.Members, lastTurn: now}
 	for i := range m.byRank {
 		m.byRank[i] = member{hash: memberHash(i), zone: UnknownZone, isAlive: true, lastSeen: now}
 	}
-	m.self().zone, m.self().hasHeartbeat = set.Zone, true
+	m.self().zone, m.self().hasHeartbeat = settings.Zone, true
 	m.delaySettling(now)
 	return m
 }
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -70,8 +70,8 @@
 }
 
 // New returns a table without workers. The settings must have passed Check.
-func New(set Settings, now Time, act Actions) *Table {
-	t := &Table{cfg: set.withDefaults(), actions: act, byName: map[string]int{}, kinds: map[int]*kind{}, span: 1, adjustAt: now,
+func New(settings Settings, now Time, actions Actions) *Table {
+	t := &Table{cfg: settings.withDefaults(), actions: actions, byName: map[string]int{}, kinds: map[int]*kind{}, span: 1, adjustAt: now,
 		reported: map[int]Division{}}
 	t.members = newMembers(&t.cfg, now)
 	if t.cfg.PrefersOwnZone {
--- a/internal/scale/cases_list.go
+++ b/internal/scale/cases_list.go
@@ -15,7 +15,8 @@
 	steadyDuration    = time.Minute
 )
 
-// measureSteady measures the second of two minutes by itself.
+// measureSteady runs two loads of steadyDuration, one after the other, and records the figures of the second one
+// separately.
 func measureSteady(m *measurement, _ float64) error {
 	if _, err := m.measureRest(); err != nil {
 		return err
--- a/internal/scale/measurement.go
+++ b/internal/scale/measurement.go
@@ -158,8 +158,8 @@
 	return m.startPeerRelay()
 }
 
-// startPeerRelay puts a relay that counts messages between the schedulers. A single scheduler has no peers and gets
-// none.
+// startPeerRelay starts a relay that counts the messages between the schedulers. A single scheduler, and schedulers whose
+// configured group size is not their number, exchange no messages and get none.
 func (m *measurement) startPeerRelay() error {
 	s := m.setup
 	if s.schedulers < 2 || s.schedulers != s.groupSize {
@@ -236,7 +236,7 @@
 	return reading, m.checkMemory(reading.usage)
 }
 
-// checkMemory returns an error if all processes together use more than their share of the machine's memory.
+// checkMemory returns an error if all processes together use more than the machine's memory divided by memoryDivisor.
 func (m *measurement) checkMemory(usage []process.Usage) error {
 	sum, err := procfs.Memory(os.Getpid(), procfs.ResidentMemory)
 	if err != nil {
@@ -345,8 +345,8 @@
 // merge adds figures to those of the run.
 func (m *measurement) merge(figures map[string]float64) { maps.Copy(m.figures, figures) }
 
-// quantileMS returns a quantile of durations in milliseconds, and the longest for part 1. It returns 0 for an empty
-// list.
+// quantileMS returns a quantile of durations in milliseconds. part is from 0 to 1; 1 selects the longest duration. It
+// returns 0 for an empty list.
 func quantileMS(list []time.Duration, part float64) float64 {
 	if len(list) == 0 {
 		return 0
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -1,6 +1,7 @@
 // Package scale measures real schedulers, which run as processes of the program, with tens of thousands of hollow
-// workers: how their resource use grows with the workers they know, the tasks they hold, their number and the rate of
-// changes. It runs the cases, records the figures and fits lines; command "measure scale" calls it.
+// workers, which accept jobs but do no work: how the schedulers' resource use grows with the workers they know, the tasks
+// they hold, their number and the rate of changes. It runs the cases, records the figures and fits lines; command
+// "measure scale" calls it.
 //
 // # Figures
 //
@@ -87,7 +88,7 @@
 const (
 	fullRuns      = 3
 	runTimeout    = 4 * time.Minute // of one run of a case
-	memoryDivisor = 2               // all processes together must stay below this fraction of the machine's memory
+	memoryDivisor = 2               // all processes together may use the machine's memory divided by it
 )
 
 // Run executes the selected cases and returns their runs and slopes. If the context ends early, it returns the runs so
--- a/internal/sites/machine.go
+++ b/internal/sites/machine.go
@@ -11,8 +11,8 @@
 
 	timeoutDeviations = 6.0         // deviations above the mean reply time after which a worker is silent
 	replyTimeGain     = 0.02        // weight of a new reply in the moving averages
-	checkTimeouts     = 4           // reply timeouts until a suspect site is checked again; doubles with each check ...
-	maxCheckInterval  = 4 * second  // ... up to this
+	checkTimeouts     = 4           // reply timeouts until a suspect site is checked again; doubles with each check, up to maxCheckInterval
+	maxCheckInterval  = 4 * second  // between two checks of a suspect site
 	flapHalfLife      = 30 * second // of a site's flap count
 	maxFlapDoublings  = 6           // of Settings.FlapBackoff and Settings.ReturnWindow
 	maxTurnDelay      = second / 4  // beyond idleTurnInterval; a later turn means that the host was stopped, and missing replies are no evidence
@@ -43,23 +43,23 @@
 }
 
 // New returns a machine with all sites Whole and no workers.
-func New(set Settings, seed uint64, now Time, act Actions) *Machine {
-	set.SiteCount = max(1, set.SiteCount)
-	if set.MinSilentWorkers == 0 {
-		set.MinSilentWorkers = 5
+func New(settings Settings, seed uint64, now Time, actions Actions) *Machine {
+	settings.SiteCount = max(1, settings.SiteCount)
+	if settings.MinSilentWorkers == 0 {
+		settings.MinSilentWorkers = 5
 	}
 	for _, d := range []struct {
 		setting  *Time
 		fallback Time
-	}{{&set.MinReplyTimeout, 75 * millisecond}, {&set.MaxReplyTimeout, 600 * millisecond}, {&set.ProbeInterval, second / 2}, {&set.IdleProbeDelay, second},
-		{&set.ReturnWindow, 2 * second}, {&set.FlapBackoff, second / 4}} {
+	}{{&settings.MinReplyTimeout, 75 * millisecond}, {&settings.MaxReplyTimeout, 600 * millisecond}, {&settings.ProbeInterval, second / 2}, {&settings.IdleProbeDelay, second},
+		{&settings.ReturnWindow, 2 * second}, {&settings.FlapBackoff, second / 4}} {
 		if *d.setting == 0 {
 			*d.setting = d.fallback
 		}
 	}
-	m := &Machine{cfg: set, actions: act, rng: rand.New(rand.NewPCG(seed, randomStream)), members: map[string]*member{}, lastTurn: now,
+	m := &Machine{cfg: settings, actions: actions, rng: rand.New(rand.NewPCG(seed, randomStream)), members: map[string]*member{}, lastTurn: now,
 		probeTokens: probeBurst, tokensAt: now}
-	m.sites = make([]site, set.SiteCount)
+	m.sites = make([]site, settings.SiteCount)
 	for i := range m.sites {
 		m.sites[i].lastSeen, m.sites[i].since = now, now
 	}
--- a/internal/sites/machine_test.go
+++ b/internal/sites/machine_test.go
@@ -72,16 +72,16 @@
 		if interval > 0 {
 			next = min(next, job)
 		}
-		for _, a := range w.replies {
-			next = min(next, a.at)
+		for _, reply := range w.replies {
+			next = min(next, reply.at)
 		}
 		w.now = max(w.now, next)
 		kept := w.replies[:0]
-		for _, a := range w.replies {
-			if a.at <= w.now {
-				w.m.WorkerResponded(w.now, a.worker)
+		for _, reply := range w.replies {
+			if reply.at <= w.now {
+				w.m.WorkerResponded(w.now, reply.worker)
 			} else {
-				kept = append(kept, a)
+				kept = append(kept, reply)
 			}
 		}
 		w.replies = kept
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -51,6 +51,7 @@
 
 // Start runs a node whose worker list holds the workers, and stops it when the test ends. change, which may be nil, edits
 // the configuration before the start. Start returns once the node watches the fake discovery server, if it uses that one.
+// Of the job classes only board-view may run twice; a move or a settle that may have run is not repeated.
 func Start(t *testing.T, change func(*config.Config), workers ...*Worker) *Node {
 	t.Helper()
 	n := &Node{T: t, Discovery: NewDiscovery(t), Ended: make(chan struct{})}
