--- a/cmd/cobaltflow/hollow.go
+++ b/cmd/cobaltflow/hollow.go
@@ -33,7 +33,7 @@
 	c.Flags().IntVar(&o.Parallel, "parallel", 1, "`number` of concurrent runs")
 	c.Flags().IntVar(&o.Schedulers, "schedulers", 0, "`number` of schedulers; 0: 32")
 	c.Flags().Float64Var(&o.HotSchedulerFactor, "unlike", 0, "a tenth of the schedulers get `N` times the traffic of the others")
-	c.Flags().Float64Var(&o.TargetStretch, "stretch", 0, "latency target of long tasks: `multiple` of their running time; 0: 1.2")
+	c.Flags().Float64Var(&o.TargetStretch, "stretch", 0, "latency target of long jobs: `multiple` of their running time; 0: 1.2")
 	c.Flags().Float64Var(&o.Load, "load", 0, "`fraction` of the slots that the load takes; 0: 0.8")
 	c.Flags().Float64Var(&o.WarmUpS, "warm", 0, "warm-up `seconds` that are not measured; 0: 300, or 8 with short jobs")
 	c.Flags().Float64Var(&o.DurationS, "for", 0, "`seconds` to simulate; 0: 480, or 20 with short jobs")
@@ -67,7 +67,7 @@
 	}
 	c.Flags().BoolVar(&small, "small", false, "run a small set of cases")
 	c.Flags().StringVar(&out, "out", "hollow.json", "the results `file`")
-	c.Flags().StringSliceVar(&names, "candidates", []string{"whole list", "package ownership"}, "`names` of candidates, by commas")
+	c.Flags().StringSliceVar(&names, "candidates", []string{"whole list", "package ownership"}, "`names` of candidates, separated by commas")
 	c.Flags().IntVar(&campaign.Seeds, "seeds", 3, "`number` of seeds, from 1")
 	c.Flags().IntVar(&campaign.Parallel, "parallel", 1, "`number` of concurrent runs")
 	return c
--- a/internal/core/ownership.go
+++ b/internal/core/ownership.go
@@ -15,7 +15,7 @@
 	core          *Core
 	table         *ownership.Table
 	changes       []rules.ListEntry // of the share, collected during a turn of the table
-	loggedLeftOut int               // workers over ownership.MostWorkers, as last logged
+	loggedLeftOut int               // workers over ownership.MaxWorkers, as last logged
 }
 
 // EnableOwnership divides the main pool's workers among the schedulers. It must be called before the first worker list;
@@ -122,14 +122,14 @@
 	return p.share == nil || !p.share.isShared(worker) || p.share.table.InShare(worker)
 }
 
-// Enter implements ownership.Actions: the worker joins the share.
+// AcquireWorker implements ownership.Actions: the worker joins the share.
 func (s *workerShare) AcquireWorker(worker string) {
 	if entry := s.core.mainPool.list.workers[worker]; entry != nil {
 		s.changes = append(s.changes, entry.entry())
 	}
 }
 
-// Leave implements ownership.Actions: the worker leaves the share, and its running jobs go on.
+// ReleaseWorker implements ownership.Actions: the worker leaves the share, and its running jobs go on.
 func (s *workerShare) ReleaseWorker(worker string) {
 	if entry := s.core.mainPool.list.workers[worker]; entry != nil {
 		e := entry.entry()
@@ -138,7 +138,7 @@
 	}
 }
 
-// Divide implements ownership.Actions: the division of a kind of workers has changed.
+// SetDivision implements ownership.Actions: the division of a kind of workers has changed.
 func (s *workerShare) SetDivision(d ownership.Division) {
 	s.core.mainPool.dispatcher.SetSharing(d.Kind, d.ColdSenders, d.ForeignLoad)
 	if d.Kind == ownership.AllKinds {
@@ -148,7 +148,7 @@
 	}
 }
 
-// Member implements ownership.Actions: another scheduler is considered dead, or alive again.
+// MemberChanged implements ownership.Actions: another scheduler is considered dead, or alive again.
 func (s *workerShare) MemberChanged(rank int, alive bool) {
 	s.core.Log.Info("ownership: scheduler lost or back", "rank", rank, "alive", alive)
 }
--- a/internal/core/sites.go
+++ b/internal/core/sites.go
@@ -127,12 +127,12 @@
 	}
 }
 
-// Ask implements sites.Actions: it probes a worker.
+// ProbeWorker implements sites.Actions: it probes a worker.
 func (w *siteWatch) ProbeWorker(worker string) {
 	(actions{w.core.mainPool}).Probe(rules.WorkerID(worker))
 }
 
-// Changed implements sites.Actions: it logs the change of a site's state.
+// StateChanged implements sites.Actions: it logs the change of a site's state.
 func (w *siteWatch) StateChanged(site int, from, to sites.State) {
 	if from == sites.Suspect && to == sites.Whole || to == sites.Suspect {
 		return // single late replies are frequent; only a change that has consequences is logged
@@ -142,8 +142,8 @@
 		"workers_out", out, "workers", all)
 }
 
-// Out implements sites.Actions: a silent worker gets no new jobs, and its attempts that may be retried are queued for
-// retryStranded.
+// DisableWorker implements sites.Actions: a silent worker gets no new jobs, and its attempts that may be retried are
+// queued for retryStranded.
 func (w *siteWatch) DisableWorker(worker string, siteLost bool) {
 	c := w.core
 	c.mainPool.dispatcher.SetDisabled(c.Loop.now, rules.WorkerID(worker), rules.BySites, true)
@@ -162,7 +162,7 @@
 	return !request.AtMostOnce && w.core.settings.Classes[request.Job.Class].Effect == rules.Repeatable
 }
 
-// Back implements sites.Actions: the worker gets jobs again. One that was away with its whole site may have been
+// EnableWorker implements sites.Actions: the worker gets jobs again. One that was away with its whole site may have been
 // restarted before the worker list shows it: if it is to be treated as cold, its start time is set to now, so that all
 // schedulers keep to its slow-start budget.
 func (w *siteWatch) EnableWorker(worker string, cold bool) {
--- a/internal/core/workers.go
+++ b/internal/core/workers.go
@@ -136,7 +136,8 @@
 // IsListed returns whether a worker of the main pool is listed.
 func (c *Core) IsListed(worker string) bool { return c.mainPool.list.workers[worker] != nil }
 
-// SetSlowStartElsewhere sets whether a later process of this scheduler uses its slow-start budgets.
+// SetSlowStartElsewhere sets whether a later process of this scheduler uses its slow-start budgets: the Dispatcher's
+// shares of the cold budgets, see rules.Dispatcher.YieldColdBudget.
 func (c *Core) SetSlowStartElsewhere(elsewhere bool) {
 	c.mainPool.dispatcher.YieldColdBudget(elsewhere)
 }
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -16,10 +16,10 @@
 	"cobaltflow/internal/replica"
 )
 
-// maxFolderWait is how long a process that cannot read the directives' folder waits before it listens. Without the
+// maxDirectoryWait is how long a process that cannot read the directives' directory waits before it listens. Without the
 // directives it would send jobs to workers that operators have disabled; during a handover the old process serves
 // meanwhile. A restarted scheduler has to be ready within 6 s, of which it may wait 1 s for the worker list.
-const maxFolderWait = 4 * time.Second
+const maxDirectoryWait = 4 * time.Second
 
 // directives applies the operators' directives, given to any process of this scheduler, to the core and the HTTP/1.1 front.
 // Package replica keeps them and exchanges them between the processes. Its methods must be called on the loop goroutine,
@@ -36,8 +36,8 @@
 	ownReloads int
 }
 
-// openDirectives joins the other processes of the scheduler. If the folder cannot be used, it logs the error and retries
-// for up to maxFolderWait; after that the replica goes on retrying in the background.
+// openDirectives joins the other processes of the scheduler. If the directory is unavailable, it logs the error and
+// retries for up to maxDirectoryWait; after that the replica goes on retrying in the background.
 func openDirectives(conf *config.Config, c *core.Core, front *platform.Front, log *slog.Logger) *directives {
 	d := &directives{core: c, front: front, log: log, disabled: map[string]bool{}}
 	period := replica.PollPeriodWithAdmin
@@ -53,14 +53,14 @@
 		OnProcessesChanged: func(others replica.OtherProcesses) { c.Loop.Post(func() { d.updateProcesses(others) }) },
 	})
 	if err != nil {
-		log.Warn("directive: the folder cannot be used, retrying", "error", err, "start_waits_at_most", maxFolderWait)
-		err = d.replica.AwaitFirstScan(maxFolderWait)
+		log.Warn("directive: directory unavailable, retrying", "error", err, "start_waits_at_most", maxDirectoryWait)
+		err = d.replica.AwaitFirstScan(maxDirectoryWait)
 	}
 	if err == nil {
 		err = importDisabledWorkers(d.replica, stateFilePath(conf, "held"))
 	}
 	if err != nil {
-		log.Warn("directive: the folder cannot be used, retrying", "error", err)
+		log.Warn("directive: directory unavailable, retrying", "error", err)
 	}
 	return d
 }
@@ -152,7 +152,7 @@
 }
 
 // Change implements admin.Directives. A directive that is turned on (a disabled worker, a drain) applies to this process at
-// once, even if the folder fails; one that is turned off applies after the other processes' files have been read.
+// once, even if the directory fails; one that is turned off applies after the other processes' files have been read.
 func (d *directives) Change(key directive.Key, on bool, timeout time.Duration, done func(error)) {
 	if on {
 		d.apply([]directive.Entry{{Key: key, On: true}})
--- a/internal/platform/dial_race_test.go
+++ b/internal/platform/dial_race_test.go
@@ -269,7 +269,7 @@
 	}
 }
 
-// receive waits for a value from a channel, and fails the test if none comes within standin.Patience.
+// receive waits for a value from a channel, and fails the test if none comes within standin.WaitTimeout.
 func receive[T any](t *testing.T, c chan T) (v T) {
 	t.Helper()
 	select {
--- a/internal/world/ownership.go
+++ b/internal/world/ownership.go
@@ -68,14 +68,14 @@
 	return kept
 }
 
-// Enter adds a worker to the dispatcher's list.
+// AcquireWorker adds a worker to the dispatcher's list.
 func (h *ownershipHost) AcquireWorker(name string) {
 	wk := h.scheduler.world.byID[rules.WorkerID(name)]
 	h.scheduler.assigned[wk.index] = true
 	h.changed = append(h.changed, wk.entry)
 }
 
-// Leave removes a worker from the dispatcher's list; it gets no new attempts.
+// ReleaseWorker removes a worker from the dispatcher's list; it gets no new attempts.
 func (h *ownershipHost) ReleaseWorker(name string) {
 	wk := h.scheduler.world.byID[rules.WorkerID(name)]
 	h.scheduler.assigned[wk.index] = false
@@ -84,12 +84,12 @@
 	h.changed = append(h.changed, gone)
 }
 
-// Divide sets how many schedulers share the workers of a kind.
+// SetDivision sets how many schedulers share the workers of a kind.
 func (h *ownershipHost) SetDivision(d ownership.Division) {
 	h.scheduler.dispatcher.SetSharing(d.Kind, d.ColdSenders, d.ForeignLoad)
 }
 
-// Member does nothing: the simulation does not count members.
+// MemberChanged does nothing: the simulation does not count members.
 func (h *ownershipHost) MemberChanged(int, bool) {}
 
 // Broadcast sends a heartbeat to all other schedulers, in its encoded form.
--- a/internal/world/setup.go
+++ b/internal/world/setup.go
@@ -75,7 +75,7 @@
 	ConnectionIdleTimeout rules.Time          // a connection to a worker stays open so long after its last use; 0: each use opens a connection
 	KeyMissWindows        []rules.Time        // for Figures.KeyMissesIn
 	Directory             Directory           // nil: every scheduler may send to all workers
-	Ownership             *ownership.Settings // nil: package ownership assigns no workers; Simulate sets Self, Members and Zone
+	Ownership             *ownership.Settings // nil: package ownership assigns no workers; Simulate sets Rank, Members and Zone
 	ListDelay             TimeRange           // until a scheduler learns of a worker list update caused by a Fault or a restart
 	DetectionDelay        TimeRange           // until a scheduler learns that another one failed or started, for Directory
 	Faults                []Fault
--- a/rules/cold.go
+++ b/rules/cold.go
@@ -131,6 +131,7 @@
 	return math.Floor(float64(w.coldPosition) * d.kind(w.Kind).senders / float64(d.cfg.GroupSize))
 }
 
-// YieldColdBudget sets whether another process of this dispatcher, started later, uses its shares of the
-// cold budgets. Both processes together have the shares of one dispatcher.
+// YieldColdBudget sets whether a later process of the same scheduler uses this dispatcher's shares of the
+// cold (slow-start) budgets, so that both processes together have the shares of one dispatcher.
+// Core.SetSlowStartElsewhere calls it.
 func (d *Dispatcher) YieldColdBudget(yielded bool) { d.coldBudgetYielded = yielded }
