--- a/internal/faktory/payload.go
+++ b/internal/faktory/payload.go
@@ -28,7 +28,7 @@
 	maxSpanSeconds = 366 * 24 * 3600  // 366 days
 )
 
-// jobOverheadBytes is the memory that a held job takes beyond its payload (measured in docs/measurements/faktory.md).
+// jobOverheadBytes is the memory that a held job takes beyond its payload.
 const jobOverheadBytes = 400
 
 // fieldParser parses one key of the public job payload ("The Job Payload" of the Faktory wiki), or of its custom
--- a/rules/broadcast.go
+++ b/rules/broadcast.go
@@ -7,7 +7,7 @@
 import "math"
 
 const (
-	minMessageCost    = 16               // bytes that even the shortest message costs, as measured
+	minMessageCost    = 16               // bytes that even the shortest message costs
 	keepaliveInterval = 4 * second       // a dispatcher with nothing to report sends a keepalive this often
 	maxReportDelay    = 3 * tickInterval // an end waits this long for a send to be reported with
 	peerTimeout       = 10 * second      // a peer without a message for this long counts as silent
