--- a/internal/fleet/endpoints/discovery.go
+++ b/internal/fleet/endpoints/discovery.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"maps"
@@ -12,6 +13,8 @@
 	"slices"
 	"strconv"
 	"sync"
+	"sync/atomic"
+	"syscall"
 	"time"
 
 	"cobaltflow/internal/fleet/record"
@@ -295,30 +298,42 @@
 	}
 }
 
-// FreePorts returns n addresses of a host at which nothing listens, with ports that the kernel chooses. host is not the
-// address that outgoing connections use, so that none of them takes such a port. All ports stay bound until the last is
-// chosen: the program listens with SO_REUSEPORT, so two processes with the same port would share it without an error.
+// Ports that FreePorts draws from. They lie below the range from which the kernel chooses ports, so that neither outgoing
+// connections nor listeners of other test processes take one between its draw and its use.
+const (
+	firstFreePort = 10_000
+	freePortCount = 22_000
+)
+
+// freePortsDrawn counts the ports drawn so far, from a random start: test processes that run at the same time rarely meet.
+var freePortsDrawn = func() *atomic.Uint32 {
+	drawn := new(atomic.Uint32)
+	drawn.Store(rand.Uint32N(freePortCount))
+	return drawn
+}()
+
+// FreePorts returns n addresses of a host at which nothing listens. All ports stay bound until the last is chosen: the
+// program listens with SO_REUSEPORT, so two processes with the same port would share it without an error.
 func FreePorts(host [4]byte, n int, udp bool) (list []netip.AddrPort, err error) {
-	ip := net.IP(host[:])
-	for range n {
-		var held io.Closer
-		var addr net.Addr
-		if udp {
-			c, listenErr := net.ListenUDP("udp4", &net.UDPAddr{IP: ip})
-			if err = listenErr; err == nil {
-				held, addr = c, c.LocalAddr()
-			}
-		} else {
-			ln, listenErr := net.ListenTCP("tcp4", &net.TCPAddr{IP: ip})
-			if err = listenErr; err == nil {
-				held, addr = ln, ln.Addr()
-			}
+	for tries := 0; len(list) < n; tries++ {
+		address := netip.AddrPortFrom(netip.AddrFrom4(host), uint16(firstFreePort+freePortsDrawn.Add(1)%freePortCount))
+		held, err := bindPort(address, udp)
+		if errors.Is(err, syscall.EADDRINUSE) && tries < freePortCount {
+			continue
 		}
 		if err != nil {
 			return nil, err
 		}
 		defer held.Close()
-		list = append(list, netip.MustParseAddrPort(addr.String()))
+		list = append(list, address)
 	}
 	return list, nil
 }
+
+// bindPort binds an address until the result is closed.
+func bindPort(address netip.AddrPort, udp bool) (io.Closer, error) {
+	if udp {
+		return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
+	}
+	return net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(address))
+}
